--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,17 @@
 GO ?= go
 
-.PHONY: build demo test format-check lint models unit prove mutants experiment soak replay
+.PHONY: tools build demo test format-check lint models unit prove mutants experiment soak replay
 
 build:
 	@mkdir -p bin
 	$(GO) build -o bin/ ./cmd/...
 
+# gopls, which renames identifiers in all packages and tests at once. Its libraries
+# clash with the newer ones of staticcheck, so it has a module of its own.
+tools:
+	@mkdir -p bin
+	$(GO) -C hack/gopls build -o ../../bin/gopls golang.org/x/tools/gopls
+
 # The main job with real processes and the embedded stand-ins; under a minute.
 demo: build
 	@./hack/demo.sh
