--- a/internal/backend/cachedparts.go
+++ b/internal/backend/cachedparts.go
@@ -9,30 +9,34 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// SharedPart is a part of a prompt that other requests have too.
+// SharedPart is a segment of a prompt that other requests have in common with this one,
+// such as a system prompt.
 type SharedPart struct {
 	ID string
-	// Depth is the number of tokens from the start of the prompt to its end.
+	// Depth is the token offset at which the part ends, counted from the start of the
+	// prompt.
 	Depth int
 }
 
-// Salt keeps prompt parts of different owners and weights apart.
-func Salt(owner string, weights uint64) string {
-	return owner + "/" + strconv.FormatUint(weights, 10)
+// Salt returns the hash salt that separates cached prompt parts by owner and weight
+// version.
+func Salt(owner string, weightVersion uint64) string {
+	return owner + "/" + strconv.FormatUint(weightVersion, 10)
 }
 
-// PartHash names a part under a salt.
+// PartHash returns the cache index hash of a prompt part under the salt.
 func PartHash(salt, part string) uint64 { return rendezvous.KeyOf(salt + "/" + part) }
 
-// confirmTime is how long a part counts as kept by a runner that was just seen to
-// read it, until the runner's own events say so: these are 0.1 s late and take 0.2 s
-// to all routers, up to 1 s where many pull from each seed. 1 s in place of 2 measured
-// no better (docs/POLICY.md).
-const confirmTime = 2 * time.Second
+// unconfirmedTTL is how long a part counts as cached by a runner that has just prefilled
+// it, unless the runner's own cache events confirm it earlier. These events are 0.1 s late
+// and take another 0.2 s to reach all routers, or up to 1 s where many routers pull from
+// each seed. A TTL of 1 s measured no better than 2 s (docs/POLICY.md).
+const unconfirmedTTL = 2 * time.Second
 
-// anchors are the shared parts under the weights, in order.
-func (q *Query) anchors(weights uint64) []prefix.Anchor {
-	salt := Salt(q.Owner, weights)
+// anchors returns the hashes and depths of the prompt's shared parts under the weight
+// version, in prompt order.
+func (q *Query) anchors(weightVersion uint64) []prefix.Anchor {
+	salt := Salt(q.Owner, weightVersion)
 	anchors := make([]prefix.Anchor, 0, len(q.Shared))
 	for _, part := range q.Shared {
 		anchors = append(anchors, prefix.Anchor{Hash: PartHash(salt, part.ID), Depth: part.Depth})
@@ -40,153 +44,159 @@
 	return anchors
 }
 
-// keptDepths tells how many tokens from the start of the prompt each holder
-// keeps: runners by id, stores of kept cache by address.
-func (s *Set) keptDepths(query *Query, weights uint64) map[string]int {
+// cachedDepths returns how many tokens from the start of the prompt each holder has cached.
+// Runners are keyed by id and cache stores by address.
+func (s *Set) cachedDepths(query *Query, weightVersion uint64) map[string]int {
 	depths := map[string]int{}
-	for _, match := range s.cached.Lookup(query.anchors(weights)) {
+	for _, match := range s.cacheIndex.Lookup(query.anchors(weightVersion)) {
 		depths[match.Holder.Runner] = match.Depth
 	}
 	return depths
 }
 
-// keptByWeights remembers keptDepths during one choice: a service's runners have
-// one or two versions of weights.
-type keptByWeights struct {
-	set   *Set
-	query *Query
-	known map[uint64]keptParts
+// depthLookup memoizes cachedDepths by weight version while one request is placed: a
+// service's runners have one or two versions.
+type depthLookup struct {
+	set       *Set
+	query     *Query
+	byVersion map[uint64]versionDepths
 }
 
-// keptParts is what is kept of a prompt under one version of weights, in tokens
+// versionDepths holds the cached depths of a prompt under one weight version, in tokens
 // from its start.
-type keptParts struct {
-	depths map[string]int
-	// deepest is the greatest depth that anybody keeps.
+type versionDepths struct {
+	byHolder map[string]int
+	// deepest is the maximum over all holders.
 	deepest int
 }
 
-// of tells how much of the prompt the runner keeps, and how much somebody keeps
-// under the same weights, so that the runner can fetch it.
-func (k *keptByWeights) of(e *entry) (depth, deepest int) {
-	if len(k.query.Shared) == 0 {
+// holderDepths returns how many tokens of the prompt the runner has cached, and how many
+// some holder has cached under the same weight version, which the runner can fetch.
+func (l *depthLookup) holderDepths(e *entry) (depth, deepest int) {
+	if len(l.query.Shared) == 0 {
 		return 0, 0
 	}
-	weights, _ := e.version(k.query.Model)
-	kept, found := k.known[weights]
+	version, _ := e.weightVersion(l.query.Model)
+	depths, found := l.byVersion[version]
 	if !found {
-		kept.depths = k.set.keptDepths(k.query, weights)
-		for _, depth := range kept.depths {
-			kept.deepest = max(kept.deepest, depth)
+		depths.byHolder = l.set.cachedDepths(l.query, version)
+		for _, depth := range depths.byHolder {
+			depths.deepest = max(depths.deepest, depth)
 		}
-		k.known[weights] = kept
+		l.byVersion[version] = depths
 	}
-	return kept.depths[e.ID], kept.deepest
+	return depths.byHolder[e.ID], depths.deepest
 }
 
-// ApplyCacheDelta takes what changed of the parts that runners and stores keep.
+// ApplyCacheDelta applies changes to the index of prompt parts that runners and cache
+// stores hold. A full delta replaces the index.
 func (s *Set) ApplyCacheDelta(delta cacheindex.FeedDelta) {
-	s.cachedKnown = true
+	s.cacheIndexLoaded = true
 	if delta.Full {
-		s.cached = cacheindex.NewShard(confirmTime)
+		s.cacheIndex = cacheindex.NewShard(unconfirmedTTL)
 	}
 	for _, change := range delta.Changes {
 		holder := cacheindex.Holder{Runner: change.Holder}
 		if change.Removed {
-			s.cached.Remove(holder, change.Part)
+			s.cacheIndex.Remove(holder, change.Part)
 		} else {
-			s.cached.Add(holder, change.Part)
+			s.cacheIndex.Add(holder, change.Part)
 		}
 	}
 }
 
-// ForgetCached drops all that is known of the parts that runners and stores keep.
-func (s *Set) ForgetCached() {
-	s.cached, s.cachedKnown = cacheindex.NewShard(confirmTime), false
+// ClearCachedParts empties the index of prompt parts that runners and cache stores hold.
+func (s *Set) ClearCachedParts() {
+	s.cacheIndex, s.cacheIndexLoaded = cacheindex.NewShard(unconfirmedTTL), false
 }
 
-// NoteRead notes that the runner has read the prompt and so keeps its shared parts.
-func (s *Set) NoteRead(now time.Time, id string, query Query, weights uint64) {
+// RecordPrefill records that the runner has prefilled the prompt and therefore has its
+// shared parts cached, pending confirmation by its cache events.
+func (s *Set) RecordPrefill(now time.Time, id string, query Query, weightVersion uint64) {
 	if len(query.Shared) > 0 && s.entries[id] != nil {
-		s.cached.Note(now, cacheindex.Holder{Runner: id}, query.anchors(weights))
+		s.cacheIndex.Note(now, cacheindex.Holder{Runner: id}, query.anchors(weightVersion))
 	}
 }
 
-// Costs of a source, in open requests of this router at it.
+// Costs of a fetch source, in units of one open request of this router at the source.
 const (
-	// storeSourceCost prefers runners to a store of kept cache, whose one link all
-	// runners share: taken always, the store's link was the bottleneck of a fleet
-	// (docs/POLICY.md). Only a runner that is nearly full of requests is worse.
+	// storeSourceCost makes runners preferred to a cache store, whose single link all
+	// runners share: when the store was always used, its link was the bottleneck of a fleet
+	// (docs/POLICY.md). Only a runner that is nearly full of requests costs more.
 	storeSourceCost = 100
-	// otherZoneSourceCost is for a source in another zone, as moves between zones
+	// crossZoneSourceCost applies to a source in another zone, as transfers between zones
 	// take twice as long.
-	otherZoneSourceCost = 20
+	crossZoneSourceCost = 20
 )
 
-// FetchSource is where a runner fetches what it lacks of a prompt.
+// FetchSource is where a runner fetches the cached prompt tokens that it lacks.
 type FetchSource struct {
-	// Address is IP:port, empty when nothing is known to keep more than the runner.
+	// Address is IP:port, empty when no known source has more of the prompt than the
+	// runner.
 	Address string
-	// Depth is the number of tokens that are there, from the start of the prompt.
+	// Depth is the number of tokens available at the source, from the start of the prompt.
 	Depth int
-	// StoreKeeps is true when the store keeps all shared parts.
-	StoreKeeps bool
+	// StoreHasAll is true when the cache store has all shared parts of the prompt.
+	StoreHasAll bool
 }
 
-// Source chooses where the runner fetches what it lacks of the prompt: from
-// whoever keeps most of it, and among those from a runner near by. While nothing is
-// known it is the store. The store is the address of the store of kept cache that serves the prompt, or "".
-func (s *Set) Source(now time.Time, id string, query Query, weights uint64, store string) FetchSource {
-	runner := s.entries[id]
-	if runner == nil || len(query.Shared) == 0 {
+// ChooseFetchSource returns the source from which the runner should fetch the part of the
+// prompt that it lacks: the holder with the most tokens and, among equals, the cheapest by
+// sourceCost. store is the address of the cache store that serves the prompt, or "". Until
+// the cache index is loaded, the store is the source.
+func (s *Set) ChooseFetchSource(now time.Time, id string, query Query, weightVersion uint64, store string) FetchSource {
+	requester := s.entries[id]
+	if requester == nil || len(query.Shared) == 0 {
 		return FetchSource{}
 	}
-	if !s.cachedKnown {
+	if !s.cacheIndexLoaded {
 		return FetchSource{Address: store}
 	}
-	depths := s.keptDepths(&query, weights)
-	best, bestCost := FetchSource{Depth: depths[id], StoreKeeps: store != "" && depths[store] >= query.SharedTokens}, 0
+	depths := s.cachedDepths(&query, weightVersion)
+	best, bestCost := FetchSource{Depth: depths[id], StoreHasAll: store != "" && depths[store] >= query.SharedTokens}, 0
 	for holder, depth := range depths {
-		address, cost, usable := s.sourceCost(now, runner, holder, store)
+		address, cost, usable := s.sourceCost(now, requester, holder, store)
 		if !usable || depth < best.Depth || (depth == best.Depth && (best.Address == "" || cost >= bestCost)) {
 			continue
 		}
 		best.Address, best.Depth, bestCost = address, depth, cost
 	}
 	if best.Address == "" && best.Depth < query.SharedTokens {
-		// What is known may be out of date, and a miss costs a millisecond.
+		// The index may be out of date, and a miss costs only a millisecond.
 		best.Address = store
 	}
 	return best
 }
 
-// sourceCost tells whether the runner may fetch from the holder, and how dear that is.
-func (s *Set) sourceCost(now time.Time, runner *entry, holder, store string) (address string, cost int, usable bool) {
+// sourceCost reports whether the runner may fetch from the holder, and at which cost.
+func (s *Set) sourceCost(now time.Time, requester *entry, holder, store string) (address string, cost int, usable bool) {
 	if holder == store {
 		return store, storeSourceCost, true
 	}
 	source := s.entries[holder]
-	if source == nil || source == runner || source.updating || now.Before(source.asideUntil) {
+	if source == nil || source == requester || source.updating || now.Before(source.avoidUntil) {
 		return "", 0, false
 	}
 	cost = source.inFlight
-	if source.Zone != runner.Zone {
-		cost += otherZoneSourceCost
+	if source.Zone != requester.Zone {
+		cost += crossZoneSourceCost
 	}
 	return source.Address, cost, true
 }
 
-// CacheHolder is where the prompt parts that one incarnation of a runner keeps are read.
+// CacheHolder is the address and incarnation of a runner whose cached prompt parts can be
+// read.
 type CacheHolder struct {
 	Address     string
 	Incarnation uint64
 }
 
-// CacheHolders returns the runners that keep prompt parts, by id.
+// CacheHolders returns the runners that cache prompt parts and belong to configured
+// services, by id.
 func (s *Set) CacheHolders() map[string]CacheHolder {
 	holders := map[string]CacheHolder{}
 	for _, e := range s.entries {
-		if len(e.Models) > 0 && s.inUse(e) {
+		if len(e.Models) > 0 && s.isConfigured(e) {
 			holders[e.ID] = CacheHolder{Address: e.Address, Incarnation: e.Incarnation}
 		}
 	}
--- a/internal/backend/cachedparts_test.go
+++ b/internal/backend/cachedparts_test.go
@@ -11,7 +11,7 @@
 
 const storeAddress = "store:1"
 
-// sharedQuery is a prompt of 100 and 200 shared tokens and 50 of its own.
+// sharedQuery is a prompt with shared parts of 100 and 200 tokens and a unique part of 50.
 func sharedQuery() Query {
 	return Query{
 		Service: "s", Model: "m", PromptTokens: 350, SharedTokens: 300, Family: 7, Owner: "shared",
@@ -19,7 +19,7 @@
 	}
 }
 
-func keeps(holder string, parts ...string) []cacheindex.PartChange {
+func cachedChanges(holder string, parts ...string) []cacheindex.PartChange {
 	var changes []cacheindex.PartChange
 	for _, part := range parts {
 		changes = append(changes, cacheindex.PartChange{Holder: holder, Part: PartHash(Salt("shared", 1), part)})
@@ -27,7 +27,7 @@
 	return changes
 }
 
-func cachedSet(changes ...[]cacheindex.PartChange) *Set {
+func newCachedSet(changes ...[]cacheindex.PartChange) *Set {
 	set := NewSet("z")
 	for _, r := range []Runner{runner("a", "z"), runner("b", "z"), runner("c", "y")} {
 		set.Put(r)
@@ -40,74 +40,74 @@
 	return set
 }
 
-func TestPartsAreFetchedFromWhoeverKeepsMost(t *testing.T) {
-	both := []string{"trunk", "branch"}
+func TestChooseFetchSource(t *testing.T) {
+	allParts := []string{"trunk", "branch"}
 	for name, test := range map[string]struct {
 		kept [][]cacheindex.PartChange
 		want string
 	}{
-		"the deepest":                    {[][]cacheindex.PartChange{keeps("b", "trunk"), keeps("c", both...)}, "c:1"},
-		"the nearest of equals":          {[][]cacheindex.PartChange{keeps("b", both...), keeps("c", both...)}, "b:1"},
-		"a runner rather than the store": {[][]cacheindex.PartChange{keeps(storeAddress, both...), keeps("c", both...)}, "c:1"},
-		"the store, if it has more":      {[][]cacheindex.PartChange{keeps(storeAddress, both...), keeps("c", "trunk")}, storeAddress},
-		"nobody, if it has all":          {[][]cacheindex.PartChange{keeps("a", both...), keeps("c", both...)}, ""},
-		"the store, if nobody is known":  {nil, storeAddress},
-		"not past a gap":                 {[][]cacheindex.PartChange{keeps("a", "trunk"), keeps("c", "branch")}, storeAddress},
+		"deepest source":                {[][]cacheindex.PartChange{cachedChanges("b", "trunk"), cachedChanges("c", allParts...)}, "c:1"},
+		"same zone among equals":        {[][]cacheindex.PartChange{cachedChanges("b", allParts...), cachedChanges("c", allParts...)}, "b:1"},
+		"runner before store":           {[][]cacheindex.PartChange{cachedChanges(storeAddress, allParts...), cachedChanges("c", allParts...)}, "c:1"},
+		"store with more tokens":        {[][]cacheindex.PartChange{cachedChanges(storeAddress, allParts...), cachedChanges("c", "trunk")}, storeAddress},
+		"none when complete":            {[][]cacheindex.PartChange{cachedChanges("a", allParts...), cachedChanges("c", allParts...)}, ""},
+		"store when no source is known": {nil, storeAddress},
+		"no parts after a gap":          {[][]cacheindex.PartChange{cachedChanges("a", "trunk"), cachedChanges("c", "branch")}, storeAddress},
 	} {
 		t.Run(name, func(t *testing.T) {
-			source := cachedSet(test.kept...).Source(start, "a", sharedQuery(), 1, storeAddress)
+			source := newCachedSet(test.kept...).ChooseFetchSource(start, "a", sharedQuery(), 1, storeAddress)
 			NewWithT(t).Expect(source.Address).To(Equal(test.want))
 		})
 	}
 }
 
-func TestWhatTheStoreKeepsIsNotSavedAgain(t *testing.T) {
+func TestFetchSourceReportsCompleteStore(t *testing.T) {
 	g := NewWithT(t)
-	set := cachedSet(keeps(storeAddress, "trunk", "branch"), keeps("a", "trunk", "branch"))
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, storeAddress).StoreKeeps).To(BeTrue())
-	g.Expect(set.Source(start, "a", sharedQuery(), 2, storeAddress).StoreKeeps).To(BeFalse(), "under other weights")
+	set := newCachedSet(cachedChanges(storeAddress, "trunk", "branch"), cachedChanges("a", "trunk", "branch"))
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, storeAddress).StoreHasAll).To(BeTrue())
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 2, storeAddress).StoreHasAll).To(BeFalse(), "other weight version")
 }
 
-// A runner that is being updated, fails or has left is no source.
-func TestRunnersThatDoNotServeAreNoSources(t *testing.T) {
+// Runners that are updating or removed are not fetch sources.
+func TestChooseFetchSourceSkipsUnavailableRunners(t *testing.T) {
 	g := NewWithT(t)
-	set := cachedSet(keeps("b", "trunk", "branch"), keeps("c", "trunk", "branch"))
+	set := newCachedSet(cachedChanges("b", "trunk", "branch"), cachedChanges("c", "trunk", "branch"))
 	set.SetUpdating("b", true)
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, "").Address).To(Equal("c:1"))
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, "").Address).To(Equal("c:1"))
 	set.Remove("c")
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, "").Address).To(BeEmpty())
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, "").Address).To(BeEmpty())
 }
 
-// A read prompt counts as kept at once, and no longer when no event confirms it.
-func TestReadPromptsCountAsKeptForAWhile(t *testing.T) {
+// A prefilled prompt counts as cached at once, but only until unconfirmedTTL if no cache
+// event confirms it.
+func TestUnconfirmedCachedPartsExpire(t *testing.T) {
 	g := NewWithT(t)
-	set := cachedSet()
-	set.NoteRead(start, "b", sharedQuery(), 1)
+	set := newCachedSet()
+	set.RecordPrefill(start, "b", sharedQuery(), 1)
 	set.Candidates(start, sharedQuery())
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, "").Address).To(Equal("b:1"))
-	set.Candidates(start.Add(2*confirmTime), sharedQuery())
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, "").Address).To(BeEmpty())
-	set.NoteRead(start, "b", sharedQuery(), 1)
-	set.ApplyCacheDelta(cacheindex.FeedDelta{Changes: keeps("b", "trunk", "branch")})
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, "").Address).To(Equal("b:1"))
+	set.Candidates(start.Add(2*unconfirmedTTL), sharedQuery())
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, "").Address).To(BeEmpty())
+	set.RecordPrefill(start, "b", sharedQuery(), 1)
+	set.ApplyCacheDelta(cacheindex.FeedDelta{Changes: cachedChanges("b", "trunk", "branch")})
 	set.Candidates(start.Add(time.Hour), sharedQuery())
-	g.Expect(set.Source(start, "a", sharedQuery(), 1, "").Address).To(Equal("b:1"))
+	g.Expect(set.ChooseFetchSource(start, "a", sharedQuery(), 1, "").Address).To(Equal("b:1"))
 }
 
-// What runners kept that have left takes no memory.
-func TestPartsOfRunnersThatLeftAreForgotten(t *testing.T) {
+// The index must not keep entries of removed runners.
+func TestRemovedRunnersReleaseCachedParts(t *testing.T) {
 	g := NewWithT(t)
-	set := cachedSet(keeps("b", "trunk", "branch"), keeps("c", "trunk"))
+	set := newCachedSet(cachedChanges("b", "trunk", "branch"), cachedChanges("c", "trunk"))
 	set.Remove("b")
-	g.Expect(set.cached.Len()).To(Equal(1))
+	g.Expect(set.cacheIndex.Len()).To(Equal(1))
 	set.Retain(map[string]bool{"a": true})
-	g.Expect(set.cached.Len()).To(BeZero())
+	g.Expect(set.cacheIndex.Len()).To(BeZero())
 }
 
-// What somebody keeps under the weights of a runner can be fetched by it; what is
-// kept under other weights cannot.
-func TestFetchableTokensAreThoseKeptElsewhere(t *testing.T) {
+// A runner can fetch only parts cached under its own weight version.
+func TestFetchableTokensRequireSameWeightVersion(t *testing.T) {
 	g := NewWithT(t)
-	set := cachedSet(keeps("a", "trunk", "branch"), keeps("b", "trunk"))
+	set := newCachedSet(cachedChanges("a", "trunk", "branch"), cachedChanges("b", "trunk"))
 	set.LearnVersion("c", "m", 2)
 	query := sharedQuery()
 	query.Family = 0
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -14,90 +14,103 @@
 
 // Costs in prompt tokens, the unit of placement's scores.
 const (
-	// PrefillRate is the assumed speed of reading prompts, in tokens a second. It counts
-	// until the service's own speed is learned; where weights are begun on, the slower of
-	// the two does.
+	// PrefillRate is the assumed prefill speed, in tokens per second, until the speed of a
+	// service has been learned. Where weight deadlines are concerned, the slower of the
+	// assumed and the learned speed counts.
 	PrefillRate = 38000
-	// failureCost is the cost of a runner that fails every request.
+	// failureCost is the cost of a runner that fails every request. A lower failure share
+	// costs proportionally less.
 	failureCost = 40000
-	// otherZoneCost is the cost of leaving the router's zone.
-	otherZoneCost = 400
-	// oldWeightsCost is the cost of weights that should have been replaced.
-	oldWeightsCost = 1500
-	// updatingCost is the cost of a runner whose weights are being replaced, or
-	// are next.
+	// crossZoneCost is the cost of a runner outside the zone of the router that sends the
+	// request.
+	crossZoneCost = 400
+	// staleWeightsCost is the cost of weights past their grace period.
+	staleWeightsCost = 1500
+	// updatingCost is the cost of a runner whose weights are being updated or are next in
+	// line for an update.
 	updatingCost = 60000
-	// coldCost is the cost of a runner that has just started.
+	// coldCost is the cost of a runner that has just started and is still slow.
 	coldCost = 2000
 )
 
-// Query is what a choice of a runner needs to know.
+// Query describes a request to be placed on a runner.
 type Query struct {
 	Service string
 	// Model is empty for requests that use no language model.
 	Model        string
 	PromptTokens int
-	// Family is the hash of the prompt's deepest shared part, 0 without one.
+	// Family is the hash of the prompt's deepest shared part, 0 without one. Requests of
+	// one family share a prompt prefix.
 	Family uint64
-	// SharedTokens is how many tokens come before the prompt's own part.
+	// SharedTokens is the number of tokens before the part of the prompt that is unique to
+	// the request.
 	SharedTokens int
-	// Shared are the parts before the prompt's own one, and Owner names whose they are.
+	// Shared are the prompt parts before the unique one. Owner identifies whose parts they
+	// are and separates them in the cache.
 	Shared []SharedPart
 	Owner  string
-	// Excluded names runners that failed this request.
+	// Excluded lists runners that have already failed this request.
 	Excluded []string
-	// MaxQueue is the longest time that the request may be expected to queue at a
-	// runner; 0 sets no bound.
-	MaxQueue time.Duration
-	// Zone is that of the router that sends the request, this one's if empty.
+	// MaxQueueTime bounds the expected time that the request queues at a runner; 0 means no
+	// bound.
+	MaxQueueTime time.Duration
+	// Zone is the zone of the router that sends the request, empty for this router's zone.
 	Zone string
-	// Target is the time within which an answer is on time, and EventGap the longest
-	// pause between its events; 0 for none.
-	Target   time.Duration
-	EventGap time.Duration
-	// Rank is the request's place among those that want the same runners.
+	// TargetLatency is the time within which a response counts as on time, and MaxEventGap
+	// the longest acceptable pause between two events of its stream; 0 for no bound.
+	TargetLatency time.Duration
+	MaxEventGap   time.Duration
+	// Rank orders the request among those that compete for the same runners.
 	Rank admission.Rank
 	// Tenant is empty for requests without one.
 	Tenant string
-	// MaxTokens is the most that the request generates, 0 when not told.
+	// MaxTokens bounds the number of tokens that the request generates, 0 if unknown.
 	MaxTokens int
-	// Ticket names the request if it is refused and comes back, 0 when it has no name.
+	// Ticket identifies a request that is refused and retried later, 0 if it has no
+	// identity.
 	Ticket uint64
-	// Suspect names the content of a request that may end its runner, 0 for any other.
-	Suspect uint64
-	// Resting are the runners that want no requests from the router that sends it.
-	Resting []Rest
+	// SuspectContent is the hash of a request's content that is suspected of crashing
+	// runners, 0 for any other request.
+	SuspectContent uint64
+	// Resting are the runners that asked the sending router to send no requests for a
+	// while.
+	Resting []RestingRunner
 }
 
-// Rest is a runner that wants no requests from one router for the time left.
-type Rest struct {
-	Runner string
-	Left   time.Duration
+// RestingRunner is a runner that asked one router to send it no requests for the remaining
+// time.
+type RestingRunner struct {
+	Runner    string
+	Remaining time.Duration
 }
 
-// restOf is for how long the runner wants none of the router's requests, 0 if it takes them.
-func (q Query) restOf(runner string) time.Duration {
+// restRemaining returns for how long the runner accepts no requests from the router that
+// sends the query, 0 if it accepts them.
+func (q Query) restRemaining(runner string) time.Duration {
 	for _, rest := range q.Resting {
 		if rest.Runner == runner {
-			return rest.Left
+			return rest.Remaining
 		}
 	}
 	return 0
 }
 
-// Candidates returns the service's runners with their costs, for placement.
-// Runners whose weights are past their deadline are left out.
+// Candidates returns the service's runners with their costs for placement. Runners that do
+// not hold the model, or whose weights have expired or expire before the request could
+// start, are left out. Runners that accept no request now are left out and counted in the
+// request's HeldBack; runners that are avoided for a while are returned but listed in
+// Excluded.
 func (s *Set) Candidates(now time.Time, query Query) (placement.Request, []placement.Candidate) {
-	request := placement.Request{Model: query.Model, PromptTokens: query.PromptTokens, MaxWait: query.MaxQueue, Excluded: slices.Clone(query.Excluded)}
+	request := placement.Request{Model: query.Model, PromptTokens: query.PromptTokens, MaxWait: query.MaxQueueTime, Excluded: slices.Clone(query.Excluded)}
 	entries := s.byService[query.Service]
-	speed := s.speed(query.Service)
+	prefill := s.servicePrefill(query.Service)
 	split := s.split(now, query, len(entries))
-	home := s.home(now, entries, query, split)
+	home := s.homeRunner(now, entries, query, split)
 	zone := cmp.Or(query.Zone, s.zone)
-	s.cached.Expire(now)
-	kept := &keptByWeights{set: s, query: &query, known: map[uint64]keptParts{}}
+	s.cacheIndex.Expire(now)
+	depths := &depthLookup{set: s, query: &query, byVersion: map[uint64]versionDepths{}}
 	candidates := make([]placement.Candidate, 0, len(entries))
-	var slots slotCount
+	var usage slotUsage
 	for _, e := range entries {
 		cost, usable := s.weightsCost(now, e, query)
 		if !usable {
@@ -106,58 +119,59 @@
 		if s.heldBack(now, e, query, &request.HeldBack) {
 			continue
 		}
-		if now.Before(e.asideUntil) {
+		if now.Before(e.avoidUntil) {
 			request.Excluded = append(request.Excluded, e.ID)
 		}
-		depth, deepest := kept.of(e)
-		other := s.otherLoad(now, e.ID)
-		slots.add(e.inFlight+other.Requests, e.Slots)
-		queue, slowness := s.waits(now, e, query.Model, e.inFlight+other.Requests)
+		depth, deepest := depths.holderDepths(e)
+		fromPeers := s.peerLoad(now, e.ID)
+		usage.add(e.inFlight+fromPeers.Requests, e.Slots)
+		queue, slowness := s.expectedWaits(now, e, query.Model, e.inFlight+fromPeers.Requests)
 		cached := cachedTokens(query, e.ID == home, depth)
 		candidates = append(candidates, placement.Candidate{
-			Name: e.ID, Leaving: e.leaves(), Report: s.report(now, e, query.Model, speed),
+			Name: e.ID, Leaving: e.isLeaving(), Report: s.loadReport(now, e, query.Model, prefill),
 			CachedTokens:    cached,
 			FetchableTokens: max(deepest-cached, 0),
-			PendingTokens:   e.pendingTokens + other.Tokens + speed.tokensIn(queue),
-			PendingRequests: e.inFlight + other.Requests,
-			ExtraTokens:     cost + s.evidenceCost(now, e, zone) + speed.tokensIn(slowness),
-			Pauses:          e.pauses(other),
-			ApartTokens:     split.cost(e) + e.suspectCost(query, other),
-			First:           e.said.Limits() && query.Suspect == 0 && s.permits.Unused(now, e.start()),
+			PendingTokens:   e.pendingTokens + fromPeers.Tokens + prefill.tokensIn(queue),
+			PendingRequests: e.inFlight + fromPeers.Requests,
+			ExtraTokens:     cost + s.runnerCost(now, e, zone) + prefill.tokensIn(slowness),
+			Pauses:          e.streamPauses(fromPeers),
+			ApartTokens:     split.cost(e) + e.suspectCost(query, fromPeers),
+			First:           e.signalState.Limits() && query.SuspectContent == 0 && s.permits.Unused(now, e.signalKey()),
 		})
 	}
-	if query.EventGap > 0 {
-		s.demand(now, query.Service).noteSlots(slots)
+	if query.MaxEventGap > 0 {
+		s.demand(now, query.Service).recordSlotUsage(usage)
 	}
 	return request, candidates
 }
 
-// home returns the runner that keeps the family's shared parts: the one of
-// highest weight that takes work, the same one on all routers. While long reads are
-// kept apart, it is one of the runners for requests of this kind.
-func (s *Set) home(now time.Time, entries []*entry, query Query, split split) string {
+// homeRunner returns the id of the runner that all requests of the prompt family prefer, so
+// that it caches the family's shared parts. It is chosen by rendezvous hashing among the
+// runners that accept work, so all routers agree on it. While long prefills are kept on
+// separate runners, it is one of the runners preferred for this kind of request.
+func (s *Set) homeRunner(now time.Time, entries []*entry, query Query, split split) string {
 	if query.Family == 0 {
 		return ""
 	}
-	ids, others := make([]string, 0, len(entries)), []string(nil)
+	ids, otherIDs := make([]string, 0, len(entries)), []string(nil)
 	for _, e := range entries {
 		switch {
-		case e.leaves() || now.Before(e.asideUntil) || e.said.Limits() || query.restOf(e.ID) > 0:
-		case split.suits(e):
+		case e.isLeaving() || now.Before(e.avoidUntil) || e.signalState.Limits() || query.restRemaining(e.ID) > 0:
+		case split.prefers(e):
 			ids = append(ids, e.ID)
 		default:
-			others = append(others, e.ID)
+			otherIDs = append(otherIDs, e.ID)
 		}
 	}
 	if len(ids) == 0 {
-		ids = others
+		ids = otherIDs
 	}
 	return rendezvous.Owner(ids, query.Family)
 }
 
-// cachedTokens is how many tokens of the prompt count as kept by a runner that is
-// known to keep the depth. The home counts as keeping all shared ones, so that all
-// routers send a family there before any of them knows what it keeps.
+// cachedTokens returns how many tokens of the prompt count as cached by a runner whose
+// known cached depth is given. The home runner counts as caching all shared tokens, so that
+// all routers send a family there before any of them knows what it caches.
 func cachedTokens(query Query, home bool, depth int) int {
 	if home {
 		return max(query.SharedTokens, depth)
@@ -165,119 +179,125 @@
 	return depth
 }
 
-func (s *Set) report(now time.Time, e *entry, model string, speed *readSpeed) fleet.Report {
+func (s *Set) loadReport(now time.Time, e *entry, model string, prefill *prefillModel) fleet.Report {
 	state := fleet.Serving
-	if e.leaves() {
+	if e.isLeaving() {
 		state = fleet.Draining
 	}
 	return fleet.Report{
 		Runner: e.ID, State: state, Connected: true, Model: model,
-		Load: fleet.Load{MaxRunning: e.Slots, PrefillRate: int(speed.rate())},
+		Load: fleet.Load{MaxRunning: e.Slots, PrefillRate: int(prefill.tokensPerSecond())},
 	}
 }
 
-// weightsCost tells whether the runner's weights may begin the request, and what
-// speaks against them. What counts is the moment at which the request begins
-// there: after what waits before it and its own prompt.
+// weightsCost reports whether the request may be sent to the runner with the weights it
+// has, and returns their cost. The weights must be valid both now and at the expected start
+// of the request, after the requests ahead of it and its own prefill.
 func (s *Set) weightsCost(now time.Time, e *entry, query Query) (cost int, usable bool) {
 	model := query.Model
 	if model == "" {
 		return 0, true
 	}
-	version, held := e.version(model)
+	version, held := e.weightVersion(model)
 	if !held {
 		return 0, false
 	}
-	if s.weights.State(now.Add(s.startsAfter(now, e, query.PromptTokens)), model, version) == Expired {
+	if s.weightTargets.State(now.Add(s.startDelay(now, e, query.PromptTokens)), model, version) == Expired {
 		return 0, false
 	}
-	switch s.weights.State(now, model, version) {
+	switch s.weightTargets.State(now, model, version) {
 	case Expired:
 		return 0, false
-	case Old:
-		cost = oldWeightsCost
+	case Stale:
+		cost = staleWeightsCost
 	}
-	if e.updating || s.takesWeightsNext(now, e, model) {
+	if e.updating || s.updatesSoon(now, e, model) {
 		cost += updatingCost
 	}
 	return cost, true
 }
 
-// Usable tells whether the runner, chosen by another router or earlier, may get the
-// request by what this one knows now: its own word on leaving runners, weights and failures binds.
+// Usable reports whether the request may go to a runner that another router or an earlier
+// choice has selected. It checks what this router knows now: whether the runner is leaving,
+// its weights and its recent failures.
 func (s *Set) Usable(now time.Time, id string, query Query, permit backpressure.Permit) bool {
-	e := s.staying(id, query.Service)
-	if e == nil || now.Before(e.asideUntil) || slices.Contains(query.Excluded, id) || !e.takes(now, permit) {
+	e := s.findActive(id, query.Service)
+	if e == nil || now.Before(e.avoidUntil) || slices.Contains(query.Excluded, id) || !e.accepts(now, permit) {
 		return false
 	}
 	_, usable := s.weightsCost(now, e, query)
 	return usable
 }
 
-// MayBegin tells whether a request that waits at the runner may still begin there with
-// the weights that the runner has by now: those known at the send, or newer ones.
-func (s *Set) MayBegin(now time.Time, id, model string, sentTo uint64) bool {
-	return s.weights.MayBegin(now, model, max(sentTo, s.WeightVersion(id, model)))
+// MayBegin reports whether a request that waits at the runner may still begin there. It
+// uses the newer of the weight version known when the request was sent and the one known
+// now.
+func (s *Set) MayBegin(now time.Time, id, model string, versionAtSend uint64) bool {
+	return s.weightTargets.MayBegin(now, model, max(versionAtSend, s.WeightVersion(id, model)))
 }
 
-// staying returns the service's runner, or nil if it leaves or has left.
-func (s *Set) staying(id, service string) *entry {
+// findActive returns the service's runner, or nil if it is unknown, leaving or gone.
+func (s *Set) findActive(id, service string) *entry {
 	e := s.entries[id]
-	if e == nil || e.Service != service || e.leaves() {
+	if e == nil || e.Service != service || e.isLeaving() {
 		return nil
 	}
 	return e
 }
 
-// Stays tells whether the service's runner is neither leaving nor gone.
-func (s *Set) Stays(id, service string) bool { return s.staying(id, service) != nil }
+// IsActive reports whether the service's runner is known and not leaving.
+func (s *Set) IsActive(id, service string) bool { return s.findActive(id, service) != nil }
 
-// MaySend tells whether a request that the runner was chosen for, and that is counted
-// there, may still be sent: the runner stays, takes it and has the weights that the request
-// names, which have not expired. What the choice weighed beyond that is not weighed again.
+// MaySend reports whether a request that has been placed on the runner, and is counted
+// there, may still be sent: the runner is active, accepts the request, and has exactly the
+// weight version for which the request was placed, not expired. Costs and failures were
+// weighed by the placement and are not checked again.
 func (s *Set) MaySend(now time.Time, id string, query Query, version uint64, permit backpressure.Permit) bool {
-	e := s.staying(id, query.Service)
-	if e == nil || !e.takes(now, permit) {
+	e := s.findActive(id, query.Service)
+	if e == nil || !e.accepts(now, permit) {
 		return false
 	}
 	if query.Model == "" {
 		return true
 	}
-	known, held := e.version(query.Model)
+	known, held := e.weightVersion(query.Model)
 	if !held || known != version {
 		return false
 	}
-	// Its own prompt is among what is still to be read. The time that it has taken to be
-	// sent would look like a wait at the runner, so only answered requests tell that.
-	begins := now.Add(e.measuredWait(now) + s.slowReading(e, e.pendingTokens))
-	return s.weights.State(begins, query.Model, version) != Expired
+	// pendingTokens includes the request's own prompt. The time between placement and this
+	// check would look like a wait at the runner, so only waits of requests that got a
+	// response count.
+	startsAt := now.Add(e.measuredAssumedWait(now) + s.maxPrefillTime(e, e.pendingTokens))
+	return s.weightTargets.State(startsAt, query.Model, version) != Expired
 }
 
-func (s *Set) evidenceCost(now time.Time, e *entry, zone string) int {
-	cost := int(e.currentFailureShare(now) * failureCost)
+// runnerCost returns the cost of the runner's recent failures, its distance from the zone and
+// a recent start, in prompt tokens.
+func (s *Set) runnerCost(now time.Time, e *entry, zone string) int {
+	cost := int(e.decayedFailureShare(now) * failureCost)
 	if e.Zone != zone {
-		cost += otherZoneCost
+		cost += crossZoneCost
 	}
-	if e.Cold > 0 {
+	if e.ColdRemaining > 0 {
 		cost += coldCost
 	}
 	return cost
 }
 
-// Backup returns the runner that a run's memory is best copied to: of the
-// runner's service, with the same weights, free of bad signs, in another zone,
-// as runners of one zone are lost together, and with the fewest requests of this
-// router.
+// Backup returns the runner best suited to hold a copy of a run's state. It serves the same
+// service with the same weight version and is not leaving, updating or avoided. A runner in
+// another zone is preferred, as runners of one zone are lost together, and then the one
+// with the fewest open requests of this router.
 func (s *Set) Backup(now time.Time, id, model string) (Runner, bool) {
 	primary := s.entries[id]
 	if primary == nil {
 		return Runner{}, false
 	}
-	version, _ := primary.version(model)
+	version, _ := primary.weightVersion(model)
 	var best *entry
 	for _, e := range s.byService[primary.Service] {
-		other, held := e.version(model)
-		if e == primary || !held || other != version || e.leaves() || e.updating || now.Before(e.asideUntil) || !e.takes(now, backpressure.Permit{}) {
+		other, held := e.weightVersion(model)
+		if e == primary || !held || other != version || e.isLeaving() || e.updating || now.Before(e.avoidUntil) || !e.accepts(now, backpressure.Permit{}) {
 			continue
 		}
 		if best == nil || backupCost(primary, e) < backupCost(primary, best) {
@@ -290,13 +310,14 @@
 	return best.Runner, true
 }
 
-// sameZoneBackup is what the runner's own zone counts for, in requests.
-const sameZoneBackup = 1000
+// sameZoneBackupCost is the cost of a backup in the primary's own zone, in units of one
+// open request.
+const sameZoneBackupCost = 1000
 
 func backupCost(primary, e *entry) int {
 	cost := e.inFlight
 	if e.Zone == primary.Zone {
-		cost += sameZoneBackup
+		cost += sameZoneBackupCost
 	}
 	return cost
 }
--- a/internal/backend/candidates_bench_test.go
+++ b/internal/backend/candidates_bench_test.go
@@ -8,14 +8,14 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// BenchmarkCandidatesChoose is one choice among the runners of a large pool.
+// BenchmarkCandidatesChoose measures one placement among the runners of a large pool.
 func BenchmarkCandidatesChoose(b *testing.B) {
 	set := NewSet("z")
 	for i := range 3000 {
 		set.Put(runner(fmt.Sprintf("i-%04d", i), "z"))
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	query := Query{Service: "s", Model: "m", PromptTokens: 9000, SharedTokens: 6000, Family: 7, EventGap: 300_000_000}
+	query := Query{Service: "s", Model: "m", PromptTokens: 9000, SharedTokens: 6000, Family: 7, MaxEventGap: 300_000_000}
 	for b.Loop() {
 		request, candidates := set.Candidates(start, query)
 		placement.Choose(request, candidates, placement.Weights{Hit: 1}, random)
--- a/internal/backend/loads.go
+++ b/internal/backend/loads.go
@@ -2,81 +2,82 @@
 
 import "time"
 
-// Load is the work that one router has placed on a runner and that has not ended.
+// Load is the open work that one router has placed on a runner.
 type Load struct {
-	// Tokens are prompt tokens that wait to be read, and Requests all open ones.
+	// Tokens is the number of prompt tokens of requests without a first response, and
+	// Requests the number of all open requests.
 	Tokens   int
 	Requests int
-	// Streams are those that have begun and allow no long pauses, and Gaps is the sum
-	// of the pauses that they allow.
-	Streams int
-	Gaps    time.Duration
-	// Suspects name the contents of requests there that may end the runner.
+	// Streams counts open requests that have begun to respond and have a bound on the pause
+	// between events. TotalMaxGap is the sum of these bounds.
+	Streams     int
+	TotalMaxGap time.Duration
+	// Suspects are the hashes of suspect contents among the open requests.
 	Suspects []uint64
 }
 
-// otherLoadTime is how long the loads that another router told of count: it tells of
-// them several times in it, and falls silent when it is lost.
-const otherLoadTime = 500 * time.Millisecond
+// peerLoadTTL is how long the loads reported by another router count. A router reports
+// several times within it, and stops when it is lost.
+const peerLoadTTL = 500 * time.Millisecond
 
-// otherLoads are the loads that one other router told of, by runner.
-type otherLoads struct {
-	toldAt time.Time
-	loads  map[string]Load
+// peerLoads are the loads reported by one other router, by runner.
+type peerLoads struct {
+	reportedAt time.Time
+	byRunner   map[string]Load
 }
 
-// load is the work that this router has placed on the runner.
-func (e *entry) load() Load {
-	return Load{Tokens: e.pendingTokens, Requests: e.inFlight, Streams: e.streams.count, Gaps: e.streams.gaps, Suspects: e.suspects.names()}
+// localLoad returns the open work that this router has placed on the runner.
+func (e *entry) localLoad() Load {
+	return Load{Tokens: e.pendingTokens, Requests: e.inFlight, Streams: e.streams.count, TotalMaxGap: e.streams.totalMaxGap, Suspects: e.suspects.contents()}
 }
 
-// Loads returns the work on each runner that this router has placed, runners
-// without any left out.
+// Loads returns the open work that this router has placed, by runner. Runners without any
+// are omitted.
 func (s *Set) Loads() map[string]Load {
 	loads := map[string]Load{}
 	for id, e := range s.entries {
 		if e.inFlight > 0 {
-			loads[id] = e.load()
+			loads[id] = e.localLoad()
 		}
 	}
 	return loads
 }
 
-// ChangedLoads returns the work on each runner where it has changed since the last
-// call, also where none is left.
+// ChangedLoads returns the load of each runner for which it has changed since the last
+// call, including runners with no open work left.
 func (s *Set) ChangedLoads() map[string]Load {
 	changed := map[string]Load{}
-	for id := range s.changed {
-		changed[id] = s.entries[id].load()
+	for id := range s.changedLoads {
+		changed[id] = s.entries[id].localLoad()
 	}
-	clear(s.changed)
+	clear(s.changedLoads)
 	return changed
 }
 
-// SetOtherLoads takes what another router tells of its loads: all of them, or those
-// that changed.
-func (s *Set) SetOtherLoads(now time.Time, router string, full bool, loads map[string]Load) {
-	known := s.others[router]
+// SetPeerLoads stores the loads that another router reports: all of them if full is set,
+// otherwise only the changed ones.
+func (s *Set) SetPeerLoads(now time.Time, router string, full bool, loads map[string]Load) {
+	known := s.peers[router]
 	if known == nil || full {
-		known = &otherLoads{loads: map[string]Load{}}
-		s.others[router] = known
+		known = &peerLoads{byRunner: map[string]Load{}}
+		s.peers[router] = known
 	}
-	known.toldAt = now
+	known.reportedAt = now
 	for id, load := range loads {
-		known.loads[id] = load
+		known.byRunner[id] = load
 	}
 }
 
-// otherLoad is the work that other routers have placed on the runner.
-func (s *Set) otherLoad(now time.Time, id string) Load {
+// peerLoad returns the sum of the open work that other routers have placed on the runner.
+func (s *Set) peerLoad(now time.Time, id string) Load {
 	sum := Load{}
-	for _, other := range s.others {
-		if now.Sub(other.toldAt) < otherLoadTime {
-			load := other.loads[id]
+	for _, peer := range s.peers {
+		if now.Sub(peer.reportedAt) < peerLoadTTL {
+			load := peer.byRunner[id]
 			sum.Tokens += load.Tokens
 			sum.Requests += load.Requests
 			sum.Streams += load.Streams
-			sum.Gaps += load.Gaps
+			sum.TotalMaxGap += load.TotalMaxGap
 			sum.Suspects = append(sum.Suspects, load.Suspects...)
 		}
 	}
--- a/internal/backend/restart_test.go
+++ b/internal/backend/restart_test.go
@@ -7,15 +7,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// restarted is the runner a after it has started again under its id.
-func restarted() Runner {
-	again := runner("a", "z")
-	again.Incarnation = 2
-	return again
+// restartedRunner is runner a after a restart under the same id.
+func restartedRunner() Runner {
+	restarted := runner("a", "z")
+	restarted.Incarnation = 2
+	return restarted
 }
 
-// restartSet has a runner of a known incarnation and one that does not tell it.
-func restartSet() *Set {
+// newRestartSet has a runner that reports its incarnation and one that does not.
+func newRestartSet() *Set {
 	set := NewSet("z")
 	first := runner("a", "z")
 	first.Incarnation = 1
@@ -24,69 +24,69 @@
 	return set
 }
 
-func TestRestartedRunnerHasNothingOfItsLastStart(t *testing.T) {
+func TestRestartedRunnerStartsWithCleanState(t *testing.T) {
 	g := NewWithT(t)
-	set := restartSet()
+	set := newRestartSet()
 	set.Begin(start, "a", 1000)
 	set.End(start, set.Begin(start, "a", 500), Unreachable)
-	set.NoteRead(start, "a", sharedQuery(), 1)
+	set.RecordPrefill(start, "a", sharedQuery(), 1)
 	set.LearnVersion("a", "m", 3)
 	set.SetUpdating("a", true)
-	set.SetOtherLoads(start, "other", true, map[string]Load{"a": {Tokens: 700, Requests: 3}})
+	set.SetPeerLoads(start, "other", true, map[string]Load{"a": {Tokens: 700, Requests: 3}})
 	set.ChangedLoads()
 
-	g.Expect(set.Put(restarted())).To(BeTrue(), "it is as good as another runner")
-	e := set.entries["a"]
-	g.Expect(*e).To(Equal(entry{Runner: restarted(), learned: map[string]uint64{}}))
+	g.Expect(set.Put(restartedRunner())).To(BeTrue(), "a restarted runner counts as new")
+	restarted := set.entries["a"]
+	g.Expect(*restarted).To(Equal(entry{Runner: restartedRunner(), learnedVersions: map[string]uint64{}}))
 	g.Expect(set.byService["s"]).To(HaveLen(2))
-	g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(1)), "as its entry says")
-	g.Expect(keptOf(set)).To(BeEmpty())
-	g.Expect(set.otherLoad(start, "a")).To(BeZero())
-	g.Expect(set.ChangedLoads()).To(Equal(map[string]Load{"a": {}}), "others are told that none is left")
-	g.Expect(set.Put(restarted())).To(BeFalse(), "the same start again")
+	g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(1)), "the version in the directory entry")
+	g.Expect(cachedDepthsIn(set)).To(BeEmpty())
+	g.Expect(set.peerLoad(start, "a")).To(BeZero())
+	g.Expect(set.ChangedLoads()).To(Equal(map[string]Load{"a": {}}), "other routers are told that no load is left")
+	g.Expect(set.Put(restartedRunner())).To(BeFalse(), "the same incarnation is not new")
 }
 
-// The end of a request that was lost with the last start is no evidence about this one,
-// and takes nothing out of what is open there now.
-func TestRequestsAtTheLastStartDoNotCountForTheNext(t *testing.T) {
-	for name, startAgain := range map[string]func(*Set){
-		"a new incarnation": func(set *Set) { set.Put(restarted()) },
+// The end of a request to the previous incarnation must not count as evidence about the
+// current one, nor reduce the number of requests open there.
+func TestSendsToPreviousIncarnationAreIgnored(t *testing.T) {
+	for name, restart := range map[string]func(*Set){
+		"new incarnation": func(set *Set) { set.Put(restartedRunner()) },
 		"removed and listed again": func(set *Set) {
 			set.Remove("a")
-			set.Put(restarted())
+			set.Put(restartedRunner())
 		},
 	} {
-		for _, outcome := range []Outcome{Answered, Failed, Refused, Unreachable, Abandoned, NotConfirmed} {
+		for _, outcome := range []Outcome{Succeeded, Failed, Refused, Unreachable, Abandoned, NotConfirmed} {
 			t.Run(name+", "+outcome.String(), func(t *testing.T) {
 				g := NewWithT(t)
-				set := restartSet()
-				ledger := NewLedger(set)
-				before := set.Begin(start, "a", 1000)
-				ledger.Begin(start, ledgerKey, "a", 1000, sharedQuery(), time.Minute)
-				startAgain(set)
+				set := newRestartSet()
+				sends := NewPlacedSends(set)
+				staleSend := set.Begin(start, "a", 1000)
+				sends.Begin(start, testSendKey, "a", 1000, sharedQuery(), time.Minute)
+				restart(set)
 				set.Begin(start, "a", 300)
-				g.Expect(set.Listed(before)).To(BeFalse())
+				g.Expect(set.IsListed(staleSend)).To(BeFalse())
 				now := start.Add(time.Second)
-				set.FirstAnswer(now, before)
-				set.End(now, before, outcome)
-				ledger.LearnVersion(ledgerKey, 9)
-				ledger.FirstAnswer(now, ledgerKey)
-				ledger.End(now, ledgerKey, outcome)
+				set.FirstResponse(now, staleSend)
+				set.End(now, staleSend, outcome)
+				sends.LearnVersion(testSendKey, 9)
+				sends.FirstResponse(now, testSendKey)
+				sends.End(now, testSendKey, outcome)
 				e := set.entries["a"]
-				g.Expect([]int{e.inFlight, e.pendingTokens, e.unanswered, e.failures}).To(Equal([]int{1, 300, 1, 0}))
-				g.Expect(e.asideUntil).To(BeZero())
-				g.Expect(e.currentFailureShare(now)).To(BeZero())
-				g.Expect(e.wait).To(BeZero())
+				g.Expect([]int{e.inFlight, e.pendingTokens, e.awaitingResponse, e.connectFailures}).To(Equal([]int{1, 300, 1, 0}))
+				g.Expect(e.avoidUntil).To(BeZero())
+				g.Expect(e.decayedFailureShare(now)).To(BeZero())
+				g.Expect(e.assumedWait).To(BeZero())
 				g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(1)))
-				g.Expect(keptOf(set)).To(BeEmpty())
+				g.Expect(cachedDepthsIn(set)).To(BeEmpty())
 			})
 		}
 	}
 }
 
-// An order that was delayed may bring older weights than an answer named before; its
-// directory entry then tells, and the runner is to be ordered again.
-func TestWeightsThatFallAreTakenFromTheDirectory(t *testing.T) {
+// A delayed order may load older weights than a response named before. The directory entry
+// then shows the older version, and the runner must be ordered to update again.
+func TestDirectoryRollbackOverridesLearnedVersion(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	put := func(version uint64) {
@@ -97,34 +97,34 @@
 	put(1)
 	set.LearnVersion("a", "m", 3)
 	put(2)
-	g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(3)), "an entry between two updates comes late")
+	g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(3)), "a late entry with a version between the two must not override")
 	put(3)
 	put(2)
 	g.Expect(set.WeightVersion("a", "m")).To(Equal(uint64(2)))
 }
 
-// A directory entry may name any service. Nobody is asked or ordered for one that the
-// configuration does not have.
-func TestRunnersOfUnknownServicesAreNeitherReadNorOrdered(t *testing.T) {
+// A directory entry may name any service. Runners of services outside the configuration are
+// neither read nor ordered to update.
+func TestRunnersOfUnconfiguredServicesAreSkipped(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
-	odd := runner("odd", "z")
-	odd.Service = "odd"
-	set.Put(odd)
-	set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start.Add(time.Minute)})
+	unconfigured := runner("odd", "z")
+	unconfigured.Service = "odd"
+	set.Put(unconfigured)
+	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start.Add(time.Minute)})
 	set.SetServices([]string{"s"})
 	g.Expect(set.CacheHolders()).To(Equal(map[string]CacheHolder{"a": {Address: "a:1"}}))
-	g.Expect(set.Outdated()).To(Equal(1))
+	g.Expect(set.CountOutdated()).To(Equal(1))
 	groups := set.ModelGroups(start, time.Second)
 	g.Expect(groups).To(HaveLen(1))
 	g.Expect(groups[0].Service).To(Equal("s"))
 	set.SetServices([]string{"s", "odd"})
-	g.Expect(set.ModelGroups(start, time.Second)).To(HaveLen(2), "it may come with a later configuration")
+	g.Expect(set.ModelGroups(start, time.Second)).To(HaveLen(2), "a later configuration may add the service")
 }
 
-// keptOf is what anybody is known to keep of the prompt.
-func keptOf(set *Set) map[string]int {
+// cachedDepthsIn returns the cached depths of the shared prompt by holder.
+func cachedDepthsIn(set *Set) map[string]int {
 	query := sharedQuery()
-	return set.keptDepths(&query, 1)
+	return set.cachedDepths(&query, 1)
 }
--- a/internal/backend/rollout.go
+++ b/internal/backend/rollout.go
@@ -6,98 +6,100 @@
 	"time"
 )
 
-// WeightVersion returns the version of the model's weights that the runner is
-// known to have, 0 when it does not hold the model.
+// WeightVersion returns the newest known version of the model's weights at the runner, 0 if
+// it does not hold the model.
 func (s *Set) WeightVersion(id, model string) uint64 {
 	e := s.entries[id]
 	if e == nil {
 		return 0
 	}
-	version, _ := e.version(model)
+	version, _ := e.weightVersion(model)
 	return version
 }
 
-// LearnVersion notes the version of weights that an answer of the runner named
-// and tells whether it is newer than what was known.
-func (s *Set) LearnVersion(id, model string, version uint64) (news bool) {
+// LearnVersion records the weight version named in a response of the runner, and reports
+// whether it is newer than the known one.
+func (s *Set) LearnVersion(id, model string, version uint64) (newer bool) {
 	e := s.entries[id]
 	if e == nil || model == "" {
 		return false
 	}
-	known, _ := e.version(model)
+	known, _ := e.weightVersion(model)
 	if version <= known {
 		return false
 	}
-	e.learned[model] = version
+	e.learnedVersions[model] = version
 	return true
 }
 
-// SetUpdating notes that the runner's weights are being replaced, or no longer.
+// SetUpdating records whether this router's order to update the runner's weights is in
+// progress.
 func (s *Set) SetUpdating(id string, updating bool) {
 	if e := s.entries[id]; e != nil {
 		e.updating = updating
 	}
 }
 
-// GroupRunner is a runner with the version of one model's weights.
+// GroupRunner is a runner with the version that it has of one model's weights.
 type GroupRunner struct {
 	Runner
 	Version uint64
-	// Expired tells that the weights get no requests any more.
+	// Expired is set when the weights get no requests any more.
 	Expired bool
 }
 
-// ModelGroup is the runners of one service that hold one model.
+// ModelGroup is the set of runners of one service that hold one model.
 type ModelGroup struct {
 	Service string
 	Model   string
-	// Target is the newest named version.
+	// Target is the newest version that the runners should have.
 	Target uint64
-	// AtOnce is how many of the runners may take new weights at once.
-	AtOnce  int
-	Runners []GroupRunner
+	// MaxConcurrent is how many of the runners may update at once.
+	MaxConcurrent int
+	Runners       []GroupRunner
 }
 
-// Outdated counts the runners that stay and have older weights than named.
-func (s *Set) Outdated() int {
+// CountOutdated returns the number of runners of configured services that are not draining
+// and hold weights older than the target.
+func (s *Set) CountOutdated() int {
 	count := 0
 	for _, e := range s.entries {
-		if !e.Draining && s.inUse(e) && s.outdated(e) {
+		if !e.Draining && s.isConfigured(e) && s.isOutdated(e) {
 			count++
 		}
 	}
 	return count
 }
 
-func (s *Set) outdated(e *entry) bool {
+func (s *Set) isOutdated(e *entry) bool {
 	for _, held := range e.Models {
-		if version, _ := e.version(held.Name); version < s.weights.Target(held.Name) {
+		if version, _ := e.weightVersion(held.Name); version < s.weightTargets.Target(held.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// ModelGroups returns the groups in which a version was named, in order, planned
-// with the time that one update takes.
-func (s *Set) ModelGroups(now time.Time, taken time.Duration) []ModelGroup {
-	groups := map[updateGroup]*ModelGroup{}
+// ModelGroups returns the groups of models with a target version, sorted by service and
+// model. MaxConcurrent is computed for updates that take updateTime each.
+func (s *Set) ModelGroups(now time.Time, updateTime time.Duration) []ModelGroup {
+	groups := map[modelGroupKey]*ModelGroup{}
 	for _, entries := range s.byService {
 		for _, e := range entries {
-			if !s.inUse(e) {
+			if !s.isConfigured(e) {
 				break
 			}
 			for _, held := range e.Models {
-				target := s.weights.Target(held.Name)
+				target := s.weightTargets.Target(held.Name)
 				if target == 0 {
 					continue
 				}
-				key := updateGroup{e.Service, held.Name}
+				key := modelGroupKey{e.Service, held.Name}
 				if groups[key] == nil {
-					groups[key] = &ModelGroup{Service: e.Service, Model: held.Name, Target: target, AtOnce: s.UpdatesAtOnce(now, e.Service, held.Name, taken)}
+					groups[key] = &ModelGroup{Service: e.Service, Model: held.Name, Target: target, MaxConcurrent: s.MaxConcurrentUpdates(now, e.Service, held.Name, updateTime)}
 				}
-				version, _ := e.version(held.Name)
-				groups[key].Runners = append(groups[key].Runners, GroupRunner{e.Runner, version, s.weights.State(now, held.Name, version) == Expired})
+				version, _ := e.weightVersion(held.Name)
+				groups[key].Runners = append(groups[key].Runners, GroupRunner{e.Runner, version, s.weightTargets.State(now, held.Name, version) == Expired})
 			}
 		}
 	}
--- a/internal/backend/runner.go
+++ b/internal/backend/runner.go
@@ -1,10 +1,10 @@
-// Package backend holds the runners that a router may send requests to, with
-// what the directory says of them and what the router's own traffic shows:
-// requests in flight, failures, weights in force.
+// Package backend holds the runners to which a router may send requests. It combines their
+// directory entries with evidence from the router's own traffic: requests in flight,
+// failures, waits and weight versions.
 //
-// The package has no I/O and no clock. A bad signal makes a runner dearer or
-// sets it aside for a bounded time; it never removes one, so that a wrong
-// signal cannot empty a service. Only the directory removes runners.
+// The package has no I/O and no clock. Bad evidence raises the cost of a runner or makes it
+// avoided for a bounded time, but never removes it, so that wrong evidence cannot leave a
+// service without runners. Only the directory removes runners.
 package backend
 
 import (
@@ -22,28 +22,28 @@
 
 // Runner is a directory entry: one incarnation of a runner.
 type Runner struct {
-	// ID names the runner. It may start again under it.
+	// ID identifies the runner and stays the same when it restarts.
 	ID string
-	// Incarnation is another number for each start, the Unix time of the start in
-	// milliseconds; 0 when the runner does not tell.
+	// Incarnation differs for each start of the runner: the Unix time of the start in
+	// milliseconds, 0 if the runner does not report it.
 	Incarnation uint64
 	Service     string
-	// Address is IP:port; another runner may have it later.
+	// Address is IP:port; another runner may use it later.
 	Address string
 	Zone    string
-	// SoftwareVersion is the version of the runner's own program.
+	// SoftwareVersion is the version of the runner program.
 	SoftwareVersion string
 	Slots           int
-	// Draining runners finish their work and get none.
+	// Draining runners finish their requests and get no new ones.
 	Draining bool
-	// Cold is how much longer the runner is slow after its start.
-	Cold   time.Duration
-	Models []ModelVersion
+	// ColdRemaining is how much longer the runner is expected to be slow after its start.
+	ColdRemaining time.Duration
+	Models        []ModelVersion
 }
 
-// Precedes tells whether the entry says less of the runner than the other one: it is of an
-// earlier start, or of before the runner began to leave or took newer weights.
-func (r Runner) Precedes(other Runner) bool {
+// OlderThan reports whether the entry is older than the other one: it comes from an earlier
+// incarnation, or from before the runner began to drain or took newer weights.
+func (r Runner) OlderThan(other Runner) bool {
 	if r.Incarnation != other.Incarnation || r.Service != other.Service {
 		return r.Incarnation < other.Incarnation
 	}
@@ -51,8 +51,8 @@
 		return other.Draining
 	}
 	for _, model := range r.Models {
-		for _, newer := range other.Models {
-			if model.Name == newer.Name && model.Version < newer.Version {
+		for _, otherModel := range other.Models {
+			if model.Name == otherModel.Name && model.Version < otherModel.Version {
 				return true
 			}
 		}
@@ -60,75 +60,80 @@
 	return false
 }
 
-// Times and weights of evidence.
+// Parameters of the evidence about runners.
 const (
-	// minAside and maxAside bound how long a runner that could not be reached
-	// is set aside; the time doubles with each failure in a row.
-	minAside = 500 * time.Millisecond
-	maxAside = 4 * time.Second
-	// fullAside is how long a runner is avoided after it refused a request.
-	fullAside = 150 * time.Millisecond
-	// failureHalfLife is the half-life of the measured share of failures.
+	// minAvoidTime and maxAvoidTime bound how long a runner that could not be reached is
+	// avoided. The time doubles with each consecutive failure.
+	minAvoidTime = 500 * time.Millisecond
+	maxAvoidTime = 4 * time.Second
+	// refusedAvoidTime is how long a runner is avoided after it refused a request.
+	refusedAvoidTime = 150 * time.Millisecond
+	// failureHalfLife is the half-life of the measured failure share.
 	failureHalfLife = 3 * time.Second
-	// failureWeight is the weight of one answer in the measured share.
+	// failureWeight is the weight of one response in the failure share.
 	failureWeight = 0.2
-	// waitHalfLife is the half-life of the measured queueing.
+	// waitHalfLife is the half-life of the measured waits.
 	waitHalfLife = 700 * time.Millisecond
 )
 
-// entry is a runner with the evidence about it.
+// entry is a listed runner with the evidence about it.
 type entry struct {
 	Runner
-	// inFlight counts the router's own open requests there.
+	// inFlight counts this router's open requests at the runner.
 	inFlight int
-	// pendingTokens counts prompt tokens of own requests without a first answer.
+	// pendingTokens is the number of prompt tokens of this router's requests without a
+	// first response.
 	pendingTokens int
-	// failures counts failures to reach it in a row.
-	failures   int
-	asideUntil time.Time
-	// failureShare is the decaying share of its answers that were failures.
-	failureShare float64
-	failureAt    time.Time
-	// wait is the decaying queueing time that own requests met.
-	wait   time.Duration
-	waitAt time.Time
-	// queueing is the same by the learned reading speed. It chooses runners; wait, which
-	// rests on the assumed speed alone, tells when weights are begun on.
-	queueing   time.Duration
-	queueingAt time.Time
-	// unanswered counts own requests without a first answer, and progressAt is
-	// when the last of them was answered or, if later, the first was sent.
-	unanswered int
-	progressAt time.Time
-	// streams are own requests whose events have begun and which allow no long pauses.
+	// connectFailures counts consecutive failures to reach the runner.
+	connectFailures int
+	avoidUntil      time.Time
+	// failureShare is the exponentially decaying share of responses that were failures.
+	failureShare   float64
+	failureShareAt time.Time
+	// assumedWait is the exponentially decaying queueing time of this router's requests,
+	// computed with the assumed prefill speed. It decides whether weights expire before a
+	// request begins.
+	assumedWait   time.Duration
+	assumedWaitAt time.Time
+	// learnedWait is the same with the learned prefill speed. It is used to choose runners.
+	learnedWait   time.Duration
+	learnedWaitAt time.Time
+	// awaitingResponse counts this router's requests without a first response. lastProgress
+	// is when one of them last got its first response or, if later, when the first of them
+	// was sent.
+	awaitingResponse int
+	lastProgress     time.Time
+	// streams counts this router's requests that have begun to respond and have a bound on
+	// the pause between events.
 	streams openStreams
-	// suspects are own requests whose contents may end the runner.
-	suspects suspectRuns
-	// speed is the learned reading speed of its service, nil until it is needed.
-	speed *readSpeed
-	// splitKey is a hash of the id, 0 until it is needed.
-	splitKey uint64
-	// learned is the version of each model's weights as answers named it, which
-	// may be newer than the directory's.
-	learned map[string]uint64
-	// said is what the runner said of itself in answers, nil if it said nothing.
-	said *backpressure.State
-	// updating is true while an order of this router's is under way there.
+	// suspects counts this router's open requests with suspect contents.
+	suspects suspectCounts
+	// prefill is the prefill model of the runner's service, nil until first used.
+	prefill *prefillModel
+	// idHash is a hash of the id, 0 until first used.
+	idHash uint64
+	// learnedVersions are the weight versions named in responses, by model. They may be
+	// newer than those in the directory.
+	learnedVersions map[string]uint64
+	// signalState is what the runner reported about itself in responses, nil if nothing.
+	signalState *backpressure.State
+	// updating is true while an order of this router to update the runner's weights is in
+	// progress.
 	updating bool
 }
 
-// update takes a newer directory entry of the same incarnation. Weights that fall are
-// newer news than any answer's: an order that was delayed brought older ones.
+// update applies a newer directory entry of the same incarnation. A version that falls
+// overrides the learned one: a delayed order has loaded older weights.
 func (e *entry) update(runner Runner) {
 	for _, held := range runner.Models {
 		if before, known := e.listedVersion(held.Name); known && held.Version < before {
-			delete(e.learned, held.Name)
+			delete(e.learnedVersions, held.Name)
 		}
 	}
 	e.Runner = runner
 }
 
-// listedVersion is the version of the model's weights that the directory names.
+// listedVersion returns the version of the model's weights in the directory entry.
 func (e *entry) listedVersion(model string) (uint64, bool) {
 	for _, held := range e.Models {
 		if held.Name == model {
@@ -138,14 +143,17 @@
 	return 0, false
 }
 
-func (e *entry) version(model string) (uint64, bool) {
+// weightVersion returns the newest known version of the model's weights, from the directory
+// or from responses, and whether the runner holds the model.
+func (e *entry) weightVersion(model string) (uint64, bool) {
 	listed, held := e.listedVersion(model)
 	if !held {
 		return 0, false
 	}
-	return max(listed, e.learned[model]), true
+	return max(listed, e.learnedVersions[model]), true
 }
 
+// decayed returns the value after exponential decay for the elapsed time.
 func decayed(value float64, elapsed, halfLife time.Duration) float64 {
 	if elapsed <= 0 {
 		return value
@@ -153,14 +161,14 @@
 	return value * math.Exp2(-elapsed.Seconds()/halfLife.Seconds())
 }
 
-func (e *entry) currentFailureShare(now time.Time) float64 {
-	return decayed(e.failureShare, now.Sub(e.failureAt), failureHalfLife)
+func (e *entry) decayedFailureShare(now time.Time) float64 {
+	return decayed(e.failureShare, now.Sub(e.failureShareAt), failureHalfLife)
 }
 
-func (e *entry) noteAnswer(now time.Time, failed bool) {
-	share := e.currentFailureShare(now) * (1 - failureWeight)
+func (e *entry) recordResult(now time.Time, failed bool) {
+	share := e.decayedFailureShare(now) * (1 - failureWeight)
 	if failed {
 		share += failureWeight
 	}
-	e.failureShare, e.failureAt = share, now
+	e.failureShare, e.failureShareAt = share, now
 }
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -10,73 +10,79 @@
 	"github.com/clovertiller/clovertiller/internal/cacheindex"
 )
 
-// Set is the table of runners. It is not safe for concurrent use.
+// Set is the table of runners known to this router. It is not safe for concurrent use.
 type Set struct {
-	zone      string
-	entries   map[string]*entry
-	byService map[string][]*entry
-	weights   *Weights
-	// cached is which runners and stores keep which shared prompt parts.
-	cached *cacheindex.Shard
-	// cachedKnown is true once this was read, by this router or another one.
-	cachedKnown bool
-	next        map[updateGroup]nextUpdates
-	// changed names the runners whose load by this router has changed.
-	changed map[string]bool
-	// holding is the mean time for which requests of each service hold a slot.
-	holding map[string]time.Duration
-	// others are the loads that other routers told of.
-	others map[string]*otherLoads
-	// told are the runners, by id, whose entries have named an incarnation; also of those
-	// that are not used now.
-	told map[string]bool
-	// services are those of the configuration in force.
-	services map[string]bool
-	// demands are the measured work of long reads and of streams of each service.
+	zone          string
+	entries       map[string]*entry
+	byService     map[string][]*entry
+	weightTargets *WeightTargets
+	// cacheIndex maps shared prompt parts to the runners and cache stores that hold them.
+	cacheIndex *cacheindex.Shard
+	// cacheIndexLoaded is true once the index has been received, from the runners or from
+	// another router.
+	cacheIndexLoaded bool
+	upcomingUpdates  map[modelGroupKey]nextUpdates
+	// changedLoads contains the runners for which this router's load has changed since
+	// ChangedLoads.
+	changedLoads map[string]bool
+	// holdTimes is the mean time for which a request holds a slot, by service.
+	holdTimes map[string]time.Duration
+	// peers are the loads reported by other routers, by router.
+	peers map[string]*peerLoads
+	// knownIncarnations contains the ids of runners whose entries have named an
+	// incarnation, including runners that are not in use now.
+	knownIncarnations map[string]bool
+	// configuredServices are the services of the current configuration, nil before one is
+	// set.
+	configuredServices map[string]bool
+	// demands is the measured work of long prefills and streams, by service.
 	demands map[string]*demand
-	// speeds are the learned reading speeds of each service's runners.
-	speeds map[string]*readSpeed
-	// signals is what runners said of themselves in answers, also of those that are not
-	// listed now.
+	// prefillModels are the learned prefill speeds, by service.
+	prefillModels map[string]*prefillModel
+	// signals is what runners reported about themselves in responses, including runners
+	// that are not listed now.
 	signals *backpressure.Table
-	// permits is this router's part of the limits that runners named.
+	// permits is this router's part of the rate limits that runners set.
 	permits *backpressure.Permits
-	// rolloutTime is within which all runners of a service take named weights.
+	// rolloutTime is the time within which all runners of a service should reach a new
+	// target version.
 	rolloutTime time.Duration
 }
 
-// NewSet returns an empty table of a router in the zone.
+// NewSet returns an empty table for a router in the zone.
 func NewSet(zone string) *Set {
 	return &Set{
-		zone: zone, entries: map[string]*entry{}, byService: map[string][]*entry{}, weights: NewWeights(),
-		cached: cacheindex.NewShard(confirmTime), next: map[updateGroup]nextUpdates{}, changed: map[string]bool{},
-		holding: map[string]time.Duration{}, others: map[string]*otherLoads{}, told: map[string]bool{},
-		demands: map[string]*demand{}, speeds: map[string]*readSpeed{}, rolloutTime: defaultRolloutTime,
+		zone: zone, entries: map[string]*entry{}, byService: map[string][]*entry{}, weightTargets: NewWeightTargets(),
+		cacheIndex: cacheindex.NewShard(unconfirmedTTL), upcomingUpdates: map[modelGroupKey]nextUpdates{}, changedLoads: map[string]bool{},
+		holdTimes: map[string]time.Duration{}, peers: map[string]*peerLoads{}, knownIncarnations: map[string]bool{},
+		demands: map[string]*demand{}, prefillModels: map[string]*prefillModel{}, rolloutTime: defaultRolloutTime,
 		signals: backpressure.NewTable(), permits: backpressure.NewPermits(),
 	}
 }
 
-// Weights returns the named versions of weights.
-func (s *Set) Weights() *Weights { return s.weights }
+// WeightTargets returns the target versions of the models' weights.
+func (s *Set) WeightTargets() *WeightTargets { return s.weightTargets }
 
-// SetServices takes the names of the services of the configuration in force. Runners of
-// other services are neither ordered nor asked for what they keep.
+// SetServices sets the names of the services in the current configuration. Runners of other
+// services get no update orders, and their cache contents are not read.
 func (s *Set) SetServices(names []string) {
-	s.services = map[string]bool{}
+	s.configuredServices = map[string]bool{}
 	for _, name := range names {
-		s.services[name] = true
+		s.configuredServices[name] = true
 	}
 }
 
-// inUse tells whether the runner's service is one of the configuration in force, or no
-// configuration was taken yet.
-func (s *Set) inUse(e *entry) bool { return s.services == nil || s.services[e.Service] }
+// isConfigured reports whether the runner's service is in the current configuration, or no
+// configuration has been set yet.
+func (s *Set) isConfigured(e *entry) bool {
+	return s.configuredServices == nil || s.configuredServices[e.Service]
+}
 
-// Put adds or changes a runner and tells whether it is new. A runner that has started
-// again is new: nothing that is known of its last start holds any more.
+// Put adds or updates a runner and reports whether it is new. A runner that has restarted
+// is new: nothing known about its previous incarnation applies.
 func (s *Set) Put(runner Runner) (added bool) {
 	if runner.Incarnation != 0 {
-		s.told[runner.ID] = true
+		s.knownIncarnations[runner.ID] = true
 	}
 	known := s.entries[runner.ID]
 	if known != nil && known.Service == runner.Service && known.Incarnation == runner.Incarnation {
@@ -85,10 +91,10 @@
 	}
 	if known != nil {
 		s.Remove(runner.ID)
-		// Those who count its load are told that none is left.
-		s.changed[runner.ID] = true
+		// Routers that count its load are told that none is left.
+		s.changedLoads[runner.ID] = true
 	}
-	created := &entry{Runner: runner, learned: map[string]uint64{}, said: s.signals.Of(runner.start())}
+	created := &entry{Runner: runner, learnedVersions: map[string]uint64{}, signalState: s.signals.Of(runner.signalKey())}
 	s.entries[runner.ID] = created
 	list := append(s.byService[runner.Service], created)
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
@@ -96,34 +102,35 @@
 	return true
 }
 
-// OfAnotherWriter tells whether the entry is not the runner's own: one that has named its
-// incarnation always does.
-func (s *Set) OfAnotherWriter(runner Runner) bool {
-	return runner.Incarnation == 0 && s.told[runner.ID]
+// WrittenByOther reports whether the directory entry was not written by the runner itself:
+// a runner that has once named its incarnation always does.
+func (s *Set) WrittenByOther(runner Runner) bool {
+	return runner.Incarnation == 0 && s.knownIncarnations[runner.ID]
 }
 
-// Forget drops what is remembered of a runner without an entry.
-func (s *Set) Forget(id string) { delete(s.told, id) }
+// ForgetIncarnation drops the record that the runner has named an incarnation, once it has
+// no directory entry.
+func (s *Set) ForgetIncarnation(id string) { delete(s.knownIncarnations, id) }
 
-// Remove takes a runner out that the directory no longer lists, and tells
-// whether it was there.
+// Remove removes a runner that the directory no longer lists, and reports whether it was
+// present.
 func (s *Set) Remove(id string) bool {
 	known := s.entries[id]
 	if known == nil {
 		return false
 	}
 	delete(s.entries, id)
-	delete(s.changed, id)
-	s.cached.Forget(id)
-	s.cached.Sweep()
-	for _, other := range s.others {
-		delete(other.loads, id)
+	delete(s.changedLoads, id)
+	s.cacheIndex.Forget(id)
+	s.cacheIndex.Sweep()
+	for _, other := range s.peers {
+		delete(other.byRunner, id)
 	}
 	s.byService[known.Service] = slices.DeleteFunc(slices.Clone(s.byService[known.Service]), func(e *entry) bool { return e == known })
 	return true
 }
 
-// Retain removes every runner that is not listed and returns their ids.
+// Retain removes every runner that is not listed and returns the removed ids.
 func (s *Set) Retain(listed map[string]bool) []string {
 	var removed []string
 	for id := range s.entries {
@@ -134,7 +141,7 @@
 	for _, id := range removed {
 		s.Remove(id)
 	}
-	maps.DeleteFunc(s.told, func(id string, _ bool) bool { return !listed[id] })
+	maps.DeleteFunc(s.knownIncarnations, func(id string, _ bool) bool { return !listed[id] })
 	return removed
 }
 
@@ -147,36 +154,37 @@
 	return known.Runner, true
 }
 
-// State is what a router thinks of a runner.
+// State is the state of a runner as seen by this router.
 type State uint8
 
-// The states, the first that holds counts.
+// If several states apply, the first one counts.
 const (
-	// Draining runners get no requests.
+	// Draining runners get no new requests.
 	Draining State = iota
-	// Updating runners take new weights by this router's order.
+	// Updating runners load new weights on this router's order.
 	Updating
-	// SetAside runners failed or refused of late and are used last.
-	SetAside
-	// Limited runners get as many requests as they have named.
+	// Avoided runners recently failed, refused a request or asked for a rest, and are used
+	// last. Their state is reported as "set aside".
+	Avoided
+	// Limited runners get no more requests than the rate limit that they set.
 	Limited
-	// Serving runners get requests.
+	// Serving runners get requests without restriction.
 	Serving
 )
 
-// String returns the state's name.
+// String returns the state's name as it appears in the status.
 func (s State) String() string {
 	return [...]string{"draining", "updating", "set aside", "limited", "serving"}[s]
 }
 
-// StateCount is the key of counted runners.
+// StateCount is the key under which runners are counted.
 type StateCount struct {
 	Service string
 	State   State
 }
 
-// States counts the runners by service and state.
-func (s *Set) States(now time.Time) map[StateCount]int {
+// CountStates counts the runners by service and state.
+func (s *Set) CountStates(now time.Time) map[StateCount]int {
 	counts := map[StateCount]int{}
 	for _, e := range s.entries {
 		counts[StateCount{e.Service, e.state(now)}]++
@@ -184,47 +192,47 @@
 	return counts
 }
 
-// RunnerSummary is what a router thinks of one runner.
+// RunnerSummary describes one runner in the router's status.
 type RunnerSummary struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	State   string `json:"state"`
-	// Weights are the versions of the models' weights that it is known to have.
+	// Weights are the known weight versions, by model.
 	Weights map[string]uint64 `json:"weights,omitempty"`
-	// InFlight counts this router's open requests there.
+	// InFlight counts this router's open requests at the runner.
 	InFlight int `json:"inFlight"`
-	// FailureShare is the decaying share of its answers that were failures.
+	// FailureShare is the exponentially decaying share of responses that were failures.
 	FailureShare float64 `json:"failureShare"`
-	// Limit is the requests a second that the runner takes of all routers, absent without a
-	// limit, and Share this router's part of it, which it grants.
+	// Limit is the number of requests per second that the runner accepts from all routers
+	// together, absent without a limit. Share is the part of it that this router grants.
 	Limit *float64 `json:"limit,omitempty"`
 	Share float64  `json:"share,omitempty"`
-	// RestMillis is for how long the runner wants no requests from this router.
+	// RestMillis is for how long the runner asked this router to send no requests.
 	RestMillis int64 `json:"restMillis,omitempty"`
 }
 
-// Summary describes all runners, by service and id.
-func (s *Set) Summary(now time.Time) []RunnerSummary {
+// Summaries describes all runners, sorted by service and id.
+func (s *Set) Summaries(now time.Time) []RunnerSummary {
 	summaries := make([]RunnerSummary, 0, len(s.entries))
 	for _, e := range s.entries {
 		summary := RunnerSummary{
 			ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, State: e.state(now).String(),
-			InFlight: e.inFlight, FailureShare: e.currentFailureShare(now),
+			InFlight: e.inFlight, FailureShare: e.decayedFailureShare(now),
 		}
-		if e.said.Resting(now) {
-			summary.RestMillis = e.said.RestUntil.Sub(now).Milliseconds()
+		if e.signalState.Resting(now) {
+			summary.RestMillis = e.signalState.RestUntil.Sub(now).Milliseconds()
 		}
-		if e.said.Limits() {
-			rate := e.said.Rate
+		if e.signalState.Limits() {
+			rate := e.signalState.Rate
 			summary.Limit, summary.Share = &rate, s.permits.Share(now, rate)
 		}
 		for _, model := range e.Models {
 			if summary.Weights == nil {
 				summary.Weights = map[string]uint64{}
 			}
-			summary.Weights[model.Name], _ = e.version(model.Name)
+			summary.Weights[model.Name], _ = e.weightVersion(model.Name)
 		}
 		summaries = append(summaries, summary)
 	}
@@ -236,13 +244,13 @@
 
 func (e *entry) state(now time.Time) State {
 	switch {
-	case e.leaves():
+	case e.isLeaving():
 		return Draining
 	case e.updating:
 		return Updating
-	case now.Before(e.asideUntil):
-		return SetAside
-	case e.said.Limits():
+	case now.Before(e.avoidUntil):
+		return Avoided
+	case e.signalState.Limits():
 		return Limited
 	}
 	return Serving
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -17,7 +17,7 @@
 	return Runner{ID: id, Service: "s", Address: id + ":1", Zone: zone, Slots: 8, Models: []ModelVersion{{"m", 1}}}
 }
 
-func names(candidates []placement.Candidate) []string {
+func candidateNames(candidates []placement.Candidate) []string {
 	var ids []string
 	for _, candidate := range candidates {
 		ids = append(ids, candidate.Name)
@@ -25,7 +25,7 @@
 	return ids
 }
 
-func TestReplacedRunnersAreGone(t *testing.T) {
+func TestRetainRemovesUnlistedRunners(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	g.Expect(set.Put(runner("a", "z"))).To(BeTrue())
@@ -33,77 +33,77 @@
 	g.Expect(set.Put(runner("a", "z"))).To(BeFalse())
 	g.Expect(set.Retain(map[string]bool{"b": true})).To(Equal([]string{"a"}))
 	_, candidates := set.Candidates(start, Query{Service: "s"})
-	g.Expect(names(candidates)).To(Equal([]string{"b"}))
+	g.Expect(candidateNames(candidates)).To(Equal([]string{"b"}))
 	moved := runner("b", "z")
 	moved.Service = "other"
 	set.Put(moved)
 	_, candidates = set.Candidates(start, Query{Service: "s"})
-	g.Expect(candidates).To(BeEmpty(), "a runner that is another service's now")
+	g.Expect(candidates).To(BeEmpty(), "the runner belongs to another service now")
 }
 
-func TestExpiredWeightsBeginNoRequest(t *testing.T) {
+func TestCandidatesExcludeExpiredWeights(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
 	set.Put(runner("b", "z"))
-	g.Expect(set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start.Add(time.Second)})).To(BeTrue())
-	g.Expect(set.Weights().Name("m", 3, Deadlines{Old: start, Expired: start.Add(5 * time.Second)})).To(BeTrue())
-	g.Expect(set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start})).To(BeFalse(), "versions only rise")
+	g.Expect(set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start.Add(time.Second)})).To(BeTrue())
+	g.Expect(set.WeightTargets().SetTarget("m", 3, Deadlines{StaleAt: start, Expiry: start.Add(5 * time.Second)})).To(BeTrue())
+	g.Expect(set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start})).To(BeFalse(), "versions must increase")
 	set.LearnVersion("b", "m", 2)
 	_, candidates := set.Candidates(start, Query{Service: "s", Model: "m"})
-	g.Expect(names(candidates)).To(Equal([]string{"a", "b"}))
+	g.Expect(candidateNames(candidates)).To(Equal([]string{"a", "b"}))
 	_, candidates = set.Candidates(start.Add(2*time.Second), Query{Service: "s", Model: "m"})
-	g.Expect(names(candidates)).To(Equal([]string{"b"}), "version 1 ends with the deadline of 2, not of 3")
+	g.Expect(candidateNames(candidates)).To(Equal([]string{"b"}), "version 1 expires with the deadline set by version 2, not 3")
 	_, candidates = set.Candidates(start.Add(6*time.Second), Query{Service: "s", Model: "m"})
 	g.Expect(candidates).To(BeEmpty())
 	_, candidates = set.Candidates(start.Add(6*time.Second), Query{Service: "s"})
 	g.Expect(candidates).To(HaveLen(2), "requests without a model need no weights")
 }
 
-// A request that would wait in a runner's queue until the weights expire is not
-// sent there (hunt-9213-31 of gelombang-ulang: it began 0.6 s too late).
-func TestWeightsThatExpireWhileARequestWaitsBeginNothing(t *testing.T) {
+// A request must not be sent to a runner where it would queue until the weights expire.
+// Such a request began 0.6 s too late (hunt-9213-31 of gelombang-ulang).
+func TestCandidatesExcludeWeightsExpiringBeforeStart(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
-	set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start.Add(time.Second)})
+	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start.Add(time.Second)})
 	query := Query{Service: "s", Model: "m", PromptTokens: 1000}
 	_, candidates := set.Candidates(start, query)
 	g.Expect(candidates).To(HaveLen(1))
 	send := set.Begin(start.Add(-3*time.Second), "a", 0)
-	set.FirstAnswer(start, send)
-	set.End(start, send, Answered)
+	set.FirstResponse(start, send)
+	set.End(start, send, Succeeded)
 	_, candidates = set.Candidates(start, query)
-	g.Expect(candidates).To(BeEmpty(), "requests wait 1.5 s there")
+	g.Expect(candidates).To(BeEmpty(), "requests wait 1.5 s at the runner")
 	query.PromptTokens = 2 * PrefillRate
 	_, candidates = set.Candidates(start.Add(10*waitHalfLife), query)
-	g.Expect(candidates).To(BeEmpty(), "its own prompt takes two seconds")
+	g.Expect(candidates).To(BeEmpty(), "the prefill of the request takes two seconds")
 }
 
-func TestOldWeightsAreDearOnlyAfterTheirGrace(t *testing.T) {
+func TestStaleWeightsCostOnlyAfterGracePeriod(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
 	set.Put(runner("b", "z"))
 	set.Put(runner("c", "z"))
-	set.Weights().Name("m", 2, Deadlines{Old: start.Add(time.Second), Expired: start.Add(time.Minute)})
+	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start.Add(time.Second), Expiry: start.Add(time.Minute)})
 	cost := func(now time.Time) int {
 		_, candidates := set.Candidates(now, Query{Service: "s", Model: "m"})
-		return candidates[2].ExtraTokens // of c, as a is the next to be updated
+		return candidates[2].ExtraTokens // cost of runner c, as a is next to be updated
 	}
 	g.Expect(cost(start)).To(BeZero())
-	g.Expect(cost(start.Add(time.Second))).To(Equal(oldWeightsCost))
+	g.Expect(cost(start.Add(time.Second))).To(Equal(staleWeightsCost))
 }
 
-func TestHomeIsTheSameOnAllRoutersAndMovesWhenItLeaves(t *testing.T) {
+func TestHomeRunnerIsConsistentAndMovesWhenDraining(t *testing.T) {
 	g := NewWithT(t)
-	one, other := NewSet("z1"), NewSet("z2")
+	first, second := NewSet("z1"), NewSet("z2")
 	for _, id := range []string{"a", "b", "c", "d"} {
-		one.Put(runner(id, "z1"))
-		other.Put(runner(id, "z1"))
+		first.Put(runner(id, "z1"))
+		second.Put(runner(id, "z1"))
 	}
 	query := Query{Service: "s", Model: "m", Family: 42, PromptTokens: 1000, SharedTokens: 900}
-	cached := func(set *Set) string {
+	homeOf := func(set *Set) string {
 		_, candidates := set.Candidates(start, query)
 		for _, candidate := range candidates {
 			if candidate.CachedTokens == 900 {
@@ -112,16 +112,16 @@
 		}
 		return ""
 	}
-	home := cached(one)
+	home := homeOf(first)
 	g.Expect(home).NotTo(BeEmpty())
-	g.Expect(cached(other)).To(Equal(home))
+	g.Expect(homeOf(second)).To(Equal(home))
 	leaving := runner(home, "z1")
 	leaving.Draining = true
-	one.Put(leaving)
-	g.Expect(cached(one)).NotTo(Equal(home))
+	first.Put(leaving)
+	g.Expect(homeOf(first)).NotTo(Equal(home))
 }
 
-func TestUnreachableRunnersAreSetAsideForABoundedTime(t *testing.T) {
+func TestUnreachableRunnersAreAvoidedForBoundedTime(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
@@ -132,12 +132,12 @@
 	}
 	request, candidates := set.Candidates(now, Query{Service: "s"})
 	g.Expect(request.Excluded).To(Equal([]string{"a"}))
-	g.Expect(candidates).To(HaveLen(2), "set aside, not removed")
-	request, _ = set.Candidates(now.Add(maxAside), Query{Service: "s"})
+	g.Expect(candidates).To(HaveLen(2), "avoided, not removed")
+	request, _ = set.Candidates(now.Add(maxAvoidTime), Query{Service: "s"})
 	g.Expect(request.Excluded).To(BeEmpty())
 }
 
-func TestAnsweredRunnerIsForgiven(t *testing.T) {
+func TestFailureCostDecays(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
@@ -148,9 +148,9 @@
 	g.Expect(after[0].ExtraTokens).To(BeNumerically("<", 20))
 }
 
-// Whatever is reported about runners, a service whose directory lists a runner
-// that takes work always has one that placement picks.
-func TestEvidenceNeverEmptiesAService(t *testing.T) {
+// Whatever outcomes are reported, placement can pick a runner of every service for which the
+// directory lists one that accepts work.
+func TestFailuresNeverRemoveAllRunners(t *testing.T) {
 	testkit.Properties(2000)
 	rapid.Check(t, func(t *rapid.T) {
 		set := NewSet("z")
@@ -162,88 +162,88 @@
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 			id := rapid.SampledFrom(ids).Draw(t, "runner")
-			outcome := rapid.SampledFrom([]Outcome{Answered, Failed, Refused, Unreachable, Abandoned}).Draw(t, "outcome")
+			outcome := rapid.SampledFrom([]Outcome{Succeeded, Failed, Refused, Unreachable, Abandoned}).Draw(t, "outcome")
 			after := time.Duration(rapid.IntRange(0, 3000).Draw(t, "after")) * time.Millisecond
 			send := set.Begin(now.Add(-after), id, 100)
-			if rapid.Bool().Draw(t, "answered first") {
-				set.FirstAnswer(now, send)
+			if rapid.Bool().Draw(t, "responded") {
+				set.FirstResponse(now, send)
 			}
 			set.End(now, send, outcome)
 			request, candidates := set.Candidates(now, Query{Service: "s", Model: "m", PromptTokens: 500})
 			pick := placement.Choose(request, candidates, placement.Weights{Hit: 1}, testRandom())
 			if pick.Status != placement.Picked {
-				t.Fatalf("no runner is picked: %v", pick.Status)
+				t.Fatalf("no runner was picked: status %v", pick.Status)
 			}
 		}
 		for _, e := range set.entries {
-			if e.inFlight != 0 || e.pendingTokens != 0 || e.unanswered != 0 {
-				t.Fatalf("%s: %d in flight, %d tokens pending after all ended", e.ID, e.inFlight, e.pendingTokens)
+			if e.inFlight != 0 || e.pendingTokens != 0 || e.awaitingResponse != 0 {
+				t.Fatalf("runner %s: %d requests in flight and %d tokens pending after all ended", e.ID, e.inFlight, e.pendingTokens)
 			}
 		}
 	})
 }
 
-func TestOutdatedRunnersAreGrouped(t *testing.T) {
+func TestModelGroupsOfOutdatedRunners(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
 	set.Put(runner("b", "z"))
-	g.Expect(set.Outdated()).To(BeZero())
-	set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start.Add(time.Minute)})
-	g.Expect(set.Outdated()).To(Equal(2))
+	g.Expect(set.CountOutdated()).To(BeZero())
+	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start.Add(time.Minute)})
+	g.Expect(set.CountOutdated()).To(Equal(2))
 	groups := set.ModelGroups(start, time.Second)
 	g.Expect(groups).To(HaveLen(1))
 	g.Expect(groups[0].Target).To(Equal(uint64(2)))
 	g.Expect(groups[0].Runners).To(HaveLen(2))
 	g.Expect(set.LearnVersion("a", "m", 2)).To(BeTrue())
-	g.Expect(set.LearnVersion("a", "m", 2)).To(BeFalse(), "no news")
+	g.Expect(set.LearnVersion("a", "m", 2)).To(BeFalse(), "not newer")
 	leaving := runner("b", "z")
 	leaving.Draining = true
 	set.Put(leaving)
-	g.Expect(set.Outdated()).To(BeZero(), "a runner that leaves needs no weights")
+	g.Expect(set.CountOutdated()).To(BeZero(), "a draining runner needs no update")
 }
 
-// A request that was sent in good time may begin for longer than new ones are sent, but
-// not on weights past their deadline, unless its runner has newer ones by then.
-func TestSentRequestsMayBeginUntilTheDeadline(t *testing.T) {
+// A request that was sent in time may begin for longer than new ones are sent, but not
+// after the withdraw deadline, unless its runner has newer weights by then.
+func TestMayBeginUntilWithdrawDeadline(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
 	set.Put(runner("a", "z"))
-	mayBegin := func(after time.Duration, sentTo uint64) bool {
-		return set.MayBegin(start.Add(after), "a", "m", sentTo)
+	mayBegin := func(after time.Duration, versionAtSend uint64) bool {
+		return set.MayBegin(start.Add(after), "a", "m", versionAtSend)
 	}
-	g.Expect(mayBegin(time.Hour, 1)).To(BeTrue(), "nothing was named")
-	set.Weights().Name("m", 2, Deadlines{Old: start, Expired: start.Add(time.Second), Unbegun: start.Add(2 * time.Second)})
-	set.Weights().Name("m", 3, Deadlines{Old: start, Expired: start.Add(5 * time.Second), Unbegun: start.Add(6 * time.Second)})
-	g.Expect(set.Weights().State(start.Add(time.Second), "m", 1)).To(Equal(Expired))
+	g.Expect(mayBegin(time.Hour, 1)).To(BeTrue(), "no target version is set")
+	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start, Expiry: start.Add(time.Second), WithdrawAt: start.Add(2 * time.Second)})
+	set.WeightTargets().SetTarget("m", 3, Deadlines{StaleAt: start, Expiry: start.Add(5 * time.Second), WithdrawAt: start.Add(6 * time.Second)})
+	g.Expect(set.WeightTargets().State(start.Add(time.Second), "m", 1)).To(Equal(Expired))
 	g.Expect(mayBegin(2*time.Second-1, 1)).To(BeTrue())
 	g.Expect(mayBegin(2*time.Second, 1)).To(BeFalse())
-	g.Expect(mayBegin(2*time.Second, 2)).To(BeTrue(), "known at the send")
-	g.Expect(set.MayBegin(start.Add(2*time.Second), "a", "other", 1)).To(BeTrue(), "another model")
+	g.Expect(mayBegin(2*time.Second, 2)).To(BeTrue(), "version known when the request was sent")
+	g.Expect(set.MayBegin(start.Add(2*time.Second), "a", "other", 1)).To(BeTrue(), "a model without a target version")
 	set.LearnVersion("a", "m", 2)
-	g.Expect(mayBegin(6*time.Second-1, 1)).To(BeTrue(), "learned since")
+	g.Expect(mayBegin(6*time.Second-1, 1)).To(BeTrue(), "version learned since the send")
 	g.Expect(mayBegin(6*time.Second, 1)).To(BeFalse(), "version 3 has its own deadline")
 	set.LearnVersion("a", "m", 3)
 	g.Expect(mayBegin(time.Hour, 1)).To(BeTrue())
 	set.Remove("a")
-	g.Expect(mayBegin(time.Hour, 1)).To(BeFalse(), "what a removed runner has is not known")
+	g.Expect(mayBegin(time.Hour, 1)).To(BeFalse(), "the version of a removed runner is unknown")
 }
 
-// A router that lives long sees more versions than it keeps deadlines for: the
-// newest must expire the one before it all the same.
+// A long-running router sees more versions than maxDeadlines. The newest target must still
+// expire the version before it.
 func TestWeightsExpireAfterAnyNumberOfVersions(t *testing.T) {
 	g := NewWithT(t)
-	weights := NewWeights()
+	weights := NewWeightTargets()
 	now := start
 	const versions = 3 * maxDeadlines
 	for version := uint64(1); version <= versions; version++ {
 		now = now.Add(10 * time.Second)
-		weights.Name("m", version, Deadlines{Old: now.Add(time.Second), Expired: now.Add(5 * time.Second), Unbegun: now.Add(6 * time.Second)})
+		weights.SetTarget("m", version, Deadlines{StaleAt: now.Add(time.Second), Expiry: now.Add(5 * time.Second), WithdrawAt: now.Add(6 * time.Second)})
 	}
 	g.Expect(weights.MayBegin(now.Add(5*time.Second), "m", versions-1)).To(BeTrue())
 	g.Expect(weights.MayBegin(now.Add(6*time.Second), "m", versions-1)).To(BeFalse())
-	g.Expect(weights.State(now, "m", versions-1)).To(Equal(Replaced))
-	g.Expect(weights.State(now.Add(2*time.Second), "m", versions-1)).To(Equal(Old))
+	g.Expect(weights.State(now, "m", versions-1)).To(Equal(InGrace))
+	g.Expect(weights.State(now.Add(2*time.Second), "m", versions-1)).To(Equal(Stale))
 	g.Expect(weights.State(now.Add(6*time.Second), "m", versions-1)).To(Equal(Expired))
 	g.Expect(weights.State(now, "m", versions-2)).To(Equal(Expired))
 	g.Expect(weights.State(now.Add(6*time.Second), "m", versions)).To(Equal(Current))
--- a/internal/backend/signals.go
+++ b/internal/backend/signals.go
@@ -7,27 +7,28 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// start names the start of the runner that the entry is of.
-func (r Runner) start() backpressure.Runner {
+// signalKey returns the key of the runner incarnation in tables of signals and permits.
+func (r Runner) signalKey() backpressure.Runner {
 	return backpressure.Runner{ID: r.ID, Incarnation: r.Incarnation}
 }
 
-// Hear takes what the runner said of itself in the answer to a request sent at the moment,
-// a whole success or not, and tells what is new.
-func (s *Set) Hear(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Heard {
-	heard := s.signals.Hear(now, sent, runner.start(), signals, success)
-	s.attach(runner.start())
+// RecordSignals records what the runner reported about itself in the response to a request
+// sent at the given time, and returns what is new. success is set for a complete successful
+// response.
+func (s *Set) RecordSignals(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Heard {
+	heard := s.signals.Hear(now, sent, runner.signalKey(), signals, success)
+	s.attachSignals(runner.signalKey())
 	return heard
 }
 
-// attach has the runner's entry know what the runner said.
-func (s *Set) attach(runner backpressure.Runner) {
+// attachSignals points the runner's entry to its signal state.
+func (s *Set) attachSignals(runner backpressure.Runner) {
 	if e := s.entries[runner.ID]; e != nil && e.Incarnation == runner.Incarnation {
-		e.said = s.signals.Of(runner)
+		e.signalState = s.signals.Of(runner)
 	}
 }
 
-// SweepSignals forgets what runners said that are gone for long.
+// SweepSignals drops the signals of runners that have been unlisted for a long time.
 func (s *Set) SweepSignals(now time.Time) {
 	listed := func(runner backpressure.Runner) bool {
 		e := s.entries[runner.ID]
@@ -38,93 +39,99 @@
 	}
 }
 
-// leaves tells whether the runner leaves, by its entry or by its own word in an answer: the
-// entry says so later, or not at all while the store is away, and the word is not taken back.
-func (e *entry) leaves() bool { return e.Draining || e.said.Leaves() }
+// isLeaving reports whether the runner is shutting down, by its directory entry or by its
+// own signal in a response. The entry may be late, or missing while the store is
+// unavailable. The signal is final for the incarnation.
+func (e *entry) isLeaving() bool { return e.Draining || e.signalState.Leaves() }
 
-// Permits returns this router's part of the limits that runners named.
+// Permits returns this router's part of the rate limits that runners set.
 func (s *Set) Permits() *backpressure.Permits { return s.permits }
 
-// heldBack tells whether the runner takes no request of the query now, and adds it to those.
-// One that leaves takes none later either.
+// heldBack reports whether the runner accepts no request of the query now, because of a
+// rest or a rate limit, and counts it in held. A leaving runner is not counted, as it will
+// not accept requests later either.
 func (s *Set) heldBack(now time.Time, e *entry, query Query, held *placement.HeldBack) bool {
-	if e.leaves() {
+	if e.isLeaving() {
 		return false
 	}
-	if rest := query.restOf(e.ID); rest > 0 {
+	if rest := query.restRemaining(e.ID); rest > 0 {
 		held.AddResting(rest)
 		return true
 	}
-	if !e.said.Limits() {
+	if !e.signalState.Limits() {
 		return false
 	}
-	wait := s.permits.Wait(now, e.start(), e.said.Rate)
+	wait := s.permits.Wait(now, e.signalKey(), e.signalState.Rate)
 	if wait > 0 {
-		held.AddLimited(wait, s.permits.Share(now, e.said.Rate))
+		held.AddLimited(wait, s.permits.Share(now, e.signalState.Rate))
 	}
 	return wait > 0
 }
 
-// takes tells whether the runner takes a request of this router's that the permit, if any,
-// was granted for.
-func (e *entry) takes(now time.Time, permit backpressure.Permit) bool {
-	return !e.said.Resting(now) && (!e.said.Limits() || permit.Valid(now))
+// accepts reports whether the runner accepts a request of this router under the permit,
+// which may be the zero value if the runner sets no limit.
+func (e *entry) accepts(now time.Time, permit backpressure.Permit) bool {
+	return !e.signalState.Resting(now) && (!e.signalState.Limits() || permit.Valid(now))
 }
 
-// Resting returns the runners that want no requests from this router.
-func (s *Set) Resting(now time.Time) (resting []Rest) {
+// Resting returns the runners that asked this router to send no requests for a while.
+func (s *Set) Resting(now time.Time) (resting []RestingRunner) {
 	for _, state := range s.signals.Resting(now) {
-		// A runner that has started again since has not asked for it.
-		if e := s.entries[state.ID]; e != nil && e.said == state {
-			resting = append(resting, Rest{Runner: state.ID, Left: state.RestUntil.Sub(now)})
+		// A runner that has restarted since did not ask for the rest.
+		if e := s.entries[state.ID]; e != nil && e.signalState == state {
+			resting = append(resting, RestingRunner{Runner: state.ID, Remaining: state.RestUntil.Sub(now)})
 		}
 	}
 	return resting
 }
 
-// othersRest bounds the time for which requests of other routers avoid a runner that wants a
-// rest from one: it has not asked them, but what it lacks is mostly lacking for all.
-const othersRest = time.Second
+// maxPeerAvoidTime bounds how long requests of other routers avoid a runner that asked one
+// router for a rest. The runner did not ask the others, but the resource that it lacks is
+// usually short for all.
+const maxPeerAvoidTime = time.Second
 
-// AvoidFor has all requests avoid the runner of the send for a while, at most othersRest.
+// AvoidFor makes all requests avoid the runner of the send for the duration, at most
+// maxPeerAvoidTime.
 func (s *Set) AvoidFor(now time.Time, send *Send, rest time.Duration) {
-	if e := s.listed(send); e != nil && rest > 0 {
-		if until := now.Add(min(rest, othersRest)); until.After(e.asideUntil) {
-			e.asideUntil = until
+	if e := s.listedEntry(send); e != nil && rest > 0 {
+		if until := now.Add(min(rest, maxPeerAvoidTime)); until.After(e.avoidUntil) {
+			e.avoidUntil = until
 		}
 	}
 }
 
-// Grant spends this router's next permit for the runner if it limits requests; Candidates
-// has found it free. Other runners need none.
-func (s *Set) Grant(now time.Time, id string) backpressure.Permit {
+// TakePermit takes this router's next permit for the runner if it sets a rate limit;
+// Candidates must have found the permit available. It returns the zero permit for other
+// runners, which need none.
+func (s *Set) TakePermit(now time.Time, id string) backpressure.Permit {
 	e := s.entries[id]
-	if e == nil || !e.said.Limits() {
+	if e == nil || !e.signalState.Limits() {
 		return backpressure.Permit{}
 	}
-	return s.permits.Take(now, e.start(), e.said.Rate)
+	return s.permits.Take(now, e.signalKey(), e.signalState.Rate)
 }
 
-// Said returns what the runner has said of itself, nil if it is not listed or said nothing.
-func (s *Set) Said(id string) *backpressure.State {
+// SignalState returns what the runner reported about itself, nil if it is not listed or
+// reported nothing.
+func (s *Set) SignalState(id string) *backpressure.State {
 	if e := s.entries[id]; e != nil {
-		return e.said
+		return e.signalState
 	}
 	return nil
 }
 
-// Limited tells whether the runner limits requests.
-func (s *Set) Limited(id string) bool { return s.Said(id).Limits() }
+// IsLimited reports whether the runner sets a rate limit.
+func (s *Set) IsLimited(id string) bool { return s.SignalState(id).Limits() }
 
-// MergeSignals takes what another router tells of runners, and returns what others are to
-// know.
+// MergeSignals merges records that another router reports, and returns those to be passed
+// on to other routers.
 func (s *Set) MergeSignals(now time.Time, records []backpressure.Record) []backpressure.Record {
 	changed := s.signals.Merge(now, records)
 	for _, record := range records {
-		s.attach(record.Runner)
+		s.attachSignals(record.Runner)
 	}
 	return changed
 }
 
-// Signals returns what runners have said of themselves.
+// Signals returns the table of what runners reported about themselves.
 func (s *Set) Signals() *backpressure.Table { return s.signals }
--- a/internal/backend/signals_test.go
+++ b/internal/backend/signals_test.go
@@ -10,21 +10,23 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// speakingSet has two runners of a model, the first of which has said the signals.
-func speakingSet(signals backpressure.Signals) (*Set, Query) {
+// newSetWithSignals has two runners of a model, the first of which has reported the
+// signals.
+func newSetWithSignals(signals backpressure.Signals) (*Set, Query) {
 	set, query := NewSet("z"), Query{Service: "s", Model: "m", Family: 7, SharedTokens: 100, PromptTokens: 150}
 	set.Permits().SetAlone()
 	for _, id := range []string{"a", "b"} {
 		set.Put(Runner{ID: id, Incarnation: 1, Service: "s", Zone: "z", Slots: 8, Models: []ModelVersion{{Name: "m", Version: 1}}})
 	}
 	a, _ := set.Get("a")
-	set.Hear(start, start, a, signals, false)
+	set.RecordSignals(start, start, a, signals, false)
 	query.Resting = set.Resting(start)
 	return set, query
 }
 
-// offered returns which runners a choice is made among, and what is held back.
-func offered(set *Set, query Query) (names []string, held placement.HeldBack) {
+// eligibleRunners returns the runners that a placement can choose from, and those held
+// back.
+func eligibleRunners(set *Set, query Query) (names []string, held placement.HeldBack) {
 	request, candidates := set.Candidates(start, query)
 	for _, candidate := range candidates {
 		if !candidate.Leaving {
@@ -34,7 +36,7 @@
 	return names, request.HeldBack
 }
 
-func TestRunnerIsNotUsedAgainstItsOwnWord(t *testing.T) {
+func TestRunnerSignalsAreRespected(t *testing.T) {
 	for name, signals := range map[string]backpressure.Signals{
 		"leaving": {Leaving: true},
 		"rest":    {Rest: time.Second},
@@ -42,20 +44,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			set, query := speakingSet(signals)
+			set, query := newSetWithSignals(signals)
 			if signals.Limited {
-				set.Grant(start, "a")
+				set.TakePermit(start, "a")
 			}
-			names, _ := offered(set, query)
+			names, _ := eligibleRunners(set, query)
 			g.Expect(names).To(Equal([]string{"b"}))
 			g.Expect(set.Usable(start, "a", query, backpressure.Permit{})).To(BeFalse())
 			g.Expect(set.MaySend(start, "a", query, 1, backpressure.Permit{})).To(BeFalse())
 			g.Expect(set.Usable(start, "b", query, backpressure.Permit{})).To(BeTrue())
 			_, found := set.Backup(start, "b", "m")
-			g.Expect(found).To(BeFalse(), "no copy of a run goes there")
+			g.Expect(found).To(BeFalse(), "the runner must not be a backup")
 			for family := range uint64(20) {
 				query.Family = family + 1
-				g.Expect(set.home(start, set.byService["s"], query, split{})).To(Equal("b"))
+				g.Expect(set.homeRunner(start, set.byService["s"], query, split{})).To(Equal("b"))
 			}
 		})
 	}
@@ -63,61 +65,61 @@
 
 func TestPermitAllowsOneSendToALimitedRunner(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{Limited: true, Rate: 1})
-	names, held := offered(set, query)
+	set, query := newSetWithSignals(backpressure.Signals{Limited: true, Rate: 1})
+	names, held := eligibleRunners(set, query)
 	g.Expect(names).To(Equal([]string{"a", "b"}))
 	g.Expect(held.Any()).To(BeFalse())
-	permit := set.Grant(start, "a")
+	permit := set.TakePermit(start, "a")
 	g.Expect(set.MaySend(start, "a", query, 1, permit)).To(BeTrue())
-	g.Expect(set.MaySend(start.Add(2*time.Second), "a", query, 1, permit)).To(BeFalse(), "it has lapsed")
-	_, held = offered(set, query)
+	g.Expect(set.MaySend(start.Add(2*time.Second), "a", query, 1, permit)).To(BeFalse(), "the permit has expired")
+	_, held = eligibleRunners(set, query)
 	g.Expect(held).To(Equal(placement.HeldBack{Limited: 1, LimitWait: time.Second, Rate: 1}))
-	g.Expect(set.Grant(start, "b")).To(Equal(backpressure.Permit{}), "needs none")
+	g.Expect(set.TakePermit(start, "b")).To(Equal(backpressure.Permit{}), "a runner without a limit needs no permit")
 }
 
-func TestRestIsToldWithTheQuestion(t *testing.T) {
+func TestRestAppliesOnlyToRequestingRouter(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{Rest: time.Second})
-	g.Expect(query.Resting).To(Equal([]Rest{{Runner: "a", Left: time.Second}}))
-	_, held := offered(set, query)
+	set, query := newSetWithSignals(backpressure.Signals{Rest: time.Second})
+	g.Expect(query.Resting).To(Equal([]RestingRunner{{Runner: "a", Remaining: time.Second}}))
+	_, held := eligibleRunners(set, query)
 	g.Expect(held).To(Equal(placement.HeldBack{Resting: 1, RestWait: time.Second}))
-	others := query
-	others.Resting = nil
-	names, _ := offered(set, others)
-	g.Expect(names).To(Equal([]string{"a", "b"}), "other routers were not asked for rest")
+	otherRouter := query
+	otherRouter.Resting = nil
+	names, _ := eligibleRunners(set, otherRouter)
+	g.Expect(names).To(Equal([]string{"a", "b"}), "the runner did not ask other routers for a rest")
 	a, _ := set.Get("a")
 	a.Incarnation = 2
 	set.Put(a)
-	g.Expect(set.Resting(start)).To(BeEmpty(), "another start has not asked for it")
-	g.Expect(set.Usable(start, "a", others, backpressure.Permit{})).To(BeTrue())
+	g.Expect(set.Resting(start)).To(BeEmpty(), "a new incarnation did not ask for a rest")
+	g.Expect(set.Usable(start, "a", otherRouter, backpressure.Permit{})).To(BeTrue())
 }
 
-func TestOthersAvoidARestingRunnerForAWhile(t *testing.T) {
+func TestAvoidForIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{})
+	set, query := newSetWithSignals(backpressure.Signals{})
 	send := set.BeginQuery(start, "a", 10, query)
 	set.AvoidFor(start, send, time.Minute)
-	request, _ := set.Candidates(start.Add(othersRest-1), query)
+	request, _ := set.Candidates(start.Add(maxPeerAvoidTime-1), query)
 	g.Expect(request.Excluded).To(Equal([]string{"a"}))
-	request, _ = set.Candidates(start.Add(othersRest), query)
+	request, _ = set.Candidates(start.Add(maxPeerAvoidTime), query)
 	g.Expect(request.Excluded).To(BeEmpty())
 }
 
-// Nobody is told to come back for a runner that leaves.
+// Clients must not be told to retry later for a runner that is leaving.
 func TestLeavingRunnerIsNotHeldBack(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Rest: time.Second})
-	set.Grant(start, "a")
-	_, held := offered(set, query)
+	set, query := newSetWithSignals(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Rest: time.Second})
+	set.TakePermit(start, "a")
+	_, held := eligibleRunners(set, query)
 	g.Expect(held.Any()).To(BeFalse())
 }
 
-// What other routers tell of runners that are not listed yet holds once they are.
-func TestSignalOfARunnerThatIsListedLaterHolds(t *testing.T) {
+// Signals that other routers report for unlisted runners apply once the runners are listed.
+func TestSignalsApplyToRunnersListedLater(t *testing.T) {
 	g, set := NewWithT(t), NewSet("z")
 	set.MergeSignals(start, []backpressure.Record{{Runner: backpressure.Runner{ID: "a", Incarnation: 1}, LeavingAt: start}})
 	set.Put(Runner{ID: "a", Incarnation: 1, Service: "s"})
-	g.Expect(set.Stays("a", "s")).To(BeFalse())
+	g.Expect(set.IsActive("a", "s")).To(BeFalse())
 	set.Put(Runner{ID: "a", Incarnation: 2, Service: "s"})
-	g.Expect(set.Stays("a", "s")).To(BeTrue())
+	g.Expect(set.IsActive("a", "s")).To(BeTrue())
 }
--- a/internal/backend/slots.go
+++ b/internal/backend/slots.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// holdingWeight is the weight of one request in the mean time that requests of a
-// service hold a slot: some hundred requests a second are seen by a router that places
-// for others, and the mean follows a change of the load within a second.
-const holdingWeight = 0.01
+// holdTimeWeight is the weight of one request in the mean slot hold time of a service. A
+// router that places requests for others sees several hundred per second, so the mean
+// follows a change of the load within a second.
+const holdTimeWeight = 0.01
 
-// noteHolding takes the time from the send of a request to its whole answer.
-func (s *Set) noteHolding(service string, taken time.Duration) {
-	mean, known := s.holding[service]
+// recordHoldTime adds the time from the send of a request to the end of its response.
+func (s *Set) recordHoldTime(service string, held time.Duration) {
+	mean, known := s.holdTimes[service]
 	if !known {
-		mean = taken
+		mean = held
 	}
-	s.holding[service] = mean + time.Duration(holdingWeight*float64(taken-mean))
+	s.holdTimes[service] = mean + time.Duration(holdTimeWeight*float64(held-mean))
 }
 
-// slotWait estimates how long a further request waits for a slot at a runner with so
-// many open ones: as long as it takes until those before it have left, where one leaves
-// each mean time divided by the slots.
-func (s *Set) slotWait(e *entry, open int) time.Duration {
-	ahead := open - e.Slots + 1
+// slotWait estimates how long another request waits for a slot at a runner with the given
+// number of open requests. Slots are released at the mean hold time divided by the number
+// of slots, and the requests ahead must be served first.
+func (s *Set) slotWait(e *entry, openRequests int) time.Duration {
+	ahead := openRequests - e.Slots + 1
 	if ahead <= 0 || e.Slots <= 0 {
 		return 0
 	}
-	return s.holding[e.Service] * time.Duration(ahead) / time.Duration(e.Slots)
+	return s.holdTimes[e.Service] * time.Duration(ahead) / time.Duration(e.Slots)
 }
 
-// waits returns how long a further request queues at a runner with so many open ones,
-// and what else speaks against the runner by the times that it took of late. A prompt's
-// reading time is known, so what an engine takes beyond it is queueing; of a service
-// without a model only the queue for its slots is known, as its work takes any time.
-func (s *Set) waits(now time.Time, e *entry, model string, open int) (queue, slowness time.Duration) {
-	queue = s.slotWait(e, open)
+// expectedWaits returns how long another request is expected to queue at a runner with the
+// given number of open requests, and the extra slowness that counts against the runner
+// without being a queue. With a model, the prefill time is known, so any further delay is
+// queueing. Without one, requests may take any time, so only the wait for a slot is
+// queueing.
+func (s *Set) expectedWaits(now time.Time, e *entry, model string, openRequests int) (queue, slowness time.Duration) {
+	queue = s.slotWait(e, openRequests)
 	if model == "" {
-		return queue, e.currentWait(now)
+		return queue, e.currentAssumedWait(now)
 	}
-	return max(queue, e.currentQueueing(now, s.speedOf(e))), 0
+	return max(queue, e.currentLearnedWait(now, s.runnerPrefill(e))), 0
 }
--- a/internal/backend/split.go
+++ b/internal/backend/split.go
@@ -6,196 +6,203 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// Bounds of keeping long reads apart from streams.
+// Parameters of the split of a service's runners between long prefills and streams.
 const (
-	// longReadShare is the share of the allowed pause beyond which the reading of a
-	// prompt is a long one: an event of a stream waits for several pieces of reading, so
-	// that a tenth of the pause leaves room for what else comes together.
-	longReadShare = 0.1
-	// minSplitRunners is the least number of runners that are divided: with fewer, the
-	// loss of one leaves one kind of work without a fair part of them.
+	// longPrefillShare is the share of the acceptable pause between events beyond which a
+	// prefill counts as long. An event of a stream waits for several pieces of prefill, so
+	// a tenth of the pause leaves room for other work that coincides.
+	longPrefillShare = 0.1
+	// minSplitRunners is the minimum number of runners that are split. With fewer, the loss
+	// of one would leave one kind of work without a fair share of them.
 	minSplitRunners = 16
-	// minSplitShare and maxSplitShare bound the share of runners for long reads, so that
-	// neither kind is left with few runners by a measurement of a moment.
+	// minSplitShare and maxSplitShare bound the share of runners for long prefills, so that
+	// a momentary measurement leaves neither kind with too few runners.
 	minSplitShare = 0.25
 	maxSplitShare = 0.75
-	// splitSteps is how many sizes the share of runners can have: few, so that routers
-	// that measure a little differently agree on nearly all runners.
+	// splitSteps is the number of steps to which the share is rounded. A small number makes
+	// routers with slightly different measurements agree on nearly all runners.
 	splitSteps = 10
-	// splitSlack is by how much of a step a measured share must leave the present size
-	// before it changes: homes that move have their parts read again.
-	splitSlack = 0.75
-	// demandHalfLife is the half-life of measured work: long against a burst of seconds,
-	// since a change moves homes, and short against the change of traffic in a day.
+	// splitHysteresis is by how much of a step the measured share must differ from the
+	// current one before it changes: when a home runner moves, the prompt's shared parts
+	// must be prefilled again.
+	splitHysteresis = 0.75
+	// demandHalfLife is the half-life of measured work. It is long compared to a burst of a
+	// few seconds, since a change moves home runners, and short compared to the traffic
+	// changes of a day.
 	demandHalfLife = 8 * time.Second
-	// minDemand is the least measured work, in seconds of a runner, from which a share
-	// is taken: some tens of requests.
+	// minDemand is the minimum measured work, in runner-seconds, at which runners are
+	// split: a few tens of requests.
 	minDemand = 2.0
-	// minLongShare is the least share of long reads in the work at which they are kept
-	// apart: fewer disturb few streams.
-	minLongShare = 0.1
-	// scarceSlots is the share of taken slots of a service from which less is held against
-	// runners for the other kind, down to nothing when all are taken: then any free slot
-	// is better than a wait.
-	scarceSlots = 0.5
-	// apartShare is the cost of a runner that is left to the other kind, as a share of
-	// the allowed pause: enough that few cross over, and less than the wait for a busy
-	// runner of the own kind.
-	apartShare = 1.0 / 6
+	// minKindShare is the minimum share of each kind in the measured work at which runners
+	// are split. Fewer long prefills disturb few streams.
+	minKindShare = 0.1
+	// scarceSlotShare is the share of used slots above which the cost of a runner for the
+	// other kind is reduced, down to zero when all slots are in use: then any free slot is
+	// better than a wait.
+	scarceSlotShare = 0.5
+	// otherKindCostShare is the cost of a runner preferred for the other kind, as a share
+	// of the acceptable pause between events. It is high enough that few requests cross
+	// over, and lower than the wait for a busy runner of the request's own kind.
+	otherKindCostShare = 1.0 / 6
 )
 
-// demand is the measured work of a service, in seconds of a runner, decaying.
+// demand is the measured work of a service in runner-seconds, decaying exponentially.
 type demand struct {
-	// reading is what long prompts take to be read and the share of a runner that they
-	// hold by its slots, and streaming the latter of all other streams.
-	reading   float64
-	streaming float64
-	at        time.Time
-	// taken is the share of the service's slots that were taken at the last choice.
-	taken float64
-	// step is the present number of steps of the share, 0 while nothing is kept apart.
+	// longPrefillSeconds is the work of requests with long prompts: their prefill time and
+	// their slot time, which is the time that they hold a slot divided by the runner's
+	// slots. streamSeconds is the slot time of all other streams.
+	longPrefillSeconds float64
+	streamSeconds      float64
+	updatedAt          time.Time
+	// usedSlotShare is the share of the service's slots in use at the last placement.
+	usedSlotShare float64
+	// step is the current share in units of 1/splitSteps, 0 while runners are not split.
 	step int
 }
 
 func (s *Set) demand(now time.Time, service string) *demand {
 	d := s.demands[service]
 	if d == nil {
-		d = &demand{at: now}
+		d = &demand{updatedAt: now}
 		s.demands[service] = d
 	}
-	if elapsed := now.Sub(d.at); elapsed > 0 {
-		d.reading = decayed(d.reading, elapsed, demandHalfLife)
-		d.streaming = decayed(d.streaming, elapsed, demandHalfLife)
-		d.at = now
+	if elapsed := now.Sub(d.updatedAt); elapsed > 0 {
+		d.longPrefillSeconds = decayed(d.longPrefillSeconds, elapsed, demandHalfLife)
+		d.streamSeconds = decayed(d.streamSeconds, elapsed, demandHalfLife)
+		d.updatedAt = now
 	}
 	return d
 }
 
-// longRead tells whether the reading of the request's prompt delays streams for long,
-// by the pause that its own caller allows.
-func (s *Set) longRead(query Query) bool {
-	return query.EventGap > 0 && s.speed(query.Service).reading(query.PromptTokens).Seconds() > longReadShare*query.EventGap.Seconds()
+// isLongPrefill reports whether the prefill of the request's prompt delays streams for
+// long, measured by the pause that its own caller accepts.
+func (s *Set) isLongPrefill(query Query) bool {
+	return query.MaxEventGap > 0 && s.servicePrefill(query.Service).prefillTime(query.PromptTokens).Seconds() > longPrefillShare*query.MaxEventGap.Seconds()
 }
 
-// noteLongRead takes a long prompt that was sent to be read.
-func (s *Set) noteLongRead(now time.Time, service string, tokens int) {
-	s.demand(now, service).reading += s.speed(service).reading(tokens).Seconds()
+// recordLongPrefill adds the prefill time of a long prompt that was sent to a runner.
+func (s *Set) recordLongPrefill(now time.Time, service string, tokens int) {
+	s.demand(now, service).longPrefillSeconds += s.servicePrefill(service).prefillTime(tokens).Seconds()
 }
 
-// noteStream takes a stream that ended: it held a slot.
-func (s *Set) noteStream(now time.Time, e *entry, send *Send) {
-	if send.gap <= 0 || e.Slots <= 0 {
+// recordStream adds the slot time of a request with a bound on event gaps that has
+// succeeded.
+func (s *Set) recordStream(now time.Time, e *entry, send *Send) {
+	if send.maxEventGap <= 0 || e.Slots <= 0 {
 		return
 	}
-	held := now.Sub(send.at).Seconds() / float64(e.Slots)
-	if send.long {
-		s.demand(now, e.Service).reading += held
+	held := now.Sub(send.sentAt).Seconds() / float64(e.Slots)
+	if send.longPrefill {
+		s.demand(now, e.Service).longPrefillSeconds += held
 		return
 	}
-	s.demand(now, e.Service).streaming += held
+	s.demand(now, e.Service).streamSeconds += held
 }
 
-// update chooses anew how many steps of the runners are for long reads, and returns their
-// share, 0 to keep nothing apart. Reading the counters does so too (Works).
-func (d *demand) update() float64 {
-	total := d.reading + d.streaming
-	if total < minDemand || d.reading < minLongShare*total || d.streaming < minLongShare*total {
+// updateLongShare updates the step from the measured work and returns the share of runners
+// preferred for long prefills, 0 if they are not split. It is also called when metrics are
+// collected (Stats).
+func (d *demand) updateLongShare() float64 {
+	total := d.longPrefillSeconds + d.streamSeconds
+	if total < minDemand || d.longPrefillSeconds < minKindShare*total || d.streamSeconds < minKindShare*total {
 		d.step = 0
 		return 0
 	}
-	share := min(max(d.reading/total, minSplitShare), maxSplitShare) * splitSteps
-	if d.step == 0 || share > float64(d.step)+splitSlack || share < float64(d.step)-splitSlack {
+	share := min(max(d.longPrefillSeconds/total, minSplitShare), maxSplitShare) * splitSteps
+	if d.step == 0 || share > float64(d.step)+splitHysteresis || share < float64(d.step)-splitHysteresis {
 		d.step = int(share + 0.5)
 	}
 	return float64(d.step) / splitSteps
 }
 
-// room is 1 while enough slots are free to keep long reads apart, and 0 when none is.
-func (d *demand) room() float64 {
-	return min(max((1-d.taken)/(1-scarceSlots), 0), 1)
+// freeSlotFactor returns 1 while enough slots are free to keep long prefills separate,
+// falling to 0 when none is free.
+func (d *demand) freeSlotFactor() float64 {
+	return min(max((1-d.usedSlotShare)/(1-scarceSlotShare), 0), 1)
 }
 
-// slotCount counts the slots of a service's runners.
-type slotCount struct{ taken, all int }
+// slotUsage counts the used and total slots of a service's runners.
+type slotUsage struct{ used, total int }
 
-// add takes a runner's slots with the requests that are open there.
-func (c *slotCount) add(open, slots int) {
-	c.taken += min(open, slots)
-	c.all += slots
+// add counts a runner's slots, of which open requests use up to all.
+func (c *slotUsage) add(openRequests, slots int) {
+	c.used += min(openRequests, slots)
+	c.total += slots
 }
 
-// noteSlots takes the slots that were counted for a choice.
-func (d *demand) noteSlots(counted slotCount) {
-	if counted.all > 0 {
-		d.taken = float64(counted.taken) / float64(counted.all)
+// recordSlotUsage stores the slot usage counted during a placement.
+func (d *demand) recordSlotUsage(usage slotUsage) {
+	if usage.total > 0 {
+		d.usedSlotShare = float64(usage.used) / float64(usage.total)
 	}
 }
 
-// split is how a service's runners are divided for one request.
+// split is the division of a service's runners as it applies to one request.
 type split struct {
-	// share is that of the runners for long reads, 0 while nothing is kept apart.
-	share float64
-	// long tells that the request is a long read, and apart is the cost, in prompt
-	// tokens, of a runner for the other kind.
-	long  bool
-	apart int
+	// longShare is the share of runners preferred for long prefills, 0 while runners are
+	// not split.
+	longShare float64
+	// longPrefill is set when the request is a long prefill. otherKindCost is the cost, in
+	// prompt tokens, of a runner preferred for the other kind.
+	longPrefill   bool
+	otherKindCost int
 }
 
-// split returns how the runners are divided for the request: in proportion to the
-// measured work of long reads and of other streams.
+// split returns the division for the request, in proportion to the measured work of long
+// prefills and of other streams.
 func (s *Set) split(now time.Time, query Query, runners int) split {
-	if query.EventGap <= 0 || runners < minSplitRunners {
+	if query.MaxEventGap <= 0 || runners < minSplitRunners {
 		return split{}
 	}
 	demand := s.demand(now, query.Service)
-	apart := apartShare * demand.room() * float64(query.EventGap)
-	return split{share: demand.update(), long: s.longRead(query), apart: s.speed(query.Service).tokensIn(time.Duration(apart))}
+	otherKindCost := otherKindCostShare * demand.freeSlotFactor() * float64(query.MaxEventGap)
+	return split{longShare: demand.updateLongShare(), longPrefill: s.isLongPrefill(query), otherKindCost: s.servicePrefill(query.Service).tokensIn(time.Duration(otherKindCost))}
 }
 
-// suits tells whether the runner is one for requests of this kind. Each runner has a
-// fixed place among all, so that a change of the share moves few.
-func (p split) suits(e *entry) bool {
-	if p.share == 0 {
+// prefers reports whether the runner is preferred for the request's kind. Each runner has a
+// fixed position, so a change of the share affects few runners.
+func (p split) prefers(e *entry) bool {
+	if p.longShare == 0 {
 		return true
 	}
-	return (e.place() < p.share) == p.long
+	return (e.splitPosition() < p.longShare) == p.longPrefill
 }
 
-// cost is that of the runner for a request of this kind.
+// cost returns the cost of the runner for the request, in prompt tokens.
 func (p split) cost(e *entry) int {
-	if p.suits(e) {
+	if p.prefers(e) {
 		return 0
 	}
-	return p.apart
+	return p.otherKindCost
 }
 
-// place is the runner's place among all, from 0 to below 1.
-func (e *entry) place() float64 {
-	if e.splitKey == 0 {
-		e.splitKey = rendezvous.KeyOf(e.ID) | 1
+// splitPosition returns the fixed position of the runner in [0, 1), a hash of its id.
+func (e *entry) splitPosition() float64 {
+	if e.idHash == 0 {
+		e.idHash = rendezvous.KeyOf(e.ID) | 1
 	}
-	return float64(e.splitKey>>11) / (1 << 53)
+	return float64(e.idHash>>11) / (1 << 53)
 }
 
-// Work is what is learned of a service's runners.
-type Work struct {
+// ServiceStats is what the router has learned about a service's runners, for metrics.
+type ServiceStats struct {
 	Service string
-	// ReadRate is the speed of reading prompts, in tokens a second.
-	ReadRate float64
-	// LongShare is the share of the runners that are preferred for long prompts, 0 while
-	// nothing is kept apart.
+	// PrefillRate is the prefill speed in tokens per second.
+	PrefillRate float64
+	// LongShare is the share of runners preferred for long prompts, 0 while runners are not
+	// split.
 	LongShare float64
 }
 
-// Works returns what is learned of each service that was sent prompts.
-func (s *Set) Works(now time.Time) []Work {
-	works := make([]Work, 0, len(s.demands))
+// Stats returns the statistics of each service for which work has been measured.
+func (s *Set) Stats(now time.Time) []ServiceStats {
+	allStats := make([]ServiceStats, 0, len(s.demands))
 	for service := range s.demands {
-		work := Work{Service: service, ReadRate: s.speed(service).rate()}
+		stats := ServiceStats{Service: service, PrefillRate: s.servicePrefill(service).tokensPerSecond()}
 		if len(s.byService[service]) >= minSplitRunners {
-			work.LongShare = s.demand(now, service).update()
+			stats.LongShare = s.demand(now, service).updateLongShare()
 		}
-		works = append(works, work)
+		allStats = append(allStats, stats)
 	}
-	return works
+	return allStats
 }
--- a/internal/backend/split_test.go
+++ b/internal/backend/split_test.go
@@ -8,24 +8,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// Pattern: a pool of 60 runners of 32 slots serves long prompts with short answers and
-// short prompts with long answers, which allow pauses of 300 ms.
+// A pool of 60 runners with 32 slots each serves long prompts with short responses and
+// short prompts with long responses. Both accept pauses of 300 ms between events.
 const (
-	splitRunners = 60
-	splitPause   = 300 * time.Millisecond
+	testRunnerCount = 60
+	testMaxEventGap = 300 * time.Millisecond
 )
 
 func longQuery() Query {
-	return Query{Service: "s", Model: "m", PromptTokens: 9000, SharedTokens: 6000, Family: 7, EventGap: splitPause}
+	return Query{Service: "s", Model: "m", PromptTokens: 9000, SharedTokens: 6000, Family: 7, MaxEventGap: testMaxEventGap}
 }
 
 func shortQuery() Query {
-	return Query{Service: "s", Model: "m", PromptTokens: 800, EventGap: splitPause}
+	return Query{Service: "s", Model: "m", PromptTokens: 800, MaxEventGap: testMaxEventGap}
 }
 
-func splitSet() *Set {
+func newSplitSet() *Set {
 	set := NewSet("z")
-	for i := range splitRunners {
+	for i := range testRunnerCount {
 		r := runner(fmt.Sprintf("i-%02d", i), "z")
 		r.Slots = 32
 		set.Put(r)
@@ -33,105 +33,106 @@
 	return set
 }
 
-// play has so many long prompts and streams of a second each begin in each second.
-func play(set *Set, from time.Time, seconds, long, streams int) time.Time {
+// simulateTraffic starts the given numbers of long prompts and of streams in each second;
+// each request lasts one second.
+func simulateTraffic(set *Set, from time.Time, seconds, longPrompts, streams int) time.Time {
 	now := from
 	for range seconds {
 		var open []*Send
 		for range streams {
 			open = append(open, set.BeginQuery(now, "i-00", 800, shortQuery()))
 		}
-		for range long {
+		for range longPrompts {
 			open = append(open, set.BeginQuery(now, "i-01", 3000, longQuery()))
 		}
 		now = now.Add(time.Second)
 		for _, send := range open {
-			set.FirstAnswer(now, send)
-			set.End(now, send, Answered)
+			set.FirstResponse(now, send)
+			set.End(now, send, Succeeded)
 		}
 	}
 	return now
 }
 
-func TestRunnersAreDividedByMeasuredWork(t *testing.T) {
+func TestSplitFollowsMeasuredWork(t *testing.T) {
 	g := NewWithT(t)
-	set := splitSet()
-	g.Expect(set.split(start, longQuery(), splitRunners).share).To(BeZero(), "nothing was measured yet")
-	now := play(set, start, 20, 120, 200)
-	even := set.split(now, longQuery(), splitRunners).share
-	g.Expect(even).To(BeNumerically("~", 0.7, 0.051), "9.5 runner-seconds a second of reading and 3.8 of slots, 6.3 of streams")
-	now = play(set, now, 40, 120, 600)
-	g.Expect(set.split(now, longQuery(), splitRunners).share).To(BeNumerically("<", even))
-	now = play(set, now, 60, 0, 200)
-	g.Expect(set.split(now, longQuery(), splitRunners).share).To(BeZero(), "without long reads nothing is kept apart")
+	set := newSplitSet()
+	g.Expect(set.split(start, longQuery(), testRunnerCount).longShare).To(BeZero(), "no measurements yet")
+	now := simulateTraffic(set, start, 20, 120, 200)
+	initialShare := set.split(now, longQuery(), testRunnerCount).longShare
+	g.Expect(initialShare).To(BeNumerically("~", 0.7, 0.051), "per second, 9.5 runner-seconds of prefill and 3.8 of slots, 6.3 of streams")
+	now = simulateTraffic(set, now, 40, 120, 600)
+	g.Expect(set.split(now, longQuery(), testRunnerCount).longShare).To(BeNumerically("<", initialShare))
+	now = simulateTraffic(set, now, 60, 0, 200)
+	g.Expect(set.split(now, longQuery(), testRunnerCount).longShare).To(BeZero(), "runners are not split without long prefills")
 }
 
-func TestHomesOfLongPromptsLieWhereLongReadsAreKept(t *testing.T) {
+func TestHomesOfLongPromptsAreLongPrefillRunners(t *testing.T) {
 	g := NewWithT(t)
-	set := splitSet()
-	now := play(set, start, 20, 120, 200)
+	set := newSplitSet()
+	now := simulateTraffic(set, start, 20, 120, 200)
 	for family := range uint64(50) {
 		query := longQuery()
 		query.Family = family + 1
 		_, candidates := set.Candidates(now, query)
-		split, homes := set.split(now, query, splitRunners), 0
+		split, homes := set.split(now, query, testRunnerCount), 0
 		for _, c := range candidates {
 			if c.CachedTokens == query.SharedTokens {
 				homes++
 				g.Expect(c.ApartTokens).To(BeZero())
-				g.Expect(split.suits(set.entries[c.Name])).To(BeTrue())
+				g.Expect(split.prefers(set.entries[c.Name])).To(BeTrue())
 			}
 		}
 		g.Expect(homes).To(Equal(1))
 	}
 }
 
-func TestEachRunnerIsForOneKindAndNoneIsClosed(t *testing.T) {
+func TestSplitPrefersOneKindPerRunner(t *testing.T) {
 	g := NewWithT(t)
-	set := splitSet()
-	now := play(set, start, 20, 120, 200)
+	set := newSplitSet()
+	now := simulateTraffic(set, start, 20, 120, 200)
 	_, forLong := set.Candidates(now, longQuery())
 	_, forShort := set.Candidates(now, shortQuery())
-	g.Expect(forLong).To(HaveLen(splitRunners))
-	dear := 0
+	g.Expect(forLong).To(HaveLen(testRunnerCount))
+	penalized := 0
 	for i := range forLong {
 		g.Expect(forLong[i].ApartTokens == 0).NotTo(Equal(forShort[i].ApartTokens == 0))
 		if forLong[i].ApartTokens > 0 {
-			dear++
+			penalized++
 		}
 	}
-	g.Expect(dear).To(BeNumerically("~", 24, 10))
+	g.Expect(penalized).To(BeNumerically("~", 24, 10))
 }
 
-func TestFewRunnersAndRequestsWithoutAllowedPauseAreNotDivided(t *testing.T) {
+func TestSplitRequiresRunnersAndMaxEventGap(t *testing.T) {
 	g := NewWithT(t)
-	set := splitSet()
-	now := play(set, start, 20, 120, 200)
-	g.Expect(set.split(now, longQuery(), minSplitRunners-1).share).To(BeZero())
-	patient := longQuery()
-	patient.EventGap = 0
-	g.Expect(set.split(now, patient, splitRunners)).To(Equal(split{}))
+	set := newSplitSet()
+	now := simulateTraffic(set, start, 20, 120, 200)
+	g.Expect(set.split(now, longQuery(), minSplitRunners-1).longShare).To(BeZero())
+	unbounded := longQuery()
+	unbounded.MaxEventGap = 0
+	g.Expect(set.split(now, unbounded, testRunnerCount)).To(Equal(split{}))
 }
 
 func TestOpenStreamsAreCountedUntilTheyEnd(t *testing.T) {
 	g := NewWithT(t)
-	set, other := splitSet(), splitSet()
+	set, other := newSplitSet(), newSplitSet()
 	pauses := func(s *Set) (streams int, gap time.Duration) {
 		_, candidates := s.Candidates(start, shortQuery())
 		return candidates[0].Pauses.Streams, candidates[0].Pauses.Gap
 	}
-	for _, outcome := range []Outcome{Answered, Failed, Abandoned, NotConfirmed} {
+	for _, outcome := range []Outcome{Succeeded, Failed, Abandoned, NotConfirmed} {
 		send := set.BeginQuery(start, "i-00", 800, shortQuery())
 		streams, _ := pauses(set)
-		g.Expect(streams).To(BeZero(), "it has not begun")
-		set.FirstAnswer(start, send)
+		g.Expect(streams).To(BeZero(), "the stream has not begun")
+		set.FirstResponse(start, send)
 		streams, gap := pauses(set)
 		g.Expect(streams).To(Equal(1))
-		g.Expect(gap).To(Equal(splitPause))
-		other.SetOtherLoads(start, "r", true, set.Loads())
+		g.Expect(gap).To(Equal(testMaxEventGap))
+		other.SetPeerLoads(start, "r", true, set.Loads())
 		streams, gap = pauses(other)
-		g.Expect(streams).To(Equal(1), "another router's streams count")
-		g.Expect(gap).To(Equal(splitPause))
+		g.Expect(streams).To(Equal(1), "streams of other routers count")
+		g.Expect(gap).To(Equal(testMaxEventGap))
 		set.End(start, send, outcome)
 		streams, _ = pauses(set)
 		g.Expect(streams).To(BeZero())
@@ -139,33 +140,33 @@
 	refused := set.BeginQuery(start, "i-00", 800, shortQuery())
 	set.End(start, refused, Refused)
 	streams, _ := pauses(set)
-	g.Expect(streams).To(BeZero(), "one that never began")
+	g.Expect(streams).To(BeZero(), "the stream never began")
 }
 
-func TestNothingIsHeldAgainstTheOtherKindWhenSlotsAreTaken(t *testing.T) {
+func TestSplitCostVanishesWhenSlotsAreUsed(t *testing.T) {
 	g := NewWithT(t)
-	set := splitSet()
-	now := play(set, start, 20, 120, 200)
-	dearest := func() (most int) {
-		set.Candidates(now, shortQuery()) // counts the slots for the next choice
+	set := newSplitSet()
+	now := simulateTraffic(set, start, 20, 120, 200)
+	maxCost := func() (most int) {
+		set.Candidates(now, shortQuery()) // counts the slots for the next placement
 		_, candidates := set.Candidates(now, shortQuery())
 		for _, c := range candidates {
 			most = max(most, c.ApartTokens)
 		}
 		return most
 	}
-	idle := dearest()
-	g.Expect(idle).To(BeNumerically(">", 0))
-	for i := range splitRunners {
+	idleCost := maxCost()
+	g.Expect(idleCost).To(BeNumerically(">", 0))
+	for i := range testRunnerCount {
 		for range 24 {
 			set.Begin(now, fmt.Sprintf("i-%02d", i), 0)
 		}
 	}
-	g.Expect(dearest()).To(BeNumerically("~", idle/2, idle/10), "three quarters of the slots are taken")
-	for i := range splitRunners {
+	g.Expect(maxCost()).To(BeNumerically("~", idleCost/2, idleCost/10), "three quarters of the slots are used")
+	for i := range testRunnerCount {
 		for range 8 {
 			set.Begin(now, fmt.Sprintf("i-%02d", i), 0)
 		}
 	}
-	g.Expect(dearest()).To(BeZero())
+	g.Expect(maxCost()).To(BeZero())
 }
--- a/internal/backend/suspects.go
+++ b/internal/backend/suspects.go
@@ -5,71 +5,74 @@
 	"slices"
 )
 
-// Costs of mixing contents that may end their runner with other work, in prompt tokens. They
-// are no part of the wait. In the model of mixed fleets (internal/quarantine) requests of one
-// such content that go together, and apart from other such contents, end 3.0 to 3.6 runners
-// each in place of 3.8 to 6.6 and break off half as many requests of others.
+// Costs, in prompt tokens, of mixing contents that are suspected of crashing their runner
+// with other work. They do not count as waiting time. In the simulation of mixed fleets
+// (internal/quarantine), when requests of one such content are placed together and apart
+// from other suspect contents, each content crashes 3.0 to 3.6 runners instead of 3.8 to
+// 6.6 and interrupts half as many other requests.
 const (
-	// otherSuspectCost is that of a runner that works on another suspected content: its end
-	// would not show which of the two caused it. It is above the largest prompt seen.
-	otherSuspectCost = 100000
-	// separateCost is that of a second runner for one content: below otherSuspectCost, and
-	// above what a prompt that is read anew mostly costs.
-	separateCost = 40000
-	// bystanderCost is that of each request that would end with the runner.
-	bystanderCost = 1000
-	// besideSuspectCost is that of a runner with a suspected content for all other requests:
-	// 0.1 s of reading. Most contents that were at work on an ended runner did not end it.
-	besideSuspectCost = 4000
+	// mixedSuspectCost is the cost of a runner that is running another suspect content: a
+	// crash would not show which of the two caused it. It exceeds the largest prompt seen.
+	mixedSuspectCost = 100000
+	// newSuspectRunnerCost is the cost of using another runner for a content. It is below
+	// mixedSuspectCost, and above the cost of most prompts that are prefilled from scratch.
+	newSuspectRunnerCost = 40000
+	// exposedRequestCost is the cost of each open request that would be lost if the runner
+	// crashed.
+	exposedRequestCost = 1000
+	// nearSuspectCost is the cost, for requests without suspect content, of a runner that
+	// is running one: 0.1 s of prefill. Most contents that were running on a crashed runner
+	// did not cause the crash.
+	nearSuspectCost = 4000
 )
 
-// suspectRuns counts the open requests of each suspected content at one runner.
-type suspectRuns map[uint64]int
+// suspectCounts is the number of open requests at one runner for each suspect content.
+type suspectCounts map[uint64]int
 
-func (s suspectRuns) begin(suspect uint64) suspectRuns {
-	if suspect == 0 {
+func (s suspectCounts) add(content uint64) suspectCounts {
+	if content == 0 {
 		return s
 	}
 	if s == nil {
-		s = suspectRuns{}
+		s = suspectCounts{}
 	}
-	s[suspect]++
+	s[content]++
 	return s
 }
 
-func (s suspectRuns) end(suspect uint64) {
-	if s[suspect] <= 1 {
-		delete(s, suspect)
+func (s suspectCounts) remove(content uint64) {
+	if s[content] <= 1 {
+		delete(s, content)
 		return
 	}
-	s[suspect]--
+	s[content]--
 }
 
-// names lists the contents.
-func (s suspectRuns) names() []uint64 {
+// contents returns the hashes of the contents in ascending order.
+func (s suspectCounts) contents() []uint64 {
 	if len(s) == 0 {
 		return nil
 	}
 	return slices.Sorted(maps.Keys(s))
 }
 
-// suspectCost is what speaks against the runner for a request of the query: the suspected
-// contents that this router, or another one, has there.
-func (e *entry) suspectCost(query Query, other Load) int {
-	if query.Suspect == 0 && len(e.suspects) == 0 && len(other.Suspects) == 0 {
+// suspectCost returns the cost of the runner for a request, given the suspect contents that
+// this router and other routers have placed there.
+func (e *entry) suspectCost(query Query, fromPeers Load) int {
+	if query.SuspectContent == 0 && len(e.suspects) == 0 && len(fromPeers.Suspects) == 0 {
 		return 0
 	}
-	requests := e.inFlight + other.Requests
-	same := e.suspects[query.Suspect] > 0 || slices.Contains(other.Suspects, query.Suspect)
-	alone := len(e.suspects) == 0 && len(other.Suspects) == 0
+	requests := e.inFlight + fromPeers.Requests
+	same := e.suspects[query.SuspectContent] > 0 || slices.Contains(fromPeers.Suspects, query.SuspectContent)
+	alone := len(e.suspects) == 0 && len(fromPeers.Suspects) == 0
 	switch {
-	case query.Suspect == 0:
-		return besideSuspectCost
+	case query.SuspectContent == 0:
+		return nearSuspectCost
 	case same && requests < e.Slots/2:
-		// Requests of one content end one runner together, rather than one each.
+		// Requests of one content crash one runner together instead of one each.
 		return 0
 	case alone:
-		return separateCost + requests*bystanderCost
+		return newSuspectRunnerCost + requests*exposedRequestCost
 	}
-	return otherSuspectCost + requests*bystanderCost
+	return mixedSuspectCost + requests*exposedRequestCost
 }
--- a/internal/backend/suspects_test.go
+++ b/internal/backend/suspects_test.go
@@ -11,9 +11,9 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// suspectFleet is equal runners of one service, the first of which keeps the prompt of all
-// requests.
-func suspectFleet(runners int) (*Set, func(query Query) string) {
+// newSuspectSet has equal runners of one service. The returned function places a request of
+// one prompt family, for which all requests prefer the same home runner.
+func newSuspectSet(runners int) (*Set, func(query Query) string) {
 	set, random := NewSet("z"), rand.New(rand.NewPCG(1, 2))
 	for i := range runners {
 		set.Put(Runner{ID: fmt.Sprint("r", i), Service: "s", Address: "a", Zone: "z", Slots: 8, Models: []ModelVersion{{Name: "m", Version: 1}}})
@@ -28,55 +28,56 @@
 	}
 }
 
-// Two contents were at work on a runner that ended. Their next runs must show which of them
-// did that, and take few others along.
-func TestSuspectedContentsAreKeptApart(t *testing.T) {
+// After a crash of a runner with two suspect contents, their next runs must show which one
+// caused it, and put few other requests at risk.
+func TestSuspectContentsAreSeparated(t *testing.T) {
 	g := NewWithT(t)
-	set, choose := suspectFleet(4)
+	set, choose := newSuspectSet(4)
 	home := choose(Query{})
-	first, second := choose(Query{Suspect: 1}), choose(Query{Suspect: 2})
-	g.Expect(first).NotTo(Equal(home), "there would be one bystander")
+	first, second := choose(Query{SuspectContent: 1}), choose(Query{SuspectContent: 2})
+	g.Expect(first).NotTo(Equal(home), "another request there would be at risk")
 	g.Expect(second).NotTo(Or(Equal(home), Equal(first)))
-	g.Expect(choose(Query{})).To(Equal(home), "others go on as before")
+	g.Expect(choose(Query{})).To(Equal(home), "requests without suspect content keep the home runner")
 	load := set.Loads()[first]
 	g.Expect(load.Suspects).To(Equal([]uint64{1}))
 }
 
-// Many callers ask the same at once: their requests end one runner together, not one each.
-func TestRequestsOfOneSuspectedContentGoTogether(t *testing.T) {
+// When many callers send one suspect content at once, their requests should crash one
+// runner together and not one each.
+func TestRequestsOfOneSuspectContentShareRunner(t *testing.T) {
 	g := NewWithT(t)
-	_, choose := suspectFleet(6)
-	first := choose(Query{Suspect: 1})
+	_, choose := newSuspectSet(6)
+	first := choose(Query{SuspectContent: 1})
 	for range 3 {
-		g.Expect(choose(Query{Suspect: 1})).To(Equal(first))
+		g.Expect(choose(Query{SuspectContent: 1})).To(Equal(first))
 	}
-	g.Expect(choose(Query{Suspect: 1})).NotTo(Equal(first), "half of its slots are taken")
+	g.Expect(choose(Query{SuspectContent: 1})).NotTo(Equal(first), "half of the runner's slots are used")
 }
 
-// Another router placed the content: schedulers tell each other where.
-func TestSuspectedContentsOfOtherRoutersCount(t *testing.T) {
+// Routers learn from reported loads where others have placed a suspect content.
+func TestPeerSuspectContentsCount(t *testing.T) {
 	g := NewWithT(t)
-	set, choose := suspectFleet(4)
-	set.SetOtherLoads(start, "other", true, map[string]Load{"r3": {Requests: 1, Suspects: []uint64{9}}})
-	g.Expect(choose(Query{Suspect: 9})).To(Equal("r3"))
-	g.Expect(choose(Query{Suspect: 8})).NotTo(Equal("r3"))
+	set, choose := newSuspectSet(4)
+	set.SetPeerLoads(start, "other", true, map[string]Load{"r3": {Requests: 1, Suspects: []uint64{9}}})
+	g.Expect(choose(Query{SuspectContent: 9})).To(Equal("r3"))
+	g.Expect(choose(Query{SuspectContent: 8})).NotTo(Equal("r3"))
 }
 
-func TestOtherRequestsAvoidASuspectedContent(t *testing.T) {
+func TestOtherRequestsAvoidSuspectRunners(t *testing.T) {
 	g := NewWithT(t)
-	set, choose := suspectFleet(3)
+	set, choose := newSuspectSet(3)
 	home := choose(Query{})
-	set.SetOtherLoads(start, "other", true, map[string]Load{home: {Requests: 1, Suspects: []uint64{9}}})
+	set.SetPeerLoads(start, "other", true, map[string]Load{home: {Requests: 1, Suspects: []uint64{9}}})
 	g.Expect(choose(Query{})).NotTo(Equal(home))
 	g.Expect(choose(Query{})).NotTo(Equal(home))
 }
 
-func TestEndedRequestsAreNoSuspects(t *testing.T) {
+func TestEndedRequestsReleaseSuspectContent(t *testing.T) {
 	g := NewWithT(t)
-	set, _ := suspectFleet(1)
-	query := Query{Service: "s", Model: "m", Suspect: 1}
+	set, _ := newSuspectSet(1)
+	query := Query{Service: "s", Model: "m", SuspectContent: 1}
 	one, two := set.BeginQuery(start, "r0", 0, query), set.BeginQuery(start, "r0", 0, query)
-	set.End(start, one, Answered)
+	set.End(start, one, Succeeded)
 	g.Expect(set.Loads()["r0"].Suspects).To(Equal([]uint64{1}))
 	set.End(start, two, NotConfirmed)
 	set.BeginQuery(start.Add(time.Second), "r0", 0, Query{Service: "s"})
--- a/internal/backend/waits.go
+++ b/internal/backend/waits.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// stallSlack is how long a runner may make no progress beyond its reading before
-// that counts as a wait.
-const stallSlack = 100 * time.Millisecond
+// maxStall is how long a runner may go without a first response, beyond the prefill of its
+// pending tokens, before this counts as a wait.
+const maxStall = 100 * time.Millisecond
 
-// currentWait is the wait that own requests met, or are meeting: what was measured
-// fades, and a runner that answers none of them makes all wait.
+// currentAssumedWait returns the wait of this router's requests at the runner, at the
+// assumed prefill speed. It is the larger of the decayed measured wait and the time for
+// which pending requests have gone without any first response.
 //
-// Routers do not tell each other their waits. It was tried: on a day that lost a
-// quarter of the runners everybody left every runner where anybody waited, the
-// prompts' shared parts were read again elsewhere, and worth fell from 0.60 to 0.20.
-func (e *entry) currentWait(now time.Time) time.Duration {
-	measured := e.measuredWait(now)
-	if e.unanswered == 0 {
+// Routers do not exchange their waits. This was tried: on a day on which a quarter of the
+// runners was lost, all routers left every runner with a wait, the shared parts of prompts
+// were prefilled again elsewhere, and worth fell from 0.60 to 0.20.
+func (e *entry) currentAssumedWait(now time.Time) time.Duration {
+	measured := e.measuredAssumedWait(now)
+	if e.awaitingResponse == 0 {
 		return measured
 	}
-	return max(measured, now.Sub(e.progressAt)-readingTime(e.pendingTokens)-stallSlack)
+	return max(measured, now.Sub(e.lastProgress)-assumedPrefillTime(e.pendingTokens)-maxStall)
 }
 
-// measuredWait is the wait that own requests met before their first answers.
-func (e *entry) measuredWait(now time.Time) time.Duration {
-	return decayedTime(e.wait, now.Sub(e.waitAt))
+// measuredAssumedWait returns the decayed wait of this router's requests before their first
+// responses.
+func (e *entry) measuredAssumedWait(now time.Time) time.Duration {
+	return decayedTime(e.assumedWait, now.Sub(e.assumedWaitAt))
 }
 
-// currentQueueing is currentWait by the learned speed of reading.
-func (e *entry) currentQueueing(now time.Time, speed *readSpeed) time.Duration {
-	measured := decayedTime(e.queueing, now.Sub(e.queueingAt))
-	if e.unanswered == 0 {
+// currentLearnedWait is currentAssumedWait at the learned prefill speed.
+func (e *entry) currentLearnedWait(now time.Time, prefill *prefillModel) time.Duration {
+	measured := decayedTime(e.learnedWait, now.Sub(e.learnedWaitAt))
+	if e.awaitingResponse == 0 {
 		return measured
 	}
-	return max(measured, now.Sub(e.progressAt)-speed.expectedTime(e.pendingTokens)-stallSlack)
+	return max(measured, now.Sub(e.lastProgress)-prefill.firstResponseTime(e.pendingTokens)-maxStall)
 }
 
 func decayedTime(value, elapsed time.Duration) time.Duration {
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -50,7 +50,7 @@
 	if response.Status >= http.StatusInternalServerError || isPromise(response.Status) {
 		return c.runnerFailed(answer)
 	}
-	c.end(backend.Answered, quarantine.Outlived, "", response.Status)
+	c.end(backend.Succeeded, quarantine.Outlived, "", response.Status)
 	c.request.Accept()
 	c.request.Finish(c.request.Attempt(), 0)
 	if more {
--- a/internal/gateway/cachefeed.go
+++ b/internal/gateway/cachefeed.go
@@ -40,7 +40,7 @@
 	r.mutex.Unlock()
 	if silent {
 		r.gateway.mutex.Lock()
-		r.gateway.runners.ForgetCached()
+		r.gateway.runners.ClearCachedParts()
 		r.gateway.mutex.Unlock()
 	}
 }
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -124,7 +124,7 @@
 	}
 	r.mutex.Unlock()
 	r.gateway.mutex.Lock()
-	r.gateway.runners.ForgetCached()
+	r.gateway.runners.ClearCachedParts()
 	r.gateway.mutex.Unlock()
 }
 
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -17,11 +17,11 @@
 	now, store := c.gateway.now(), c.gateway.cacheStores.storeOf(c.view.table, c.query.Family)
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	source := c.gateway.runners.Source(now, c.runner.ID, c.query, c.weights, store)
+	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weights, store)
 	dispatch.FetchFrom = source.Address
 	c.fetched = sourceLabel(source.Address, store)
 	c.gateway.metrics.sources.WithLabelValues(c.fetched).Inc()
-	if store != "" && !source.StoreKeeps && c.gateway.saves.Due(now, c.query, c.weights) {
+	if store != "" && !source.StoreHasAll && c.gateway.saves.ShouldSave(now, c.query, c.weights) {
 		dispatch.SaveTo = store
 	}
 }
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -14,13 +14,13 @@
 // newQuery says what placement needs to know of the call.
 func (c *call) newQuery() backend.Query {
 	query := backend.Query{
-		Service: c.service, Excluded: c.request.Excluded(), Zone: c.gateway.settings.Zone, MaxQueue: c.maxQueue,
-		Target: c.route.Target, EventGap: c.route.EventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
-		Suspect: c.suspect(), Resting: c.gateway.resting(),
+		Service: c.service, Excluded: c.request.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueue,
+		TargetLatency: c.route.Target, MaxEventGap: c.route.EventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
+		SuspectContent: c.suspect(), Resting: c.gateway.resting(),
 	}
 	if c.request.Attempt() > 0 {
 		// What has been let in is not turned away at its second attempt.
-		query.MaxQueue = 0
+		query.MaxQueueTime = 0
 	}
 	if !c.route.Cached {
 		return query
--- a/internal/gateway/collectors.go
+++ b/internal/gateway/collectors.go
@@ -18,7 +18,7 @@
 // Collect implements prometheus.Collector.
 func (s *runnerStates) Collect(figures chan<- prometheus.Metric) {
 	s.gateway.mutex.Lock()
-	counts := s.gateway.runners.States(s.gateway.now())
+	counts := s.gateway.runners.CountStates(s.gateway.now())
 	s.gateway.mutex.Unlock()
 	for key, count := range counts {
 		figures <- prometheus.MustNewConstMetric(runnerStatesDescription, prometheus.GaugeValue, float64(count), key.Service, key.State.String())
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -260,7 +260,7 @@
 		return
 	}
 	known.Learn(version, news)
-	g.runners.Weights().Name(model, version, namings.Older(g.settings.namingTimes(), news))
+	g.runners.WeightTargets().SetTarget(model, version, namings.Older(g.settings.namingTimes(), news))
 	g.countOlder(model, known)
 	until := known.OlderUntil(g.settings.namingTimes())
 	g.mutex.Unlock()
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -33,7 +33,7 @@
 	if object.Gone {
 		g.removeRunner(object, "gone")
 		g.mutex.Lock()
-		g.runners.Forget(object.Name)
+		g.runners.ForgetIncarnation(object.Name)
 		g.mutex.Unlock()
 		return
 	}
@@ -41,7 +41,7 @@
 	runner := *object.Runner
 	g.mutex.Lock()
 	before, known := g.runners.Get(runner.ID)
-	forged := g.runners.OfAnotherWriter(runner)
+	forged := g.runners.WrittenByOther(runner)
 	added := !forged && g.runners.Put(runner)
 	g.mutex.Unlock()
 	switch {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,7 +90,7 @@
 	// bounds are what is known of when weights were named.
 	bounds   namings.Table
 	splitter *routing.Splitter
-	saves    *backend.Saves
+	saves    *backend.SaveThrottle
 	// retries holds the budget for further attempts of each service.
 	retries map[string]*admission.RetryBudget
 	random  *rand.Rand
@@ -154,7 +154,7 @@
 		unbegun:  map[*unbegunSend]struct{}{},
 		bounds:   namings.Table{},
 		splitter: routing.NewSplitter(),
-		saves:    backend.NewSaves(),
+		saves:    backend.NewSaveThrottle(),
 		retries:  map[string]*admission.RetryBudget{},
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		named:    make(chan struct{}, 1),
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -27,14 +27,14 @@
 	for _, load := range share.GetLoads() {
 		loads[load.GetRunner()] = backend.Load{
 			Tokens: int(load.GetTokens()), Requests: int(load.GetRequests()),
-			Streams: int(load.GetStreams()), Gaps: time.Duration(load.GetGapsMillis()) * time.Millisecond, Suspects: load.GetSuspects(),
+			Streams: int(load.GetStreams()), TotalMaxGap: time.Duration(load.GetGapsMillis()) * time.Millisecond, Suspects: load.GetSuspects(),
 		}
 	}
 	s.gateway.relays.toldBehind(router, int(share.GetRouters()))
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	now := s.gateway.now()
-	s.gateway.runners.SetOtherLoads(now, router, share.GetFull(), loads)
+	s.gateway.runners.SetPeerLoads(now, router, share.GetFull(), loads)
 	for _, told := range share.GetPromises() {
 		s.gateway.order.LearnPromise(now, promiseOf(told))
 	}
@@ -81,7 +81,7 @@
 	for id, load := range loads {
 		share.Loads = append(share.Loads, &wire.RunnerLoad{
 			Runner: id, Tokens: uint32(max(load.Tokens, 0)), Requests: uint32(max(load.Requests, 0)),
-			Streams: uint32(max(load.Streams, 0)), GapsMillis: uint32(max(load.Gaps.Milliseconds(), 0)),
+			Streams: uint32(max(load.Streams, 0)), GapsMillis: uint32(max(load.TotalMaxGap.Milliseconds(), 0)),
 			Suspects: load.Suspects,
 		})
 	}
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -99,7 +99,7 @@
 	case is.Weights != nil && was.Weights != nil:
 		return is.Weights.Model == was.Weights.Model && is.Weights.Version < was.Weights.Version
 	case is.Runner != nil && was.Runner != nil:
-		return is.Runner.Precedes(*was.Runner)
+		return is.Runner.OlderThan(*was.Runner)
 	}
 	return false
 }
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -26,7 +26,7 @@
 func (g *Gateway) decideWith(now time.Time, query backend.Query, left time.Duration, excess float64) (chosen placement.Pick, limit admission.Limit, forShare bool) {
 	request, candidates := g.runners.Candidates(now, query)
 	demand := admission.Demand{
-		Service: query.Service, Rank: query.Rank, Target: query.Target, MaxQueue: query.MaxQueue, Left: left,
+		Service: query.Service, Rank: query.Rank, Target: query.TargetLatency, MaxQueue: query.MaxQueueTime, Left: left,
 		Excess: excess, Ticket: query.Ticket,
 	}
 	limit = g.order.Limit(now, demand, loadOf(candidates))
@@ -75,7 +75,7 @@
 // noteLimit keeps and counts what was decided about the call's queueing.
 func (c *call) noteLimit(chosen placement.Pick) {
 	c.queueing = chosen.Queueing
-	if c.query.MaxQueue > 0 {
+	if c.query.MaxQueueTime > 0 {
 		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.limit)
 	}
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -45,7 +45,7 @@
 // grant spends this router's next permit for the runner, if that limits requests. The
 // gateway's mutex is held.
 func (g *Gateway) grant(now time.Time, service, runner string) backpressure.Permit {
-	permit := g.runners.Grant(now, runner)
+	permit := g.runners.TakePermit(now, runner)
 	if permit.Valid(now) {
 		g.metrics.grants.WithLabelValues(service).Inc()
 	}
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -72,14 +72,14 @@
 	message := &wire.RunnerAsk{
 		Send: send, Service: query.Service, Model: query.Model, Owner: query.Owner, PromptTokens: uint32(max(query.PromptTokens, 0)),
 		Family: query.Family, Excluded: query.Excluded, Zone: query.Zone, LeftMillis: uint32(max(left.Milliseconds(), 0)),
-		MaxQueueMillis: uint32(query.MaxQueue.Milliseconds()),
-		TargetMillis:   uint32(query.Target.Milliseconds()), GapMillis: uint32(query.EventGap.Milliseconds()),
+		MaxQueueMillis: uint32(query.MaxQueueTime.Milliseconds()),
+		TargetMillis:   uint32(query.TargetLatency.Milliseconds()), GapMillis: uint32(query.MaxEventGap.Milliseconds()),
 		Tier: uint32(query.Rank.Tier), RouteRank: uint32(query.Rank.Route), Tenant: query.Tenant,
-		MaxTokens: uint32(max(query.MaxTokens, 0)), Ticket: query.Ticket, Suspect: query.Suspect,
+		MaxTokens: uint32(max(query.MaxTokens, 0)), Ticket: query.Ticket, Suspect: query.SuspectContent,
 	}
 	for _, rest := range query.Resting {
 		message.Resting = append(message.Resting, rest.Runner)
-		message.RestingMillis = append(message.RestingMillis, uint32(max(rest.Left.Milliseconds(), 1)))
+		message.RestingMillis = append(message.RestingMillis, uint32(max(rest.Remaining.Milliseconds(), 1)))
 	}
 	for _, part := range query.Shared {
 		message.Parts = append(message.Parts, part.ID)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -104,7 +104,7 @@
 	if c.stream == nil {
 		c.beginStream(response)
 	}
-	if !c.open.Answered() {
+	if !c.open.Responded() {
 		c.firstAnswer()
 	}
 	if version, named := c.gateway.ports.Protocol.EventVersion(data); named {
@@ -144,7 +144,7 @@
 			return c.outOfTime(false)
 		}
 	}
-	c.end(backend.Answered, quarantine.Outlived, "", response.Status)
+	c.end(backend.Succeeded, quarantine.Outlived, "", response.Status)
 	c.request.Accept()
 	c.request.Finish(c.request.Attempt(), 0)
 	return attempt.Stop
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -56,7 +56,7 @@
 }
 
 func newRollouts(g *Gateway) *rollouts {
-	return &rollouts{gateway: g, active: map[string]bool{}, unanswered: map[string]bool{}, setBackUntil: map[string]time.Time{}, taken: backend.UpdateTime}
+	return &rollouts{gateway: g, active: map[string]bool{}, unanswered: map[string]bool{}, setBackUntil: map[string]time.Time{}, taken: backend.TypicalUpdateTime}
 }
 
 // outdated counts the runners that have older weights than named.
@@ -64,7 +64,7 @@
 	g := r.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.runners.Outdated()
+	return g.runners.CountOutdated()
 }
 
 // advance starts the updates that may begin now under the term.
@@ -78,7 +78,7 @@
 	groups := g.runners.ModelGroups(r.gateway.now(), taken)
 	g.mutex.Unlock()
 	for _, group := range groups {
-		limits := limitsFor(len(group.Runners), group.AtOnce)
+		limits := limitsFor(len(group.Runners), group.MaxConcurrent)
 		model := rollout.Model{Name: group.Model, WeightVersion: strconv.FormatUint(group.Target, 10)}
 		for _, order := range rollout.Plan(limits, []rollout.Model{model}, r.planned(group)) {
 			r.start(order.Runner, group.Model, group.Target)
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -89,7 +89,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	listed, found := g.runners.Get(runner.ID)
-	return found && listed.Incarnation == runner.Incarnation && g.runners.Stays(runner.ID, listed.Service)
+	return found && listed.Incarnation == runner.Incarnation && g.runners.IsActive(runner.ID, listed.Service)
 }
 
 // find asks the runner and notes what that shows.
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -28,11 +28,11 @@
 	// sends numbers the requests of this router.
 	sends atomic.Uint64
 	// ledger holds the requests placed for others. The gateway's mutex guards it.
-	ledger *backend.Ledger
+	ledger *backend.PlacedSends
 }
 
 func newSchedulers(g *Gateway) *schedulers {
-	s := &schedulers{gateway: g, ranking: peers.NewRanking(g.settings.PeerAddress, g.settings.Zone), ledger: backend.NewLedger(g.runners)}
+	s := &schedulers{gateway: g, ranking: peers.NewRanking(g.settings.PeerAddress, g.settings.Zone), ledger: backend.NewPlacedSends(g.runners)}
 	s.setSchedulers(g.settings.Seeds)
 	return s
 }
@@ -93,7 +93,7 @@
 		return answer
 	}
 	answer.Permitted = g.grant(now, query.Service, chosen.Candidate.Name).Valid(now)
-	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Send: ask.GetSend()}
+	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Number: ask.GetSend()}
 	s.ledger.Begin(now, key, chosen.Candidate.Name, max(query.PromptTokens-chosen.Candidate.CachedTokens, 0), query, left+ledgerSlack)
 	answer.Runner, answer.CachedTokens = chosen.Candidate.Name, uint32(chosen.Candidate.CachedTokens)
 	answer.WaitMillis, answer.PendingRequests = uint32(max(chosen.Wait.Milliseconds(), 0)), uint32(chosen.Candidate.PendingRequests)
@@ -114,17 +114,17 @@
 	query := backend.Query{
 		Service: ask.GetService(), Model: ask.GetModel(), Owner: ask.GetOwner(), PromptTokens: int(ask.GetPromptTokens()),
 		Family: ask.GetFamily(), Excluded: ask.GetExcluded(), Zone: ask.GetZone(),
-		MaxQueue: time.Duration(ask.GetMaxQueueMillis()) * time.Millisecond,
-		Target:   time.Duration(ask.GetTargetMillis()) * time.Millisecond,
-		EventGap: time.Duration(ask.GetGapMillis()) * time.Millisecond,
-		Rank:     admission.Rank{Tier: int(ask.GetTier()), Route: int(ask.GetRouteRank())},
-		Tenant:   ask.GetTenant(), MaxTokens: int(ask.GetMaxTokens()),
-		Ticket: ask.GetTicket(), Suspect: ask.GetSuspect(),
+		MaxQueueTime:  time.Duration(ask.GetMaxQueueMillis()) * time.Millisecond,
+		TargetLatency: time.Duration(ask.GetTargetMillis()) * time.Millisecond,
+		MaxEventGap:   time.Duration(ask.GetGapMillis()) * time.Millisecond,
+		Rank:          admission.Rank{Tier: int(ask.GetTier()), Route: int(ask.GetRouteRank())},
+		Tenant:        ask.GetTenant(), MaxTokens: int(ask.GetMaxTokens()),
+		Ticket: ask.GetTicket(), SuspectContent: ask.GetSuspect(),
 	}
 	for i, runner := range ask.GetResting() {
 		if i < len(ask.GetRestingMillis()) {
 			left := time.Duration(ask.GetRestingMillis()[i]) * time.Millisecond
-			query.Resting = append(query.Resting, backend.Rest{Runner: runner, Left: left})
+			query.Resting = append(query.Resting, backend.RestingRunner{Runner: runner, Remaining: left})
 		}
 	}
 	for i, part := range ask.GetParts() {
@@ -138,20 +138,20 @@
 
 // noticed takes another router's word on a request that was placed for it.
 func (s *schedulers) noticed(envelope *wire.Envelope, notice *wire.SendNotice) {
-	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Send: notice.GetSend()}
+	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Number: notice.GetSend()}
 	outcome := backend.Outcome(min(notice.GetOutcome(), uint32(backend.NotConfirmed)))
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	s.ledger.LearnVersion(key, notice.GetWeights())
 	if notice.GetEnded() {
-		if query, send, found := s.ledger.Placed(key); found {
+		if query, send, found := s.ledger.Get(key); found {
 			s.gateway.shares.refund(s.gateway.now(), query, send, outcome)
 		}
-		s.ledger.Rest(s.gateway.now(), key, time.Duration(notice.GetRestMillis())*time.Millisecond)
+		s.ledger.AvoidRunner(s.gateway.now(), key, time.Duration(notice.GetRestMillis())*time.Millisecond)
 		s.ledger.End(s.gateway.now(), key, outcome)
 		return
 	}
-	s.ledger.FirstAnswer(s.gateway.now(), key)
+	s.ledger.FirstResponse(s.gateway.now(), key)
 }
 
 // open counts the requests placed for others that have not ended.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -187,10 +187,10 @@
 	defer g.mutex.Unlock()
 	if c.continuing {
 		// The run began before, so that its weights may go on.
-		return g.runners.Stays(c.runner.ID, c.service)
+		return g.runners.IsActive(c.runner.ID, c.service)
 	}
 	now := g.now()
-	if g.runners.Limited(c.runner.ID) {
+	if g.runners.IsLimited(c.runner.ID) {
 		g.metrics.limitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitAt))
 	}
 	return g.runners.MaySend(now, c.runner.ID, c.query, c.weights, c.permit)
@@ -203,7 +203,7 @@
 	}
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	if !c.gateway.runners.Listed(c.open) {
+	if !c.gateway.runners.IsListed(c.open) {
 		return false
 	}
 	return c.gateway.runners.LearnVersion(c.runner.ID, c.facts.Model, version)
@@ -212,7 +212,7 @@
 // end notes the outcome of the current attempt, and how its run ended.
 func (c *call) end(outcome backend.Outcome, run quarantine.RunEnd, cause string, status int) {
 	c.endSend(outcome, run)
-	if outcome == backend.Answered {
+	if outcome == backend.Succeeded {
 		return
 	}
 	c.gateway.metrics.runnerFailures.WithLabelValues(c.service, outcome.String()).Inc()
@@ -244,16 +244,16 @@
 	if c.answered.IsZero() {
 		c.answered = c.gateway.now()
 	}
-	if !c.open.Answered() && c.route.Kind == routing.Streaming {
+	if !c.open.Responded() && c.route.Kind == routing.Streaming {
 		// Other answers are over as soon as they begin.
-		g.schedulers.notify(c.placed, false, backend.Answered, c.answering, 0)
+		g.schedulers.notify(c.placed, false, backend.Succeeded, c.answering, 0)
 	}
 	g.mutex.Lock()
 	now := c.gateway.now()
 	c.barWithdrawal()
-	g.runners.FirstAnswer(now, c.open)
-	if g.runners.Listed(c.open) {
-		g.runners.NoteRead(now, c.runner.ID, c.query, c.weights)
+	g.runners.FirstResponse(now, c.open)
+	if g.runners.IsListed(c.open) {
+		g.runners.RecordPrefill(now, c.runner.ID, c.query, c.weights)
 	}
 	g.mutex.Unlock()
 }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -110,7 +110,7 @@
 // refund takes back what was counted for a request that no runner has run.
 func (s *shares) refund(now time.Time, query backend.Query, send *backend.Send, outcome backend.Outcome) {
 	if notRun(outcome) {
-		s.tracker.Refund(now, send.At(), poolOf(query), query.Tenant, fairshare.Cost(send.Tokens(), query.MaxTokens))
+		s.tracker.Refund(now, send.SentAt(), poolOf(query), query.Tenant, fairshare.Cost(send.Tokens(), query.MaxTokens))
 	}
 }
 
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -43,7 +43,7 @@
 
 // query is a prompt of the tenant that takes a tenth of a second to read.
 func query(tenant string) backend.Query {
-	return backend.Query{Service: busyService, Tenant: tenant, PromptTokens: backend.PrefillRate / 10, MaxQueue: 500 * time.Millisecond, Rank: admission.Rank{}}
+	return backend.Query{Service: busyService, Tenant: tenant, PromptTokens: backend.PrefillRate / 10, MaxQueueTime: 500 * time.Millisecond, Rank: admission.Rank{}}
 }
 
 // ask has the gateway choose, and keeps the runner as busy as the choice makes it.
@@ -95,7 +95,7 @@
 	chosen, _, _ = idle.decideWith(now, query("hot"), time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Picked), "nothing is refused where nothing queues")
 	admitted := query("hot")
-	admitted.MaxQueue = 0
+	admitted.MaxQueueTime = 0
 	chosen, _, _ = g.decideWith(now, admitted, time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Picked), "what was let in is not refused")
 }
@@ -118,7 +118,7 @@
 		excess  bool
 	}{
 		"refused by its runner": {backend.Refused, false},
-		"answered":              {backend.Answered, true},
+		"answered":              {backend.Succeeded, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, now := sharingGateway("hot", "calm"), time.Now()
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -47,7 +47,7 @@
 	g, now := c.gateway, c.gateway.now()
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
-	heard := g.runners.Hear(now, c.sent, c.runner, answer.Signals, success)
+	heard := g.runners.RecordSignals(now, c.sent, c.runner, answer.Signals, success)
 	logged := len(answer.Signals.Unreadable) > 0 && now.Sub(g.signals.unreadableAt) >= unreadablePause
 	if logged {
 		g.signals.unreadableAt = now
@@ -159,7 +159,7 @@
 }
 
 // resting returns the runners that want no requests from this router.
-func (g *Gateway) resting() []backend.Rest {
+func (g *Gateway) resting() []backend.RestingRunner {
 	now := g.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -74,8 +74,8 @@
 	status.Quarantined = g.suspects.summary(now)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	status.Weights = g.runners.Weights().Named()
-	status.Runners = g.runners.Summary(now)
+	status.Weights = g.runners.WeightTargets().Targets()
+	status.Runners = g.runners.Summaries(now)
 	status.BeyondShare = g.shares.summary(now)
 	return status
 }
--- a/internal/gateway/weighttold.go
+++ b/internal/gateway/weighttold.go
@@ -46,9 +46,9 @@
 // countOlder puts the deadlines of the model's older weights in force. The mutex is held.
 func (g *Gateway) countOlder(model string, known *namings.Model) {
 	deadlines := known.Deadlines(g.settings.namingTimes())
-	g.runners.Weights().SetDeadlines(model, deadlines)
+	g.runners.WeightTargets().SetDeadlines(model, deadlines)
 	for _, older := range deadlines {
-		g.withdrawAt(older.Unbegun, model)
+		g.withdrawAt(older.WithdrawAt, model)
 	}
 }
 
--- a/internal/gateway/workfigures.go
+++ b/internal/gateway/workfigures.go
@@ -21,10 +21,10 @@
 // Collect implements prometheus.Collector.
 func (w *serviceWork) Collect(figures chan<- prometheus.Metric) {
 	w.gateway.mutex.Lock()
-	works := w.gateway.runners.Works(w.gateway.now())
+	works := w.gateway.runners.Stats(w.gateway.now())
 	w.gateway.mutex.Unlock()
 	for _, work := range works {
-		figures <- prometheus.MustNewConstMetric(readRateDescription, prometheus.GaugeValue, work.ReadRate, work.Service)
+		figures <- prometheus.MustNewConstMetric(readRateDescription, prometheus.GaugeValue, work.PrefillRate, work.Service)
 		figures <- prometheus.MustNewConstMetric(longShareDescription, prometheus.GaugeValue, work.LongShare, work.Service)
 	}
 }
--- a/internal/namings/bounds.go
+++ b/internal/namings/bounds.go
@@ -123,11 +123,11 @@
 			break
 		}
 		if bound.Version > 1 {
-			deadlines = append(deadlines, backend.VersionDeadlines{Below: bound.Version - 1, Deadlines: Older(c, news)})
+			deadlines = append(deadlines, backend.VersionDeadlines{BelowVersion: bound.Version - 1, Deadlines: Older(c, news)})
 		}
 		news = m.newsOf(bound)
 	}
-	return append(deadlines, backend.VersionDeadlines{Below: m.named, Deadlines: Older(c, news)})
+	return append(deadlines, backend.VersionDeadlines{BelowVersion: m.named, Deadlines: Older(c, news)})
 }
 
 // OlderUntil returns when the oldest weights with a bound expire; without any, when all do.
@@ -136,7 +136,7 @@
 	if len(m.bounds) > 0 && m.bounds[0].Version <= m.named {
 		news = m.newsOf(m.bounds[0])
 	}
-	return Older(c, news).Expired
+	return Older(c, news).Expiry
 }
 
 // Firm returns the bounds that may be told to others and are at most so old: those of a
--- a/internal/namings/bounds_test.go
+++ b/internal/namings/bounds_test.go
@@ -65,8 +65,8 @@
 
 // deadlineOf returns when weights of the version expire.
 func deadlineOf(known *Model, version uint64) time.Time {
-	weights := backend.NewWeights()
-	weights.Name("m", known.named, backend.Deadlines{})
+	weights := backend.NewWeightTargets()
+	weights.SetTarget("m", known.named, backend.Deadlines{})
 	weights.SetDeadlines("m", known.Deadlines(boundTimes))
 	return weights.ExpiresAt("m", version)
 }
--- a/internal/namings/news.go
+++ b/internal/namings/news.go
@@ -94,11 +94,11 @@
 // has the less of it left. Counted from when it learned, they would be used beyond
 // the deadline by whatever held the news up.
 func Older(c Config, news News) backend.Deadlines {
-	deadlines := backend.Deadlines{Old: news.Learned.Add(c.Grace)}
+	deadlines := backend.Deadlines{StaleAt: news.Learned.Add(c.Grace)}
 	settled := Later(news.Started, news.Disturbed.Last).Add(c.settled())
 	if news.Before.IsZero() {
 		at := Later(settled, news.Learned)
-		deadlines.Expired, deadlines.Unbegun = at, at
+		deadlines.Expiry, deadlines.WithdrawAt = at, at
 		return deadlines
 	}
 	named := news.Before
@@ -107,8 +107,8 @@
 		named = Later(named, news.Disturbed.Last)
 	}
 	deadline := named.Add(c.Deadline)
-	deadlines.Expired = Later(settled, deadline.Add(-min(weightMargin, c.Deadline/4)))
-	deadlines.Unbegun = Later(settled, deadline.Add(-min(withdrawMargin, c.Deadline/8)))
+	deadlines.Expiry = Later(settled, deadline.Add(-min(weightMargin, c.Deadline/4)))
+	deadlines.WithdrawAt = Later(settled, deadline.Add(-min(withdrawMargin, c.Deadline/8)))
 	return deadlines
 }
 
--- a/internal/namings/news_test.go
+++ b/internal/namings/news_test.go
@@ -35,9 +35,9 @@
 			g := NewWithT(t)
 			test.news.Learned = now
 			deadlines := Older(times, test.news)
-			g.Expect(deadlines.Expired).To(BeTemporally("==", test.want))
-			g.Expect(deadlines.Unbegun).To(BeTemporally(">=", deadlines.Expired))
-			g.Expect(deadlines.Unbegun).To(BeTemporally("<=", deadlines.Expired.Add(begun-allowed)))
+			g.Expect(deadlines.Expiry).To(BeTemporally("==", test.want))
+			g.Expect(deadlines.WithdrawAt).To(BeTemporally(">=", deadlines.Expiry))
+			g.Expect(deadlines.WithdrawAt).To(BeTemporally("<=", deadlines.Expiry.Add(begun-allowed)))
 		})
 	}
 }
@@ -56,8 +56,8 @@
 			g := NewWithT(t)
 			news.Learned = launched.Add(startup)
 			deadlines := Older(boundTimes, news)
-			g.Expect(deadlines.Unbegun.Add(withdrawal)).To(BeTemporally("<=", launched.Add(boundTimes.Settle)))
-			g.Expect(deadlines.Expired).To(BeTemporally("<=", deadlines.Unbegun))
+			g.Expect(deadlines.WithdrawAt.Add(withdrawal)).To(BeTemporally("<=", launched.Add(boundTimes.Settle)))
+			g.Expect(deadlines.Expiry).To(BeTemporally("<=", deadlines.WithdrawAt))
 		})
 	}
 }
