--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -64,12 +64,12 @@
 mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
 mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/end.Began.After\(ends\[0\].At\)/true/' ./internal/quarantine
 mutant "9 suspensions do not count" internal/clock/clock.go 's/return steady.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return steady/' ./internal/clock
-mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.said.Limits\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'OwnWord|PermitAllows'
-mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.parts, p.fewer, p.from = parts, 0, now.Add\(handoverTime\)/p.parts, p.fewer = parts, 0/' ./internal/backpressure
-mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(handoverTime\)\n\t\}/now\n\t}/' ./internal/backpressure
-mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LiftedAt.Before\(r.NamedAt.Add\(liftMargin\)\)/!r.LiftedAt.After(r.NamedAt)/' ./internal/backpressure
-mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.said.Leaves\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
-mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.said.Resting\(now\) && //' ./internal/backend -run 'OwnWord'
+mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.said.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'OwnWord|PermitAllows'
+mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add\(shareChangeDelay\)/p.schedulers, p.pendingSchedulers = count, 0/' ./internal/backpressure
+mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(shareChangeDelay\)\n\t\}/now\n\t}/' ./internal/backpressure
+mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
+mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.said.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
+mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.said.InBackoff\(now\) && //' ./internal/backend -run 'OwnWord'
 mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
 mutant "11 eras do not count" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
 mutant "11 watches of another era are taken" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -123,7 +123,7 @@
 			ExtraTokens:     cost + s.evidenceCost(now, e, zone) + speed.tokensIn(slowness),
 			Pauses:          e.pauses(other),
 			ApartTokens:     split.cost(e) + e.suspectCost(query, other),
-			First:           e.said.Limits() && query.Suspect == 0 && s.permits.Unused(now, e.start()),
+			First:           e.said.IsLimited() && query.Suspect == 0 && s.permits.HasUnusedPermit(now, e.start()),
 		})
 	}
 	if query.EventGap > 0 {
@@ -142,7 +142,7 @@
 	ids, others := make([]string, 0, len(entries)), []string(nil)
 	for _, e := range entries {
 		switch {
-		case e.leaves() || now.Before(e.asideUntil) || e.said.Limits() || query.restOf(e.ID) > 0:
+		case e.leaves() || now.Before(e.asideUntil) || e.said.IsLimited() || query.restOf(e.ID) > 0:
 		case split.suits(e):
 			ids = append(ids, e.ID)
 		default:
--- a/internal/backend/runner.go
+++ b/internal/backend/runner.go
@@ -112,7 +112,7 @@
 	// may be newer than the directory's.
 	learned map[string]uint64
 	// said is what the runner said of itself in answers, nil if it said nothing.
-	said *backpressure.State
+	said *backpressure.RunnerState
 	// updating is true while an order of this router's is under way there.
 	updating bool
 }
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -88,7 +88,7 @@
 		// Those who count its load are told that none is left.
 		s.changed[runner.ID] = true
 	}
-	created := &entry{Runner: runner, learned: map[string]uint64{}, said: s.signals.Of(runner.start())}
+	created := &entry{Runner: runner, learned: map[string]uint64{}, said: s.signals.Get(runner.start())}
 	s.entries[runner.ID] = created
 	list := append(s.byService[runner.Service], created)
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
@@ -213,10 +213,10 @@
 			ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, State: e.state(now).String(),
 			InFlight: e.inFlight, FailureShare: e.currentFailureShare(now),
 		}
-		if e.said.Resting(now) {
-			summary.RestMillis = e.said.RestUntil.Sub(now).Milliseconds()
+		if e.said.InBackoff(now) {
+			summary.RestMillis = e.said.BackoffUntil.Sub(now).Milliseconds()
 		}
-		if e.said.Limits() {
+		if e.said.IsLimited() {
 			rate := e.said.Rate
 			summary.Limit, summary.Share = &rate, s.permits.Share(now, rate)
 		}
@@ -242,7 +242,7 @@
 		return Updating
 	case now.Before(e.asideUntil):
 		return SetAside
-	case e.said.Limits():
+	case e.said.IsLimited():
 		return Limited
 	}
 	return Serving
--- a/internal/backend/signals.go
+++ b/internal/backend/signals.go
@@ -14,8 +14,8 @@
 
 // Hear takes what the runner said of itself in the answer to a request sent at the moment,
 // a whole success or not, and tells what is new.
-func (s *Set) Hear(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Heard {
-	heard := s.signals.Hear(now, sent, runner.start(), signals, success)
+func (s *Set) Hear(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Changes {
+	heard := s.signals.Observe(now, sent, runner.start(), signals, success)
 	s.attach(runner.start())
 	return heard
 }
@@ -23,7 +23,7 @@
 // attach has the runner's entry know what the runner said.
 func (s *Set) attach(runner backpressure.Runner) {
 	if e := s.entries[runner.ID]; e != nil && e.Incarnation == runner.Incarnation {
-		e.said = s.signals.Of(runner)
+		e.said = s.signals.Get(runner)
 	}
 }
 
@@ -33,14 +33,14 @@
 		e := s.entries[runner.ID]
 		return e != nil && e.Incarnation == runner.Incarnation
 	}
-	for _, runner := range s.signals.Sweep(now, listed) {
+	for _, runner := range s.signals.Prune(now, listed) {
 		s.permits.Forget(runner)
 	}
 }
 
 // leaves tells whether the runner leaves, by its entry or by its own word in an answer: the
 // entry says so later, or not at all while the store is away, and the word is not taken back.
-func (e *entry) leaves() bool { return e.Draining || e.said.Leaves() }
+func (e *entry) leaves() bool { return e.Draining || e.said.IsLeaving() }
 
 // Permits returns this router's part of the limits that runners named.
 func (s *Set) Permits() *backpressure.Permits { return s.permits }
@@ -55,7 +55,7 @@
 		held.AddResting(rest)
 		return true
 	}
-	if !e.said.Limits() {
+	if !e.said.IsLimited() {
 		return false
 	}
 	wait := s.permits.Wait(now, e.start(), e.said.Rate)
@@ -68,15 +68,15 @@
 // takes tells whether the runner takes a request of this router's that the permit, if any,
 // was granted for.
 func (e *entry) takes(now time.Time, permit backpressure.Permit) bool {
-	return !e.said.Resting(now) && (!e.said.Limits() || permit.Valid(now))
+	return !e.said.InBackoff(now) && (!e.said.IsLimited() || permit.Valid(now))
 }
 
 // Resting returns the runners that want no requests from this router.
 func (s *Set) Resting(now time.Time) (resting []Rest) {
-	for _, state := range s.signals.Resting(now) {
+	for _, state := range s.signals.BackingOff(now) {
 		// A runner that has started again since has not asked for it.
 		if e := s.entries[state.ID]; e != nil && e.said == state {
-			resting = append(resting, Rest{Runner: state.ID, Left: state.RestUntil.Sub(now)})
+			resting = append(resting, Rest{Runner: state.ID, Left: state.BackoffUntil.Sub(now)})
 		}
 	}
 	return resting
@@ -99,14 +99,14 @@
 // has found it free. Other runners need none.
 func (s *Set) Grant(now time.Time, id string) backpressure.Permit {
 	e := s.entries[id]
-	if e == nil || !e.said.Limits() {
+	if e == nil || !e.said.IsLimited() {
 		return backpressure.Permit{}
 	}
 	return s.permits.Take(now, e.start(), e.said.Rate)
 }
 
 // Said returns what the runner has said of itself, nil if it is not listed or said nothing.
-func (s *Set) Said(id string) *backpressure.State {
+func (s *Set) Said(id string) *backpressure.RunnerState {
 	if e := s.entries[id]; e != nil {
 		return e.said
 	}
@@ -114,7 +114,7 @@
 }
 
 // Limited tells whether the runner limits requests.
-func (s *Set) Limited(id string) bool { return s.Said(id).Limits() }
+func (s *Set) Limited(id string) bool { return s.Said(id).IsLimited() }
 
 // MergeSignals takes what another router tells of runners, and returns what others are to
 // know.
--- a/internal/backend/signals_test.go
+++ b/internal/backend/signals_test.go
@@ -13,7 +13,7 @@
 // speakingSet has two runners of a model, the first of which has said the signals.
 func speakingSet(signals backpressure.Signals) (*Set, Query) {
 	set, query := NewSet("z"), Query{Service: "s", Model: "m", Family: 7, SharedTokens: 100, PromptTokens: 150}
-	set.Permits().SetAlone()
+	set.Permits().SetStandalone()
 	for _, id := range []string{"a", "b"} {
 		set.Put(Runner{ID: id, Incarnation: 1, Service: "s", Zone: "z", Slots: 8, Models: []ModelVersion{{Name: "m", Version: 1}}})
 	}
@@ -37,7 +37,7 @@
 func TestRunnerIsNotUsedAgainstItsOwnWord(t *testing.T) {
 	for name, signals := range map[string]backpressure.Signals{
 		"leaving": {Leaving: true},
-		"rest":    {Rest: time.Second},
+		"rest":    {Backoff: time.Second},
 		"limit":   {Limited: true, Rate: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 
 func TestRestIsToldWithTheQuestion(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{Rest: time.Second})
+	set, query := speakingSet(backpressure.Signals{Backoff: time.Second})
 	g.Expect(query.Resting).To(Equal([]Rest{{Runner: "a", Left: time.Second}}))
 	_, held := offered(set, query)
 	g.Expect(held).To(Equal(placement.HeldBack{Resting: 1, RestWait: time.Second}))
@@ -106,7 +106,7 @@
 // Nobody is told to come back for a runner that leaves.
 func TestLeavingRunnerIsNotHeldBack(t *testing.T) {
 	g := NewWithT(t)
-	set, query := speakingSet(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Rest: time.Second})
+	set, query := speakingSet(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Backoff: time.Second})
 	set.Grant(start, "a")
 	_, held := offered(set, query)
 	g.Expect(held.Any()).To(BeFalse())
--- a/internal/backpressure/permits.go
+++ b/internal/backpressure/permits.go
@@ -2,171 +2,186 @@
 
 import "time"
 
-// A limit bounds what a runner gets from all routers together. It is cut into equal parts, one
-// for each router that places requests for others, and a send to the runner needs a permit from
-// one part. A part belongs to its router for good: nobody takes over that of one that is
-// silent, so routers that do not reach each other never grant more than the limit together,
-// and nothing has to be agreed on. The price is that the runner gets the remaining parts only
-// while one of them is lost. A router that reaches nobody who grants sends nothing there.
+// A runner's rate limit applies to all routers together. It is divided into equal shares, one
+// for each scheduler (a router that places requests for others), and each request sent to the
+// runner needs a permit from one share. Shares are never reassigned: nobody takes over the
+// share of a scheduler that does not respond. Schedulers that cannot reach each other therefore
+// never grant more than the limit in total, and they need no agreement protocol. The cost is
+// that a runner receives only the remaining shares while a scheduler is down. A router that
+// cannot reach any scheduler sends nothing to the runner.
 const (
-	// permitTime is how long after it was asked for a permit allows a send. Grants of a time
-	// are sends of the same time and this one.
-	permitTime = time.Second
-	// earlyTime is by how much a permit may come before its moment, so that requests that
-	// come at random moments find the runner free.
-	earlyTime = 250 * time.Millisecond
-	// handoverTime is after how long a change of the number of parts has reached all who
-	// grant, with the time of the permits granted before.
-	handoverTime = 5 * time.Second
-	// leastRate is what a runner gets at least, in requests a second: only its answers tell
-	// that a limit has ended.
-	leastRate = 0.1
-	// unusedTime is how long a permit may stay unused before the next request of the service
-	// is to use it: only an answer tells whether the runner still names its limit.
-	unusedTime = 2 * time.Second
-	// askAgainTime is told by a router that grants nothing: it does not know when there is room,
-	// and the next question to a scheduler tells.
-	askAgainTime = 250 * time.Millisecond
-	// longestPromise bounds the time told to a refused caller.
-	longestPromise = 10 * time.Second
+	// permitLifetime is how long a permit is valid after it was requested. The sends that
+	// result from the permits granted in an interval fall within that interval plus
+	// permitLifetime.
+	permitLifetime = time.Second
+	// earlyTolerance is how long before its due time a permit may be granted, so that a runner
+	// is not left idle between requests that arrive at random times.
+	earlyTolerance = 250 * time.Millisecond
+	// shareChangeDelay is the time after which a change of the number of schedulers has reached
+	// every scheduler and all permits granted before it have expired.
+	shareChangeDelay = 5 * time.Second
+	// minRate is the minimum rate for a runner, in requests per second. Some requests must get
+	// through even at a limit of 0, because only responses show that the limit was lifted.
+	minRate = 0.1
+	// unusedTimeout is how long a permit may stay available before the next request of the
+	// service should use it: only a response shows whether the runner still reports its limit.
+	unusedTimeout = 2 * time.Second
+	// defaultRetryAfter is the wait reported by a router without a share. It does not know when
+	// a permit becomes available; the next call to a scheduler does.
+	defaultRetryAfter = 250 * time.Millisecond
+	// maxRetryAfter limits the retry delay given to a refused caller.
+	maxRetryAfter = 10 * time.Second
 )
 
-// Permit allows one send to a runner that limits requests. The zero permit allows none.
-type Permit struct{ until time.Time }
+// Permit allows one request to be sent to a rate-limited runner until it expires. The zero
+// Permit is never valid.
+type Permit struct{ expiry time.Time }
 
-// PermitAskedAt returns a granted permit that was asked for at the moment.
-func PermitAskedAt(moment time.Time) Permit { return Permit{until: moment.Add(permitTime)} }
+// NewPermit returns a permit that was requested and granted at requestedAt.
+func NewPermit(requestedAt time.Time) Permit { return Permit{expiry: requestedAt.Add(permitLifetime)} }
 
-// Valid tells whether the permit allows a send now.
-func (p Permit) Valid(now time.Time) bool { return now.Before(p.until) }
+// Valid reports whether the permit allows a request to be sent now.
+func (p Permit) Valid(now time.Time) bool { return now.Before(p.expiry) }
 
-// Permits is this router's part of all limits. It is not safe for concurrent use.
+// Permits grants permits from this router's share of every runner's limit. It is not safe for
+// concurrent use.
 type Permits struct {
-	// parts is into how many parts limits are cut, 0 while this router grants nothing.
-	parts int
-	// fewer takes the place of parts at the moment, 0 when none is to.
-	fewer   int
-	fewerAt time.Time
-	// from is when this router begins to grant.
-	from  time.Time
-	paces map[Runner]*pace
-	// promised is the moment up to which callers of each service were told to come back.
-	promised map[string]time.Time
+	// schedulers is the number of schedulers that each limit is divided among, 0 while this
+	// router grants nothing.
+	schedulers int
+	// pendingSchedulers replaces schedulers at pendingAt; 0 means that no change is pending.
+	pendingSchedulers int
+	pendingAt         time.Time
+	// grantFrom is the earliest time at which this router grants permits.
+	grantFrom time.Time
+	pacers    map[Runner]*pacer
+	// lastRetryAt holds, for each service, the latest time at which a refused caller was told
+	// to retry. Later callers are told to retry after it.
+	lastRetryAt map[string]time.Time
 }
 
-// pace is when the next permit for a runner is due.
-type pace struct {
-	rate float64
-	next time.Time
+// pacer spaces the permits for one runner. The rate is in requests per second.
+type pacer struct {
+	rate   float64
+	nextAt time.Time
 }
 
-// NewPermits returns a part that grants nothing yet.
+// NewPermits returns Permits without a share; they grant nothing until SetStandalone or
+// SetSchedulerCount is called.
 func NewPermits() *Permits {
-	return &Permits{paces: map[Runner]*pace{}, promised: map[string]time.Time{}}
+	return &Permits{pacers: map[Runner]*pacer{}, lastRetryAt: map[string]time.Time{}}
 }
 
-// SetAlone has this router grant all of every limit: there are no others.
-func (p *Permits) SetAlone() { p.parts, p.fewer, p.from = 1, 0, time.Time{} }
+// SetStandalone gives this router the whole of every limit, for a deployment with a single
+// router.
+func (p *Permits) SetStandalone() { p.schedulers, p.pendingSchedulers, p.grantFrom = 1, 0, time.Time{} }
 
-// SetParts takes the number of routers that place requests, 0 if this is none of them. A new
-// one waits until those before it have ceased to grant, and a larger part counts once the
-// others have heard that theirs are larger, too.
-func (p *Permits) SetParts(now time.Time, parts int) {
+// SetSchedulerCount sets the number of schedulers, or 0 if this router is not one of them. A
+// new scheduler grants nothing until the previous ones have reduced their shares, which takes
+// shareChangeDelay. A smaller share takes effect at once; a larger one after shareChangeDelay,
+// when every scheduler knows the new number.
+func (p *Permits) SetSchedulerCount(now time.Time, count int) {
 	switch {
-	case parts == 0:
-		p.parts, p.fewer = 0, 0
-	case p.parts == 0:
-		p.parts, p.fewer, p.from = parts, 0, now.Add(handoverTime)
-	case parts >= p.parts:
-		p.parts, p.fewer = parts, 0
-	case parts != p.fewer:
-		p.fewer, p.fewerAt = parts, now.Add(handoverTime)
+	case count == 0:
+		p.schedulers, p.pendingSchedulers = 0, 0
+	case p.schedulers == 0:
+		p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add(shareChangeDelay)
+	case count >= p.schedulers:
+		p.schedulers, p.pendingSchedulers = count, 0
+	case count != p.pendingSchedulers:
+		p.pendingSchedulers, p.pendingAt = count, now.Add(shareChangeDelay)
 	}
 }
 
-// current is the number of parts by now.
-func (p *Permits) current(now time.Time) int {
-	if p.fewer > 0 && !now.Before(p.fewerAt) {
-		p.parts, p.fewer = p.fewer, 0
+// currentSchedulers returns the number of schedulers, after applying a pending change that is
+// due.
+func (p *Permits) currentSchedulers(now time.Time) int {
+	if p.pendingSchedulers > 0 && !now.Before(p.pendingAt) {
+		p.schedulers, p.pendingSchedulers = p.pendingSchedulers, 0
 	}
-	return p.parts
+	return p.schedulers
 }
 
-// Share is this router's part of the rate, in requests a second.
+// Share returns this router's share of the rate, in requests per second, or 0 if this router
+// grants nothing.
 func (p *Permits) Share(now time.Time, rate float64) float64 {
-	parts := p.current(now)
-	if parts == 0 {
+	schedulers := p.currentSchedulers(now)
+	if schedulers == 0 {
 		return 0
 	}
-	return max(rate, leastRate) / float64(parts)
+	return max(rate, minRate) / float64(schedulers)
 }
 
-// Wait returns how long the runner with the limit gets no further request by this router's
-// leave, 0 if it gets one now.
+// Wait returns how long until this router can grant another permit for the runner at the given
+// rate limit, 0 if it can grant one now.
 func (p *Permits) Wait(now time.Time, runner Runner, rate float64) time.Duration {
 	share := p.Share(now, rate)
 	if share == 0 {
-		return askAgainTime
+		return defaultRetryAfter
 	}
-	due := p.from
-	if known := p.paces[runner]; known != nil {
-		due = later(due, known.due(now, rate, share))
+	due := p.grantFrom
+	if existing := p.pacers[runner]; existing != nil {
+		due = later(due, existing.adjustRate(now, rate, share))
 	}
 	wait := due.Sub(now)
-	if wait <= earlyTime && !now.Before(p.from) {
+	if wait <= earlyTolerance && !now.Before(p.grantFrom) {
 		return 0
 	}
 	return max(wait, 0)
 }
 
-// Unused tells whether a permit for the runner has been free for long.
-func (p *Permits) Unused(now time.Time, runner Runner) bool {
-	due := p.from
-	if known := p.paces[runner]; known != nil {
-		due = later(due, known.next)
+// HasUnusedPermit reports whether a permit for the runner has been available for at least
+// unusedTimeout.
+func (p *Permits) HasUnusedPermit(now time.Time, runner Runner) bool {
+	due := p.grantFrom
+	if existing := p.pacers[runner]; existing != nil {
+		due = later(due, existing.nextAt)
 	}
-	return p.current(now) > 0 && now.Sub(due) >= unusedTime
+	return p.currentSchedulers(now) > 0 && now.Sub(due) >= unusedTimeout
 }
 
-// due is when the next permit is due. A limit that was raised is not kept to its former pace.
-func (c *pace) due(now time.Time, rate, share float64) time.Time {
-	if latest := now.Add(interval(share)); rate > c.rate && latest.Before(c.next) {
-		c.next = latest
+// adjustRate applies the current rate limit and returns when the next permit is due. After an
+// increase of the limit, the next permit is due no later than one interval of the new rate from
+// now.
+func (p *pacer) adjustRate(now time.Time, rate, share float64) time.Time {
+	if latest := now.Add(permitInterval(share)); rate > p.rate && latest.Before(p.nextAt) {
+		p.nextAt = latest
 	}
-	c.rate = rate
-	return c.next
+	p.rate = rate
+	return p.nextAt
 }
 
-// Take grants one send to the runner with the limit; Wait has returned 0.
+// Take grants a permit for the runner. Callers must call it only after Wait returned 0.
 func (p *Permits) Take(now time.Time, runner Runner, rate float64) Permit {
-	known := p.paces[runner]
-	if known == nil {
-		known = &pace{rate: rate}
-		p.paces[runner] = known
+	existing := p.pacers[runner]
+	if existing == nil {
+		existing = &pacer{rate: rate}
+		p.pacers[runner] = existing
 	}
-	known.next = later(known.next, now).Add(interval(p.Share(now, rate)))
-	return PermitAskedAt(now)
+	existing.nextAt = later(existing.nextAt, now).Add(permitInterval(p.Share(now, rate)))
+	return NewPermit(now)
 }
 
-// interval is the time between two permits.
-func interval(share float64) time.Duration {
+// permitInterval returns the time between two permits at the given share, at most one hour.
+func permitInterval(share float64) time.Duration {
 	return time.Duration(min(1/share, time.Hour.Seconds()) * float64(time.Second))
 }
 
-// Promise returns when a refused caller of the service finds room: when a runner takes a
-// request again, and after those that were refused before it, as many a second as the share.
-func (p *Permits) Promise(now time.Time, service string, wait time.Duration, share float64) time.Duration {
+// RetryAfter returns the delay after which a refused caller of the service should retry. The
+// first caller is told to retry after wait, when a runner accepts requests again; callers
+// refused after it are spaced at the rate of the share.
+func (p *Permits) RetryAfter(now time.Time, service string, wait time.Duration, share float64) time.Duration {
 	if share == 0 {
 		return wait
 	}
-	room := later(now.Add(wait), p.promised[service])
-	next := room.Add(interval(share))
-	if latest := now.Add(longestPromise); next.After(latest) {
-		next = latest
+	retryAt := later(now.Add(wait), p.lastRetryAt[service])
+	nextRetryAt := retryAt.Add(permitInterval(share))
+	if latestRetryAt := now.Add(maxRetryAfter); nextRetryAt.After(latestRetryAt) {
+		nextRetryAt = latestRetryAt
 	}
-	p.promised[service] = next
-	return min(room.Sub(now), longestPromise)
+	p.lastRetryAt[service] = nextRetryAt
+	return min(retryAt.Sub(now), maxRetryAfter)
 }
 
-// Forget drops what is remembered of a runner that is gone.
-func (p *Permits) Forget(runner Runner) { delete(p.paces, runner) }
+// Forget removes the state of a runner that no longer exists.
+func (p *Permits) Forget(runner Runner) { delete(p.pacers, runner) }
--- a/internal/backpressure/permits_property_test.go
+++ b/internal/backpressure/permits_property_test.go
@@ -12,131 +12,134 @@
 )
 
 const (
-	// window is the time over which a limit is judged; of its limit a runner may get
-	// windowShare in it, and windowSlack requests beyond.
+	// window is the interval over which the rate is checked. Within it, a runner may receive
+	// burstFactor times its limit plus burstSlack requests.
 	window      = 4 * time.Second
-	windowShare = 1.5
-	windowSlack = 5
-	// listLag is how long a change of the list of schedulers takes to reach each of them.
-	listLag = 3 * time.Second
-	tick    = 20 * time.Millisecond
+	burstFactor = 1.5
+	burstSlack  = 5
+	// membershipDelay is the maximum time until a scheduler learns of a change of the set of
+	// schedulers.
+	membershipDelay = 3 * time.Second
+	tick            = 20 * time.Millisecond
 )
 
-func allowedIn(rate float64) int { return int(windowShare*rate*window.Seconds() + windowSlack) }
+func allowedPerWindow(rate float64) int { return int(burstFactor*rate*window.Seconds() + burstSlack) }
 
-// scheduler is one that grants, with the list that it has read.
-type scheduler struct {
+// simScheduler is a scheduler that grants permits, with its own view of the set of schedulers.
+type simScheduler struct {
 	permits *Permits
-	listed  []string
-	// next is the list that it reads at the moment.
-	next   []string
-	nextAt time.Time
+	members []string
+	// pendingMembers replaces members at pendingAt.
+	pendingMembers []string
+	pendingAt      time.Time
 }
 
-func (s *scheduler) read(now time.Time, self string) {
-	if s.next != nil && !now.Before(s.nextAt) {
-		s.listed, s.next = s.next, nil
-		parts := 0
-		if slices.Contains(s.listed, self) {
-			parts = len(s.listed)
+func (s *simScheduler) applyPending(now time.Time, self string) {
+	if s.pendingMembers != nil && !now.Before(s.pendingAt) {
+		s.members, s.pendingMembers = s.pendingMembers, nil
+		count := 0
+		if slices.Contains(s.members, self) {
+			count = len(s.members)
 		}
-		s.permits.SetParts(now, parts)
+		s.permits.SetSchedulerCount(now, count)
 	}
 }
 
-// world plays schedulers that grant as much as they may, and a network that delays sends.
-type world struct {
+// simulation runs schedulers that grant as many permits as they may, and a network that delays
+// the requests sent under them.
+type simulation struct {
 	random     *rand.Rand
 	rate       float64
-	list       []string
-	schedulers map[string]*scheduler
-	arrived    []time.Time
+	members    []string
+	schedulers map[string]*simScheduler
+	arrivals   []time.Time
 }
 
-func newWorld(seed uint64, rate float64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 1)), rate: rate, list: []string{"a", "b", "c"}, schedulers: map[string]*scheduler{}}
-	for _, name := range w.list {
-		w.start(start.Add(-time.Minute), name)
+func newSimulation(seed uint64, rate float64) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 1)), rate: rate, members: []string{"a", "b", "c"}, schedulers: map[string]*simScheduler{}}
+	for _, name := range sim.members {
+		sim.startScheduler(start.Add(-time.Minute), name)
 	}
-	return w
+	return sim
 }
 
-// start starts a scheduler that reads the present list at once.
-func (w *world) start(now time.Time, name string) {
-	w.schedulers[name] = &scheduler{permits: NewPermits(), next: w.list, nextAt: now}
-	w.schedulers[name].read(now, name)
+// startScheduler starts a scheduler that knows the current set of schedulers at once.
+func (sim *simulation) startScheduler(now time.Time, name string) {
+	sim.schedulers[name] = &simScheduler{permits: NewPermits(), pendingMembers: sim.members, pendingAt: now}
+	sim.schedulers[name].applyPending(now, name)
 }
 
-// change puts another list in force, which each scheduler reads within listLag.
-func (w *world) change(now time.Time, list []string) {
-	w.list = list
-	for _, name := range list {
-		if w.schedulers[name] == nil {
-			w.start(now, name)
+// setMembers changes the set of schedulers. Each scheduler learns of it within membershipDelay.
+func (sim *simulation) setMembers(now time.Time, members []string) {
+	sim.members = members
+	for _, name := range members {
+		if sim.schedulers[name] == nil {
+			sim.startScheduler(now, name)
 		}
 	}
-	for _, s := range w.schedulers {
-		s.next, s.nextAt = list, now.Add(time.Duration(w.random.Int64N(int64(listLag))))
+	for _, s := range sim.schedulers {
+		s.pendingMembers, s.pendingAt = members, now.Add(time.Duration(sim.random.Int64N(int64(membershipDelay))))
 	}
 }
 
-// step has each scheduler grant what it may; permits are used late, as far as they allow.
-func (w *world) step(now time.Time) {
-	for name, s := range w.schedulers {
-		s.read(now, name)
-		if s.permits.Share(now, w.rate) == 0 {
+// grantAll has each scheduler grant all permits it may. Each permit is used at a random time
+// before it expires.
+func (sim *simulation) grantAll(now time.Time) {
+	for name, s := range sim.schedulers {
+		s.applyPending(now, name)
+		if s.permits.Share(now, sim.rate) == 0 {
 			continue
 		}
-		for s.permits.Wait(now, runner, w.rate) == 0 {
-			s.permits.Take(now, runner, w.rate)
-			w.arrived = append(w.arrived, now.Add(time.Duration(w.random.Int64N(int64(permitTime)))))
+		for s.permits.Wait(now, runner, sim.rate) == 0 {
+			s.permits.Take(now, runner, sim.rate)
+			sim.arrivals = append(sim.arrivals, now.Add(time.Duration(sim.random.Int64N(int64(permitLifetime)))))
 		}
 	}
 }
 
-// most is the most arrivals within any window.
-func (w *world) most() (most int) {
-	slices.SortFunc(w.arrived, time.Time.Compare)
+// maxPerWindow returns the maximum number of arrivals within any window.
+func (sim *simulation) maxPerWindow() (highest int) {
+	slices.SortFunc(sim.arrivals, time.Time.Compare)
 	first := 0
-	for last, at := range w.arrived {
-		for at.Sub(w.arrived[first]) >= window {
+	for last, at := range sim.arrivals {
+		for at.Sub(sim.arrivals[first]) >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
-// However schedulers restart, come, leave or are told late of it, a runner gets no more than
-// its limit allows.
-func TestSumOfAllPartsIsBounded(t *testing.T) {
+// A runner receives no more than its limit allows, even when schedulers restart, join, leave or
+// learn of such changes late.
+func TestTotalRateOfAllSchedulersIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), math.Pow(10, rapid.Float64Range(-1.5, 2).Draw(t, "magnitude")))
-		changeAt, names := start.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "first change"))*time.Second), 3
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), math.Pow(10, rapid.Float64Range(-1.5, 2).Draw(t, "magnitude")))
+		changeAt, lastName := start.Add(time.Duration(rapid.IntRange(1, 20).Draw(t, "first change"))*time.Second), 3
 		for now := start; now.Before(start.Add(60 * time.Second)); now = now.Add(tick) {
-			w.step(now)
+			sim.grantAll(now)
 			if now.Before(changeAt) {
 				continue
 			}
 			changeAt = now.Add(time.Duration(rapid.IntRange(6, 20).Draw(t, "pause")) * time.Second)
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
-			case 0: // one restarts
-				w.start(now, rapid.SampledFrom(w.list).Draw(t, "restarted"))
-			case 1: // one is replaced
-				names++
-				w.change(now, append(slices.Clone(w.list[1:]), fmt.Sprintf("s%d", names)))
-			case 2: // one more
-				if names++; len(w.list) < 5 {
-					w.change(now, append(slices.Clone(w.list), fmt.Sprintf("s%d", names)))
+			case 0: // a scheduler restarts
+				sim.startScheduler(now, rapid.SampledFrom(sim.members).Draw(t, "restarted"))
+			case 1: // a scheduler is replaced
+				lastName++
+				sim.setMembers(now, append(slices.Clone(sim.members[1:]), fmt.Sprintf("s%d", lastName)))
+			case 2: // a scheduler joins
+				if lastName++; len(sim.members) < 5 {
+					sim.setMembers(now, append(slices.Clone(sim.members), fmt.Sprintf("s%d", lastName)))
 				}
-			case 3: // one fewer
-				if len(w.list) > 1 {
-					w.change(now, slices.Clone(w.list[1:]))
+			case 3: // a scheduler leaves
+				if len(sim.members) > 1 {
+					sim.setMembers(now, slices.Clone(sim.members[1:]))
 				}
 			}
 		}
-		if most := w.most(); most > allowedIn(w.rate) {
-			t.Fatalf("%d within a window, allowed %d at %.3f a second", most, allowedIn(w.rate), w.rate)
+		if highest := sim.maxPerWindow(); highest > allowedPerWindow(sim.rate) {
+			t.Fatalf("%d requests within a window, allowed %d at %.3f requests per second", highest, allowedPerWindow(sim.rate), sim.rate)
 		}
 	})
 }
--- a/internal/backpressure/record.go
+++ b/internal/backpressure/record.go
@@ -2,54 +2,57 @@
 
 import "time"
 
-// Runner names one start of a runner: what an earlier start said does not hold for the next.
+// Runner identifies one run of a runner process. Signals from an earlier incarnation do not
+// apply to a later one.
 type Runner struct {
 	ID          string
 	Incarnation uint64
 }
 
-// liftMargin is by how much the request whose answer names no limit must have been sent
-// after the limit was last named: moments of other routers are known to within the time that
-// their messages take, and a limit lifted too soon lets all of them send at once.
+// liftMargin is the minimum time between the last report of a limit and the sending of a
+// request whose response lifts it. Times reported by other routers are accurate only to within
+// the message delay, and if a limit is lifted too early, all routers send at once.
 const liftMargin = time.Second
 
-// Record is what all routers know together of one runner. Records are merged in any order
-// and any number of times to the same one.
+// Record is the state of one runner that is shared by all routers. Merging records is
+// commutative, associative and idempotent, so routers may exchange them in any order and any
+// number of times.
 type Record struct {
 	Runner
-	// LeavingAt is when it last said that it leaves, zero if it never did.
+	// LeavingAt is when the runner last reported that it is shutting down, zero if it never
+	// did.
 	LeavingAt time.Time
-	// Rate is the limit that it named last, in requests a second, and NamedAt when an answer
-	// last did so; zero if none ever did.
-	Rate    float64
-	NamedAt time.Time
-	// LiftedAt is when the last request was sent whose answer named no limit.
-	LiftedAt time.Time
+	// Rate is the last reported limit in requests per second, and LimitReportedAt is when a
+	// response last reported it; both are zero if no response ever did.
+	Rate            float64
+	LimitReportedAt time.Time
+	// LimitLiftedAt is when the latest request was sent whose response reported no limit.
+	LimitLiftedAt time.Time
 }
 
-// Leaving tells whether the runner leaves.
+// Leaving reports whether the runner is shutting down.
 func (r Record) Leaving() bool { return !r.LeavingAt.IsZero() }
 
-// Limited tells whether the runner limits requests.
+// Limited reports whether the runner currently limits requests.
 func (r Record) Limited() bool {
-	return !r.NamedAt.IsZero() && r.LiftedAt.Before(r.NamedAt.Add(liftMargin))
+	return !r.LimitReportedAt.IsZero() && r.LimitLiftedAt.Before(r.LimitReportedAt.Add(liftMargin))
 }
 
-// agrees tells whether the same follows from both records.
-func (r Record) agrees(other Record) bool {
+// isEquivalent reports whether both records have the same effect on placement.
+func (r Record) isEquivalent(other Record) bool {
 	if r.Leaving() != other.Leaving() || r.Limited() != other.Limited() {
 		return false
 	}
 	return !r.Limited() || r.Rate == other.Rate
 }
 
-// merge returns what both records tell together: the newest of each.
+// merge combines both records and keeps the newest value of each field.
 func (r Record) merge(other Record) Record {
 	r.LeavingAt = later(r.LeavingAt, other.LeavingAt)
-	if other.NamedAt.After(r.NamedAt) {
-		r.Rate, r.NamedAt = other.Rate, other.NamedAt
+	if other.LimitReportedAt.After(r.LimitReportedAt) {
+		r.Rate, r.LimitReportedAt = other.Rate, other.LimitReportedAt
 	}
-	r.LiftedAt = later(r.LiftedAt, other.LiftedAt)
+	r.LimitLiftedAt = later(r.LimitLiftedAt, other.LimitLiftedAt)
 	return r
 }
 
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -1,11 +1,12 @@
-// Package backpressure keeps what runners say of themselves in their answers: that they
-// leave, that they limit the requests of all routers together, that they want a rest from
-// one router. It also grants the sends that a limit allows.
+// Package backpressure tracks the load signals that runners send in their responses: that they
+// are shutting down, that they limit the rate of requests from all routers together, or that
+// one router should back off. It also grants the permits for sending requests under a rate
+// limit.
 //
-// What a runner says holds for one start of it, and outlasts what the directory says: the
-// directory hears of the same later, or not at all while the store is away.
+// Signals apply to one incarnation of a runner and take precedence over the directory, which
+// learns the same later, or not at all while the store is unavailable.
 //
-// The package has no I/O and no clock.
+// The package performs no I/O and does not read the clock.
 package backpressure
 
 import (
@@ -13,23 +14,23 @@
 	"time"
 )
 
-// Signals is what a runner says of itself in one answer.
+// Signals holds the load signals of one response.
 type Signals struct {
-	// Leaving means that it is about to end and wants no further requests.
+	// Leaving means that the runner is about to shut down and wants no further requests.
 	Leaving bool
-	// Limited means that it takes Rate requests a second from all routers together, for as
-	// long as it says so.
+	// Limited means that the runner accepts Rate requests per second from all routers together
+	// for as long as its responses report the limit.
 	Limited bool
 	Rate    float64
-	// Rest is for how long it wants no requests from the router that it has turned away, 0
-	// without such a wish.
-	Rest time.Duration
-	// Unreadable names the headers whose values could not be read. They say nothing.
-	Unreadable []string
+	// Backoff is how long the runner wants no requests from the router that received this
+	// response, 0 if the response requests no backoff.
+	Backoff time.Duration
+	// Malformed lists the headers whose values could not be parsed. Their signals are ignored.
+	Malformed []string
 }
 
-// says tells whether the answer says anything of its runner.
-func (s Signals) says() bool { return s.Leaving || s.Limited || s.Rest > 0 }
+// hasSignal reports whether the response carries any signal.
+func (s Signals) hasSignal() bool { return s.Leaving || s.Limited || s.Backoff > 0 }
 
-// ReadableRate tells whether the number can be a limit.
-func ReadableRate(rate float64) bool { return rate >= 0 && !math.IsInf(rate, 0) }
+// ValidRate reports whether rate can be a limit: a finite number that is not negative.
+func ValidRate(rate float64) bool { return rate >= 0 && !math.IsInf(rate, 0) }
--- a/internal/backpressure/simulation_test.go
+++ b/internal/backpressure/simulation_test.go
@@ -9,162 +9,166 @@
 	. "github.com/onsi/gomega"
 )
 
-// design is a way to keep all routers together to a limit.
-type design interface {
-	// grants tells whether the router may send to the runner now, while the routers on its
-	// side of a cut reach the schedulers of that side only.
-	grants(now time.Time, router int, cut bool) bool
+// limiter is a strategy for keeping all routers together within a rate limit.
+type limiter interface {
+	// allow reports whether the router may send a request to the runner now. While the network
+	// is partitioned, a router reaches only the schedulers in its own partition.
+	allow(now time.Time, router int, partitioned bool) bool
 }
 
-// fleetSize is the routers of a fleet, three of which are schedulers if there are as many.
+// fleetSize is the number of routers in a fleet and the number of schedulers among them, which
+// is three unless there are fewer routers.
 type fleetSize struct{ routers, schedulers int }
 
-// side is the side of a cut that the router is on: a third of all, with one scheduler.
-func (f fleetSize) side(router int) int {
+// partition returns the network partition of the router. Partition 0 has one third of the
+// routers and one scheduler.
+func (f fleetSize) partition(router int) int {
 	if router%3 == 0 {
 		return 0
 	}
 	return 1
 }
 
-// partsOfSchedulers is the design of this package.
-type partsOfSchedulers struct {
+// schedulerShares gives each scheduler an equal share. It is the strategy that this package
+// implements.
+type schedulerShares struct {
 	fleetSize
-	rate  float64
-	parts []*Permits
+	rate   float64
+	shares []*Permits
 }
 
-func newPartsOfSchedulers(size fleetSize, rate float64) *partsOfSchedulers {
-	d := &partsOfSchedulers{fleetSize: size, rate: rate}
+func newSchedulerShares(size fleetSize, rate float64) *schedulerShares {
+	l := &schedulerShares{fleetSize: size, rate: rate}
 	for range size.schedulers {
 		permits := NewPermits()
-		permits.SetParts(start.Add(-time.Minute), size.schedulers)
-		d.parts = append(d.parts, permits)
+		permits.SetSchedulerCount(start.Add(-time.Minute), size.schedulers)
+		l.shares = append(l.shares, permits)
 	}
-	return d
+	return l
 }
 
-func (d *partsOfSchedulers) grants(now time.Time, router int, _ bool) bool {
-	// The nearest scheduler is in the router's own zone, and on its side of a cut.
-	permits := d.parts[router%d.schedulers]
-	if permits.Wait(now, runner, d.rate) > 0 {
+func (l *schedulerShares) allow(now time.Time, router int, _ bool) bool {
+	// The nearest scheduler is in the router's own zone, and therefore in its partition.
+	permits := l.shares[router%l.schedulers]
+	if permits.Wait(now, runner, l.rate) > 0 {
 		return false
 	}
-	permits.Take(now, runner, d.rate)
+	permits.Take(now, runner, l.rate)
 	return true
 }
 
-// shareOfEachRouter cuts the limit into as many parts as there are routers, which ask nobody.
-type shareOfEachRouter struct {
-	rate  float64
-	parts []*Permits
+// routerShares gives each router an equal share, without any coordination.
+type routerShares struct {
+	rate   float64
+	shares []*Permits
 }
 
-func newShareOfEachRouter(size fleetSize, rate float64, random *rand.Rand) *shareOfEachRouter {
-	d := &shareOfEachRouter{rate: rate}
+func newRouterShares(size fleetSize, rate float64, random *rand.Rand) *routerShares {
+	l := &routerShares{rate: rate}
 	for range size.routers {
 		permits := NewPermits()
-		permits.SetParts(start.Add(-time.Minute), size.routers)
-		// Routers that begin at once would send as many requests as they are.
-		permits.from = start.Add(time.Duration(random.Float64() * float64(interval(rate/float64(size.routers)))))
-		d.parts = append(d.parts, permits)
+		permits.SetSchedulerCount(start.Add(-time.Minute), size.routers)
+		// If all routers started at once, each would send a request immediately.
+		permits.grantFrom = start.Add(time.Duration(random.Float64() * float64(permitInterval(rate/float64(size.routers)))))
+		l.shares = append(l.shares, permits)
 	}
-	return d
+	return l
 }
 
-func (d *shareOfEachRouter) grants(now time.Time, router int, _ bool) bool {
-	if d.parts[router].Wait(now, runner, d.rate) > 0 {
+func (l *routerShares) allow(now time.Time, router int, _ bool) bool {
+	if l.shares[router].Wait(now, runner, l.rate) > 0 {
 		return false
 	}
-	d.parts[router].Take(now, runner, d.rate)
+	l.shares[router].Take(now, runner, l.rate)
 	return true
 }
 
-// oneGrantor has one scheduler grant all of the limit. Another one takes its place for the
-// routers that do not reach it, once they have waited for what it granted before.
-type oneGrantor struct {
+// singleScheduler has one scheduler grant the whole limit. Routers that cannot reach it switch
+// to another scheduler after the permits granted by the first have expired.
+type singleScheduler struct {
 	fleetSize
-	rate    float64
-	grantor [2]*Permits
-	cutAt   time.Time
+	rate          float64
+	byPartition   [2]*Permits
+	partitionedAt time.Time
 }
 
-func newOneGrantor(size fleetSize, rate float64) *oneGrantor {
-	d := &oneGrantor{fleetSize: size, rate: rate}
-	for i := range d.grantor {
-		d.grantor[i] = NewPermits()
-		d.grantor[i].SetAlone()
+func newSingleScheduler(size fleetSize, rate float64) *singleScheduler {
+	l := &singleScheduler{fleetSize: size, rate: rate}
+	for i := range l.byPartition {
+		l.byPartition[i] = NewPermits()
+		l.byPartition[i].SetStandalone()
 	}
-	return d
+	return l
 }
 
-func (d *oneGrantor) grants(now time.Time, router int, cut bool) bool {
-	permits := d.grantor[0]
+func (l *singleScheduler) allow(now time.Time, router int, partitioned bool) bool {
+	permits := l.byPartition[0]
 	switch {
-	case !cut:
-		d.cutAt = time.Time{}
-	case d.cutAt.IsZero():
-		d.cutAt = now
+	case !partitioned:
+		l.partitionedAt = time.Time{}
+	case l.partitionedAt.IsZero():
+		l.partitionedAt = now
 	}
-	if cut && d.side(router) == 1 {
-		if now.Sub(d.cutAt) < handoverTime {
+	if partitioned && l.partition(router) == 1 {
+		if now.Sub(l.partitionedAt) < shareChangeDelay {
 			return false
 		}
-		permits = d.grantor[1]
+		permits = l.byPartition[1]
 	}
-	if permits.Wait(now, runner, d.rate) > 0 {
+	if permits.Wait(now, runner, l.rate) > 0 {
 		return false
 	}
-	permits.Take(now, runner, d.rate)
+	permits.Take(now, runner, l.rate)
 	return true
 }
 
-// result is what a runner got: the most in any window, and the part of its limit.
+// result holds the maximum number of requests that the runner received in any window, and the
+// fraction of its limit that was used.
 type result struct {
-	most int
-	use  float64
+	maxPerWindow int
+	utilization  float64
 }
 
-const simulated = 120 * time.Second
+const simulatedTime = 120 * time.Second
 
-// simulate plays requests at random moments, the most at few routers, with a third of the
-// routers cut off from the others in the middle third of the time.
-func simulate(d design, size fleetSize, rate, demand float64, cuts bool, random *rand.Rand) result {
-	weights, sum := make([]float64, size.routers), 0.0
+// simulate sends requests at random times, most of them at a few routers. With partitions, a
+// third of the routers are separated from the others during the middle third of the time.
+func simulate(l limiter, size fleetSize, rate, demand float64, withPartition bool, random *rand.Rand) result {
+	weights, totalWeight := make([]float64, size.routers), 0.0
 	for i := range weights {
-		sum += 1 / math.Sqrt(float64(i+1))
-		weights[i] = sum
+		totalWeight += 1 / math.Sqrt(float64(i+1))
+		weights[i] = totalWeight
 	}
-	w := &world{}
-	for now := start; now.Before(start.Add(simulated)); {
+	sim := &simulation{}
+	for now := start; now.Before(start.Add(simulatedTime)); {
 		now = now.Add(time.Duration(random.ExpFloat64() / (demand * rate) * float64(time.Second)))
-		router, drawn := 0, random.Float64()*sum
-		for weights[router] < drawn {
+		router, target := 0, random.Float64()*totalWeight
+		for weights[router] < target {
 			router++
 		}
-		passed := now.Sub(start)
-		cut := cuts && passed > simulated/3 && passed < 2*simulated/3
-		if d.grants(now, router, cut) {
-			w.arrived = append(w.arrived, now)
+		elapsed := now.Sub(start)
+		partitioned := withPartition && elapsed > simulatedTime/3 && elapsed < 2*simulatedTime/3
+		if l.allow(now, router, partitioned) {
+			sim.arrivals = append(sim.arrivals, now)
 		}
 	}
-	return result{most: w.most(), use: float64(len(w.arrived)) / (rate * simulated.Seconds())}
+	return result{maxPerWindow: sim.maxPerWindow(), utilization: float64(len(sim.arrivals)) / (rate * simulatedTime.Seconds())}
 }
 
-func TestWaysToKeepALimit(t *testing.T) {
+func TestCompareLimiters(t *testing.T) {
 	for _, routers := range []int{1, 7, 300} {
 		for _, rate := range []float64{0.5, 1, 20} {
-			for _, cuts := range []bool{false, true} {
+			for _, withPartition := range []bool{false, true} {
 				g, size := NewWithT(t), fleetSize{routers: routers, schedulers: min(routers, 3)}
 				random := func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 				const demand = 20
-				parts := simulate(newPartsOfSchedulers(size, rate), size, rate, demand, cuts, random())
-				share := simulate(newShareOfEachRouter(size, rate, random()), size, rate, demand, cuts, random())
-				one := simulate(newOneGrantor(size, rate), size, rate, demand, cuts, random())
-				t.Logf("%3d routers, %4.1f a second, cut %-5v: allowed %d; parts of schedulers %d, %.2f; share of each router %d, %.2f; one grantor %d, %.2f",
-					routers, rate, cuts, allowedIn(rate), parts.most, parts.use, share.most, share.use, one.most, one.use)
-				g.Expect(parts.most).To(BeNumerically("<=", allowedIn(rate)))
-				g.Expect(parts.use).To(BeNumerically(">", 0.75))
+				perScheduler := simulate(newSchedulerShares(size, rate), size, rate, demand, withPartition, random())
+				perRouter := simulate(newRouterShares(size, rate, random()), size, rate, demand, withPartition, random())
+				single := simulate(newSingleScheduler(size, rate), size, rate, demand, withPartition, random())
+				t.Logf("%3d routers, %4.1f requests per second, partition %-5v: allowed %d; scheduler shares %d, %.2f; router shares %d, %.2f; single scheduler %d, %.2f",
+					routers, rate, withPartition, allowedPerWindow(rate), perScheduler.maxPerWindow, perScheduler.utilization, perRouter.maxPerWindow, perRouter.utilization, single.maxPerWindow, single.utilization)
+				g.Expect(perScheduler.maxPerWindow).To(BeNumerically("<=", allowedPerWindow(rate)))
+				g.Expect(perScheduler.utilization).To(BeNumerically(">", 0.75))
 			}
 		}
 	}
--- a/internal/backpressure/table.go
+++ b/internal/backpressure/table.go
@@ -7,187 +7,194 @@
 )
 
 const (
-	// memory is how long what an unlisted runner said is remembered: its entry may be away
-	// with the store, and come back as it was.
-	memory = time.Hour
-	// repeatPause is the least time after which a router is told again what it should know.
-	repeatPause = 250 * time.Millisecond
-	// ratePause is the least time between two changes of a limit that others are told: a
-	// runner may name another one in each answer.
-	ratePause = time.Second
+	// unlistedRetention is how long the signals of a runner that is not in the directory are
+	// kept. Its entry may be missing because the store is unavailable, and may return
+	// unchanged.
+	unlistedRetention = time.Hour
+	// minResendInterval is the minimum time between two resends of a record to routers that
+	// appear to have missed it.
+	minResendInterval = 250 * time.Millisecond
+	// minRateUpdateInterval is the minimum time between two broadcasts of a changed rate: a
+	// runner may report a different rate in every response.
+	minRateUpdateInterval = time.Second
 )
 
-// State is what this router knows of one runner.
-type State struct {
+// RunnerState is what this router knows about one runner. Its methods may be called on nil,
+// which stands for a runner without signals.
+type RunnerState struct {
 	Record
-	// RestUntil is until when the runner wants no requests from this router. Other routers
-	// are not asked for the same rest.
-	RestUntil time.Time
-	// change numbers the last change that other routers are to know, told is what was known
-	// then, and toldAt when it was.
-	change uint64
-	told   Record
-	toldAt time.Time
-	// heardAt is when anything was last heard, and repeatedAt when a router that knew less was
-	// last told.
-	heardAt    time.Time
-	repeatedAt time.Time
+	// BackoffUntil is until when the runner wants no requests from this router. It applies to
+	// this router only and is not shared.
+	BackoffUntil time.Time
+	// sequence numbers the last change that other routers must learn, published is the record
+	// at that time, and publishedAt is the time of the change.
+	sequence    uint64
+	published   Record
+	publishedAt time.Time
+	// updatedAt is when a signal or record was last received, and resentAt is when the record
+	// was last resent because another router had outdated information.
+	updatedAt time.Time
+	resentAt  time.Time
 }
 
-// Resting tells whether the runner wants no requests from this router now.
-func (s *State) Resting(now time.Time) bool { return s != nil && now.Before(s.RestUntil) }
+// InBackoff reports whether the runner wants no requests from this router now.
+func (s *RunnerState) InBackoff(now time.Time) bool { return s != nil && now.Before(s.BackoffUntil) }
 
-// Leaves tells whether the runner has said that it leaves.
-func (s *State) Leaves() bool { return s != nil && s.Leaving() }
+// IsLeaving reports whether the runner is shutting down.
+func (s *RunnerState) IsLeaving() bool { return s != nil && s.Leaving() }
 
-// Limits tells whether the runner limits requests.
-func (s *State) Limits() bool { return s != nil && s.Limited() }
+// IsLimited reports whether the runner limits requests.
+func (s *RunnerState) IsLimited() bool { return s != nil && s.Limited() }
 
-// Heard is what is new after an answer.
-type Heard struct {
-	// Leaving is set by the first answer that says so, Limit when a limit begins, changes or
-	// ends, and Rest when a rest begins.
-	Leaving, Limit, Rest bool
+// Changes reports which signals of a response changed the state of the runner.
+type Changes struct {
+	// Leaving is set by the first response that reports a shutdown, Limit when a limit begins,
+	// changes or ends, and Backoff when a backoff period begins.
+	Leaving, Limit, Backoff bool
 }
 
-// Any tells whether anything is new.
-func (h Heard) Any() bool { return h.Leaving || h.Limit || h.Rest }
+// Any reports whether anything changed.
+func (c Changes) Any() bool { return c.Leaving || c.Limit || c.Backoff }
 
-// Shared tells whether other routers are to know it.
-func (h Heard) Shared() bool { return h.Leaving || h.Limit }
+// NeedsBroadcast reports whether other routers must be informed of the changes.
+func (c Changes) NeedsBroadcast() bool { return c.Leaving || c.Limit }
 
-// Table holds what runners said. It is not safe for concurrent use.
+// Table holds the state of all runners that sent signals. It is not safe for concurrent use.
 type Table struct {
-	states  map[Runner]*State
-	changes uint64
-	// rests are the states that may have a rest, so that there is nothing to look for while no
-	// runner wants one.
-	rests map[Runner]*State
+	states       map[Runner]*RunnerState
+	lastSequence uint64
+	// backoffs holds the states that may be in backoff, so that BackingOff does not have to
+	// search all states.
+	backoffs map[Runner]*RunnerState
 }
 
-// NewTable returns an empty table.
-func NewTable() *Table { return &Table{states: map[Runner]*State{}, rests: map[Runner]*State{}} }
+func NewTable() *Table {
+	return &Table{states: map[Runner]*RunnerState{}, backoffs: map[Runner]*RunnerState{}}
+}
 
-// Of returns what is known of the runner, nil if it has said nothing.
-func (t *Table) Of(runner Runner) *State { return t.states[runner] }
+// Get returns the state of the runner, or nil if it sent no signals.
+func (t *Table) Get(runner Runner) *RunnerState { return t.states[runner] }
 
-func (t *Table) state(runner Runner) *State {
+func (t *Table) getOrCreate(runner Runner) *RunnerState {
 	if t.states[runner] == nil {
-		t.states[runner] = &State{Record: Record{Runner: runner}}
+		t.states[runner] = &RunnerState{Record: Record{Runner: runner}}
 	}
 	return t.states[runner]
 }
 
-// Hear takes what the runner said in the answer to a request sent at the moment. Only a
-// whole success without a limit tells that there is none: failures may come without it.
-func (t *Table) Hear(now, sent time.Time, runner Runner, signals Signals, success bool) Heard {
-	if t.states[runner] == nil && !signals.says() {
-		return Heard{}
+// Observe updates the runner's state with the signals from the response to a request sent at
+// sentAt, and returns what changed. Only a complete, successful response without a limit shows
+// that there is none, because failure responses may lack the header.
+func (t *Table) Observe(now, sentAt time.Time, runner Runner, signals Signals, success bool) Changes {
+	if t.states[runner] == nil && !signals.hasSignal() {
+		return Changes{}
 	}
-	state := t.state(runner)
-	before, rested := state.Record, state.Resting(now)
-	state.heardAt = now
+	state := t.getOrCreate(runner)
+	before, wasInBackoff := state.Record, state.InBackoff(now)
+	state.updatedAt = now
 	if signals.Leaving {
 		state.LeavingAt = now
 	}
 	switch {
 	case signals.Limited:
-		state.Rate, state.NamedAt = signals.Rate, now
-	case success && len(signals.Unreadable) == 0:
-		state.LiftedAt = later(state.LiftedAt, sent)
+		state.Rate, state.LimitReportedAt = signals.Rate, now
+	case success && len(signals.Malformed) == 0:
+		state.LimitLiftedAt = later(state.LimitLiftedAt, sentAt)
 	}
-	if signals.Rest > 0 {
-		state.RestUntil = later(state.RestUntil, now.Add(signals.Rest))
-		t.rests[runner] = state
+	if signals.Backoff > 0 {
+		state.BackoffUntil = later(state.BackoffUntil, now.Add(signals.Backoff))
+		t.backoffs[runner] = state
 	}
-	heard := Heard{
+	changes := Changes{
 		Leaving: state.Leaving() && !before.Leaving(),
-		Limit:   state.Limited() != before.Limited() || state.rateChanged(now),
-		Rest:    !rested && state.Resting(now),
+		Limit:   state.Limited() != before.Limited() || state.hasRateUpdate(now),
+		Backoff: !wasInBackoff && state.InBackoff(now),
 	}
-	if heard.Shared() {
-		t.note(now, state)
+	if changes.NeedsBroadcast() {
+		t.markChanged(now, state)
 	}
-	return heard
+	return changes
 }
 
-// rateChanged tells whether others are to know that the limit is another one.
-func (s *State) rateChanged(now time.Time) bool {
-	return s.Limited() && s.Rate != s.told.Rate && now.Sub(s.toldAt) >= ratePause
+// hasRateUpdate reports whether a changed rate is to be broadcast to the other routers now.
+func (s *RunnerState) hasRateUpdate(now time.Time) bool {
+	return s.Limited() && s.Rate != s.published.Rate && now.Sub(s.publishedAt) >= minRateUpdateInterval
 }
 
-// note numbers a change that others are to know.
-func (t *Table) note(now time.Time, state *State) {
-	t.changes++
-	state.change, state.told, state.toldAt = t.changes, state.Record, now
+// markChanged assigns the next sequence number to the state, so that ChangedSince returns it.
+func (t *Table) markChanged(now time.Time, state *RunnerState) {
+	t.lastSequence++
+	state.sequence, state.published, state.publishedAt = t.lastSequence, state.Record, now
 }
 
-// Merge takes what another router tells, and returns the records that others are to know:
-// those that have changed, and those of which the other router knew less.
+// Merge applies records from another router and returns the records to broadcast: those that
+// changed here, and those of which the sender had an outdated version.
 func (t *Table) Merge(now time.Time, records []Record) (changed []Record) {
 	for _, record := range records {
-		state := t.state(record.Runner)
+		state := t.getOrCreate(record.Runner)
 		before := state.Record
-		state.Record, state.heardAt = before.merge(record), now
-		if !state.agrees(before) || !state.agrees(record) && now.Sub(state.repeatedAt) >= repeatPause {
-			state.repeatedAt = now
-			t.note(now, state)
+		state.Record, state.updatedAt = before.merge(record), now
+		if !state.isEquivalent(before) || !state.isEquivalent(record) && now.Sub(state.resentAt) >= minResendInterval {
+			state.resentAt = now
+			t.markChanged(now, state)
 			changed = append(changed, state.Record)
 		}
 	}
 	return changed
 }
 
-// Repeat tells whether others are to be told again what the runner has said, as one of them has
-// chosen it without knowing.
-func (t *Table) Repeat(now time.Time, runner Runner) bool {
+// ShouldResend reports whether the runner's record is to be broadcast again, because another
+// router chose the runner without knowing it. It returns true at most once per
+// minResendInterval.
+func (t *Table) ShouldResend(now time.Time, runner Runner) bool {
 	state := t.states[runner]
-	if state == nil || !state.Leaving() && !state.Limited() || now.Sub(state.repeatedAt) < repeatPause {
+	if state == nil || !state.Leaving() && !state.Limited() || now.Sub(state.resentAt) < minResendInterval {
 		return false
 	}
-	state.repeatedAt = now
+	state.resentAt = now
 	return true
 }
 
-// Since returns the records that have changed after the numbered change, most at once, and
-// the number that they reach.
-func (t *Table) Since(through uint64, most int) (records []Record, reached uint64) {
-	if through >= t.changes {
-		return nil, through
+// ChangedSince returns the records that changed after the sequence number since, oldest change
+// first and at most limit of them, and the sequence number up to which they are complete.
+func (t *Table) ChangedSince(since uint64, limit int) (records []Record, reached uint64) {
+	if since >= t.lastSequence {
+		return nil, since
 	}
-	var changed []*State
+	var changed []*RunnerState
 	for _, state := range t.states {
-		if state.change > through {
+		if state.sequence > since {
 			changed = append(changed, state)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *State) int { return cmp.Compare(a.change, b.change) })
-	for _, state := range changed[:min(most, len(changed))] {
-		records, through = append(records, state.Record), state.change
+	slices.SortFunc(changed, func(a, b *RunnerState) int { return cmp.Compare(a.sequence, b.sequence) })
+	for _, state := range changed[:min(limit, len(changed))] {
+		records, since = append(records, state.Record), state.sequence
 	}
-	return records, through
+	return records, since
 }
 
-// Resting returns the runners that want no requests from this router now.
-func (t *Table) Resting(now time.Time) (resting []*State) {
-	for runner, state := range t.rests {
-		if !state.Resting(now) {
-			delete(t.rests, runner)
+// BackingOff returns the states of all runners that want no requests from this router now.
+func (t *Table) BackingOff(now time.Time) (backingOff []*RunnerState) {
+	for runner, state := range t.backoffs {
+		if !state.InBackoff(now) {
+			delete(t.backoffs, runner)
 			continue
 		}
-		resting = append(resting, state)
+		backingOff = append(backingOff, state)
 	}
-	return resting
+	return backingOff
 }
 
-// Sweep forgets runners that are not listed and were not heard of for long, and returns them.
-func (t *Table) Sweep(now time.Time, listed func(Runner) bool) (forgotten []Runner) {
+// Prune removes the runners that are not listed and were not updated for unlistedRetention, and
+// returns them.
+func (t *Table) Prune(now time.Time, isListed func(Runner) bool) (removed []Runner) {
 	for runner, state := range t.states {
-		if now.Sub(state.heardAt) > memory && !listed(runner) {
+		if now.Sub(state.updatedAt) > unlistedRetention && !isListed(runner) {
 			delete(t.states, runner)
-			delete(t.rests, runner)
-			forgotten = append(forgotten, runner)
+			delete(t.backoffs, runner)
+			removed = append(removed, runner)
 		}
 	}
-	return forgotten
+	return removed
 }
--- a/internal/backpressure/table_test.go
+++ b/internal/backpressure/table_test.go
@@ -8,104 +8,105 @@
 	"pgregory.net/rapid"
 )
 
-func TestLimitIsLiftedByALaterRequestOnly(t *testing.T) {
+func TestLimitIsLiftedOnlyByLaterRequest(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	g.Expect(table.Hear(start, start, runner, Signals{}, true).Any()).To(BeFalse())
-	g.Expect(table.Of(runner)).To(BeNil(), "most runners say nothing")
-	g.Expect(table.Hear(start, start, runner, Signals{Limited: true, Rate: 1}, true).Limit).To(BeTrue())
+	g.Expect(table.Observe(start, start, runner, Signals{}, true).Any()).To(BeFalse())
+	g.Expect(table.Get(runner)).To(BeNil(), "no state is kept for runners without signals")
+	g.Expect(table.Observe(start, start, runner, Signals{Limited: true, Rate: 1}, true).Limit).To(BeTrue())
 	soon := start.Add(liftMargin - time.Millisecond)
-	g.Expect(table.Hear(soon, soon, runner, Signals{}, true).Any()).To(BeFalse(), "another router may have heard the limit later")
+	g.Expect(table.Observe(soon, soon, runner, Signals{}, true).Any()).To(BeFalse(), "within liftMargin, another router may have received the limit later")
 	later := start.Add(2 * liftMargin)
-	g.Expect(table.Hear(later, start.Add(-time.Second), runner, Signals{}, true).Any()).To(BeFalse(), "sent before the limit was named")
-	g.Expect(table.Hear(later, later, runner, Signals{}, false).Any()).To(BeFalse(), "a failure names nothing")
-	g.Expect(table.Hear(later, later, runner, Signals{Unreadable: []string{"x"}}, true).Any()).To(BeFalse())
-	g.Expect(table.Of(runner).Limits()).To(BeTrue())
-	g.Expect(table.Hear(later, later, runner, Signals{}, true).Limit).To(BeTrue())
-	g.Expect(table.Of(runner).Limits()).To(BeFalse())
+	g.Expect(table.Observe(later, start.Add(-time.Second), runner, Signals{}, true).Any()).To(BeFalse(), "the request was sent before the limit was reported")
+	g.Expect(table.Observe(later, later, runner, Signals{}, false).Any()).To(BeFalse(), "a failure does not lift the limit")
+	g.Expect(table.Observe(later, later, runner, Signals{Malformed: []string{"x"}}, true).Any()).To(BeFalse())
+	g.Expect(table.Get(runner).IsLimited()).To(BeTrue())
+	g.Expect(table.Observe(later, later, runner, Signals{}, true).Limit).To(BeTrue())
+	g.Expect(table.Get(runner).IsLimited()).To(BeFalse())
 }
 
-func TestLimitThatChangesWithEachAnswerIsToldNowAndThen(t *testing.T) {
-	g, table, told := NewWithT(t), NewTable(), 0
+func TestBroadcastOfChangingRateIsThrottled(t *testing.T) {
+	g, table, broadcasts := NewWithT(t), NewTable(), 0
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		if table.Hear(now, now, runner, Signals{Limited: true, Rate: float64(i)}, true).Shared() {
-			told++
+		if table.Observe(now, now, runner, Signals{Limited: true, Rate: float64(i)}, true).NeedsBroadcast() {
+			broadcasts++
 		}
-		g.Expect(table.Of(runner).Rate).To(Equal(float64(i)), "this router goes by the last one")
+		g.Expect(table.Get(runner).Rate).To(Equal(float64(i)), "this router uses the last reported rate")
 	}
-	g.Expect(told).To(Equal(10))
+	g.Expect(broadcasts).To(Equal(10))
 }
 
-func TestNextStartOfARunnerHasSaidNothing(t *testing.T) {
+func TestSignalsApplyToOneIncarnation(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	table.Hear(start, start, runner, Signals{Leaving: true, Limited: true, Rate: 1}, true)
-	g.Expect(table.Of(Runner{ID: runner.ID, Incarnation: runner.Incarnation + 1})).To(BeNil())
+	table.Observe(start, start, runner, Signals{Leaving: true, Limited: true, Rate: 1}, true)
+	g.Expect(table.Get(Runner{ID: runner.ID, Incarnation: runner.Incarnation + 1})).To(BeNil())
 }
 
-func TestUnlistedRunnersAreForgottenAfterLong(t *testing.T) {
+func TestUnlistedRunnersArePruned(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	table.Hear(start, start, runner, Signals{Leaving: true}, true)
-	nobody := func(Runner) bool { return false }
-	table.Sweep(start.Add(memory), nobody)
-	g.Expect(table.Of(runner).Leaves()).To(BeTrue())
-	table.Sweep(start.Add(memory+1), func(Runner) bool { return true })
-	g.Expect(table.Of(runner).Leaves()).To(BeTrue(), "listed")
-	table.Sweep(start.Add(memory+1), nobody)
-	g.Expect(table.Of(runner)).To(BeNil())
+	table.Observe(start, start, runner, Signals{Leaving: true}, true)
+	noneListed := func(Runner) bool { return false }
+	table.Prune(start.Add(unlistedRetention), noneListed)
+	g.Expect(table.Get(runner).IsLeaving()).To(BeTrue())
+	table.Prune(start.Add(unlistedRetention+1), func(Runner) bool { return true })
+	g.Expect(table.Get(runner).IsLeaving()).To(BeTrue(), "listed runners are kept")
+	table.Prune(start.Add(unlistedRetention+1), noneListed)
+	g.Expect(table.Get(runner)).To(BeNil())
 }
 
-func TestRestIsThisRoutersAlone(t *testing.T) {
+func TestBackoffIsLocalToRouter(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	heard := table.Hear(start, start, runner, Signals{Rest: 3 * time.Second}, false)
-	g.Expect(heard).To(Equal(Heard{Rest: true}))
-	g.Expect(heard.Shared()).To(BeFalse())
-	g.Expect(table.Resting(start.Add(time.Second))).To(Equal([]*State{table.Of(runner)}))
-	table.Hear(start, start, runner, Signals{Rest: time.Second}, false)
-	g.Expect(table.Of(runner).Resting(start.Add(2*time.Second))).To(BeTrue(), "the longest holds")
-	g.Expect(table.Resting(start.Add(3 * time.Second))).To(BeEmpty())
+	changes := table.Observe(start, start, runner, Signals{Backoff: 3 * time.Second}, false)
+	g.Expect(changes).To(Equal(Changes{Backoff: true}))
+	g.Expect(changes.NeedsBroadcast()).To(BeFalse())
+	g.Expect(table.BackingOff(start.Add(time.Second))).To(Equal([]*RunnerState{table.Get(runner)}))
+	table.Observe(start, start, runner, Signals{Backoff: time.Second}, false)
+	g.Expect(table.Get(runner).InBackoff(start.Add(2*time.Second))).To(BeTrue(), "the longest backoff applies")
+	g.Expect(table.BackingOff(start.Add(3 * time.Second))).To(BeEmpty())
 }
 
-func TestRouterThatKnowsMoreTellsIt(t *testing.T) {
+func TestMergeAnswersOutdatedRecordWithNewer(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	named := start.Add(10 * time.Second)
-	table.Hear(named, start, runner, Signals{Limited: true, Rate: 1}, true)
-	lifted := Record{Runner: runner, Rate: 1, NamedAt: start, LiftedAt: start.Add(5 * time.Second)}
-	changed := table.Merge(named, []Record{lifted})
+	reportedAt := start.Add(10 * time.Second)
+	table.Observe(reportedAt, start, runner, Signals{Limited: true, Rate: 1}, true)
+	lifted := Record{Runner: runner, Rate: 1, LimitReportedAt: start, LimitLiftedAt: start.Add(5 * time.Second)}
+	changed := table.Merge(reportedAt, []Record{lifted})
 	g.Expect(changed).To(HaveLen(1))
-	g.Expect(changed[0].Limited()).To(BeTrue(), "named again later")
-	g.Expect(table.Merge(named, []Record{lifted})).To(BeEmpty(), "not at once again")
-	g.Expect(table.Merge(named, changed)).To(BeEmpty())
+	g.Expect(changed[0].Limited()).To(BeTrue(), "the limit was reported again after it was lifted")
+	g.Expect(table.Merge(reportedAt, []Record{lifted})).To(BeEmpty(), "the record is not resent within minResendInterval")
+	g.Expect(table.Merge(reportedAt, changed)).To(BeEmpty())
 }
 
-func TestChangesAreGivenOnce(t *testing.T) {
+func TestChangedSinceReturnsEachChangeOnce(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
 	other := Runner{ID: "f"}
-	table.Hear(start, start, runner, Signals{Leaving: true}, true)
-	table.Hear(start, start, other, Signals{Leaving: true}, true)
-	first, reached := table.Since(0, 1)
+	table.Observe(start, start, runner, Signals{Leaving: true}, true)
+	table.Observe(start, start, other, Signals{Leaving: true}, true)
+	first, reached := table.ChangedSince(0, 1)
 	g.Expect(first).To(HaveLen(1))
-	second, reached := table.Since(reached, 1)
+	second, reached := table.ChangedSince(reached, 1)
 	g.Expect(second).To(HaveLen(1))
 	g.Expect(first[0].Runner).NotTo(Equal(second[0].Runner))
-	none, same := table.Since(reached, 1)
+	none, same := table.ChangedSince(reached, 1)
 	g.Expect(none).To(BeEmpty())
 	g.Expect(same).To(Equal(reached))
 }
 
-func TestWhatWasSaidIsRepeatedNowAndThen(t *testing.T) {
+func TestResendsAreThrottled(t *testing.T) {
 	g, table := NewWithT(t), NewTable()
-	repeats := func(now time.Time) bool { return table.Repeat(now, runner) }
-	g.Expect(repeats(start)).To(BeFalse(), "it has said nothing")
-	table.Hear(start, start, runner, Signals{Rest: time.Second}, false)
-	g.Expect(repeats(start)).To(BeFalse(), "a rest is this router's alone")
-	table.Hear(start, start, runner, Signals{Limited: true, Rate: 1}, true)
-	g.Expect(repeats(start)).To(BeTrue())
-	g.Expect(repeats(start.Add(repeatPause - 1))).To(BeFalse())
-	g.Expect(repeats(start.Add(repeatPause))).To(BeTrue())
+	shouldResend := func(now time.Time) bool { return table.ShouldResend(now, runner) }
+	g.Expect(shouldResend(start)).To(BeFalse(), "the runner sent no signals")
+	table.Observe(start, start, runner, Signals{Backoff: time.Second}, false)
+	g.Expect(shouldResend(start)).To(BeFalse(), "a backoff is not shared")
+	table.Observe(start, start, runner, Signals{Limited: true, Rate: 1}, true)
+	g.Expect(shouldResend(start)).To(BeTrue())
+	g.Expect(shouldResend(start.Add(minResendInterval - 1))).To(BeFalse())
+	g.Expect(shouldResend(start.Add(minResendInterval))).To(BeTrue())
 }
 
-// Records come in any order and any number of times, and all routers come to the same.
-func TestRecordsMergeToTheSameInAnyOrder(t *testing.T) {
+// Routers that receive the same records in different orders, and some of them repeatedly, end
+// with the same state.
+func TestMergeIsOrderIndependentAndIdempotent(t *testing.T) {
 	moment := rapid.Custom(func(t *rapid.T) time.Time {
 		if seconds := rapid.IntRange(0, 9).Draw(t, "seconds"); seconds > 0 {
 			return start.Add(time.Duration(seconds) * time.Second)
@@ -113,9 +114,10 @@
 		return time.Time{}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		// Equal moments of naming would need equal rates: one answer is one moment.
+		// Records with equal LimitReportedAt must have equal rates, because both come from one
+		// response.
 		records := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Record {
-			return Record{Runner: runner, LeavingAt: moment.Draw(t, "leaving"), Rate: 1, NamedAt: moment.Draw(t, "named"), LiftedAt: moment.Draw(t, "lifted")}
+			return Record{Runner: runner, LeavingAt: moment.Draw(t, "leaving"), Rate: 1, LimitReportedAt: moment.Draw(t, "named"), LimitLiftedAt: moment.Draw(t, "lifted")}
 		}), 1, 6, func(r Record) Record { return r }).Draw(t, "records")
 		shuffled := rapid.Permutation(append(records, records...)).Draw(t, "shuffled")
 		one, other := NewTable(), NewTable()
@@ -123,8 +125,8 @@
 		for _, record := range shuffled {
 			other.Merge(start, []Record{record})
 		}
-		if a, b := one.Of(runner).Record, other.Of(runner).Record; a != b {
-			t.Fatalf("%+v and %+v", a, b)
+		if a, b := one.Get(runner).Record, other.Get(runner).Record; a != b {
+			t.Fatalf("merged to different records: %+v and %+v", a, b)
 		}
 	})
 }
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -96,7 +96,7 @@
 func oneSignal(now time.Time) []backpressure.Record {
 	return []backpressure.Record{{
 		Runner: backpressure.Runner{ID: "a", Incarnation: 3}, LeavingAt: now.Add(-time.Second),
-		Rate: 1.5, NamedAt: now.Add(-3 * time.Second), LiftedAt: now.Add(-5 * time.Second),
+		Rate: 1.5, LimitReportedAt: now.Add(-3 * time.Second), LimitLiftedAt: now.Add(-5 * time.Second),
 	}}
 }
 
@@ -130,8 +130,8 @@
 	e.Expect(read[0].Rate).To(Equal(1.5))
 	e.Expect(read[0].Limited()).To(BeTrue())
 	e.Expect(read[0].LeavingAt).To(BeTemporally("~", records[0].LeavingAt, 2*time.Millisecond))
-	e.Expect(read[0].NamedAt).To(BeTemporally("~", records[0].NamedAt, 2*time.Millisecond))
-	e.Expect(read[0].LiftedAt).To(BeTemporally("~", records[0].LiftedAt, 2*time.Millisecond))
+	e.Expect(read[0].LimitReportedAt).To(BeTemporally("~", records[0].LimitReportedAt, 2*time.Millisecond))
+	e.Expect(read[0].LimitLiftedAt).To(BeTemporally("~", records[0].LimitLiftedAt, 2*time.Millisecond))
 }
 
 // Rates that make no sense come from routers that are wrong, and are harmless here.
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -13,7 +13,7 @@
 	if held.Limited == 0 {
 		return held.RestWait
 	}
-	allowed := g.runners.Permits().Promise(now, service, held.LimitWait, held.Rate)
+	allowed := g.runners.Permits().RetryAfter(now, service, held.LimitWait, held.Rate)
 	if held.Resting > 0 {
 		return min(allowed, held.RestWait)
 	}
@@ -26,10 +26,10 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if alone {
-		g.runners.Permits().SetAlone()
+		g.runners.Permits().SetStandalone()
 		return
 	}
-	g.runners.Permits().SetParts(g.now(), parts)
+	g.runners.Permits().SetSchedulerCount(g.now(), parts)
 }
 
 // takePermit takes the permit for the send to the chosen runner, if that limits requests: the
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -127,7 +127,7 @@
 	if !p.permitted {
 		return backpressure.Permit{}
 	}
-	return backpressure.PermitAskedAt(p.asked)
+	return backpressure.NewPermit(p.asked)
 }
 
 // noteSilence has a scheduler that did not answer asked last for a while.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -125,7 +125,7 @@
 	}
 	defer response.Body.Close()
 	answer := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
-	c.answering, c.rest = answer.WeightVersion, answer.Signals.Rest
+	c.answering, c.rest = answer.WeightVersion, answer.Signals.Backoff
 	c.hear(answer, response.Status)
 	news := c.learnVersion(answer.WeightVersion)
 	switch {
--- a/internal/gateway/signalnews.go
+++ b/internal/gateway/signalnews.go
@@ -13,8 +13,8 @@
 	for _, record := range records {
 		message := &wire.RunnerSignal{Runner: record.ID, Incarnation: record.Incarnation, Rate: record.Rate}
 		message.Leaving, message.LeavingAgeMillis = ageOf(now, record.LeavingAt)
-		message.Named, message.NamedAgeMillis = ageOf(now, record.NamedAt)
-		message.Lifted, message.LiftedAgeMillis = ageOf(now, record.LiftedAt)
+		message.Named, message.NamedAgeMillis = ageOf(now, record.LimitReportedAt)
+		message.Lifted, message.LiftedAgeMillis = ageOf(now, record.LimitLiftedAt)
 		messages = append(messages, message)
 	}
 	return messages
@@ -33,12 +33,12 @@
 	records := make([]backpressure.Record, 0, len(messages))
 	for _, message := range messages {
 		record := backpressure.Record{
-			Runner:    backpressure.Runner{ID: message.GetRunner(), Incarnation: message.GetIncarnation()},
-			LeavingAt: momentOf(now, message.GetLeaving(), message.GetLeavingAgeMillis()),
-			LiftedAt:  momentOf(now, message.GetLifted(), message.GetLiftedAgeMillis()),
+			Runner:        backpressure.Runner{ID: message.GetRunner(), Incarnation: message.GetIncarnation()},
+			LeavingAt:     momentOf(now, message.GetLeaving(), message.GetLeavingAgeMillis()),
+			LimitLiftedAt: momentOf(now, message.GetLifted(), message.GetLiftedAgeMillis()),
 		}
-		if backpressure.ReadableRate(message.GetRate()) {
-			record.Rate, record.NamedAt = message.GetRate(), momentOf(now, message.GetNamed(), message.GetNamedAgeMillis())
+		if backpressure.ValidRate(message.GetRate()) {
+			record.Rate, record.LimitReportedAt = message.GetRate(), momentOf(now, message.GetNamed(), message.GetNamedAgeMillis())
 		}
 		records = append(records, record)
 	}
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -48,16 +48,16 @@
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
 	heard := g.runners.Hear(now, c.sent, c.runner, answer.Signals, success)
-	logged := len(answer.Signals.Unreadable) > 0 && now.Sub(g.signals.unreadableAt) >= unreadablePause
+	logged := len(answer.Signals.Malformed) > 0 && now.Sub(g.signals.unreadableAt) >= unreadablePause
 	if logged {
 		g.signals.unreadableAt = now
 	}
 	g.mutex.Unlock()
-	for range answer.Signals.Unreadable {
+	for range answer.Signals.Malformed {
 		g.metrics.signals.WithLabelValues(c.service, signalUnreadable).Inc()
 	}
 	if logged {
-		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Unreadable, "status": status, "request": c.facts.ID})
+		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.facts.ID})
 	}
 	if heard.Any() {
 		g.signals.heard(c.runner, c.service, heard, answer.Signals, c.facts.ID)
@@ -65,18 +65,18 @@
 }
 
 // heard notes what is new.
-func (s *signals) heard(runner backend.Runner, service string, heard backpressure.Heard, said backpressure.Signals, request string) {
+func (s *signals) heard(runner backend.Runner, service string, heard backpressure.Changes, said backpressure.Signals, request string) {
 	counted := s.gateway.metrics.signals
-	for name, isNew := range map[string]bool{signalLeaving: heard.Leaving, signalLimit: heard.Limit, signalRest: heard.Rest} {
+	for name, isNew := range map[string]bool{signalLeaving: heard.Leaving, signalLimit: heard.Limit, signalRest: heard.Backoff} {
 		if isNew {
 			counted.WithLabelValues(service, name).Inc()
 		}
 	}
 	s.gateway.log.Log(events.RunnerSignalled, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": service, "request": request,
-		"leaving": said.Leaving, "limited": said.Limited, "rate": said.Rate, "rest_ms": said.Rest.Milliseconds(),
+		"leaving": said.Leaving, "limited": said.Limited, "rate": said.Rate, "rest_ms": said.Backoff.Milliseconds(),
 	})
-	if heard.Shared() {
+	if heard.NeedsBroadcast() {
 		s.out.add([]backpressure.Runner{{ID: runner.ID, Incarnation: runner.Incarnation}}, true)
 	}
 }
@@ -85,7 +85,7 @@
 // without knowing. The gateway's mutex is held.
 func (s *signals) repeat(now time.Time, runner backend.Runner) {
 	start := backpressure.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
-	if s.gateway.runners.Signals().Repeat(now, start) {
+	if s.gateway.runners.Signals().ShouldResend(now, start) {
 		s.out.add([]backpressure.Runner{start}, true)
 	}
 }
@@ -110,7 +110,7 @@
 	defer s.gateway.mutex.Unlock()
 	var records []backpressure.Record
 	for _, runner := range runners {
-		if state := s.gateway.runners.Signals().Of(runner); state != nil {
+		if state := s.gateway.runners.Signals().Get(runner); state != nil {
 			records = append(records, state.Record)
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	records, reached := s.gateway.runners.Signals().Since(through, mostSignals)
+	records, reached := s.gateway.runners.Signals().ChangedSince(through, mostSignals)
 	if reached == through {
 		return nil
 	}
