--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -58,11 +58,11 @@
 mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
 mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeover/now.Sub(c.changedAt) >= 0/' ./internal/lease
 mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!empty && serving-1 < floor\)/loading > 999 || floor < 0/' ./test/prove -ginkgo.focus "within the pool"
-mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Verdict\(now, content\)/return quarantine.Verdict{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
+mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
 mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
 mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
 mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
-mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/end.Began.After\(ends\[0\].At\)/true/' ./internal/quarantine
+mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
 mutant "9 suspensions do not count" internal/clock/clock.go 's/return steady.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return steady/' ./internal/clock
 mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.said.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'OwnWord|PermitAllows'
 mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add\(shareChangeDelay\)/p.schedulers, p.pendingSchedulers = count, 0/' ./internal/backpressure
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -44,13 +44,13 @@
 	c.firstAnswer()
 	body, more, err := response.Body.ReadAll(wholeAnswer)
 	if err != nil {
-		return c.spoilt(quarantine.Broken, "answer broke off: "+err.Error())
+		return c.spoilt(quarantine.ConnectionLost, "answer broke off: "+err.Error())
 	}
 	answer := &heldAnswer{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError || isPromise(response.Status) {
 		return c.runnerFailed(answer)
 	}
-	c.end(backend.Answered, quarantine.Outlived, "", response.Status)
+	c.end(backend.Answered, quarantine.Survived, "", response.Status)
 	c.request.Accept()
 	c.request.Finish(c.request.Attempt(), 0)
 	if more {
@@ -69,7 +69,7 @@
 
 // runnerFailed takes a runner's own failure.
 func (c *call) runnerFailed(answer *heldAnswer) attempt.Next {
-	c.end(backend.Failed, quarantine.Unclear, "runner's failure", answer.status)
+	c.end(backend.Failed, quarantine.Indeterminate, "runner's failure", answer.status)
 	if answer.status != http.StatusServiceUnavailable && !isPromise(answer.status) {
 		c.failure = answer
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -93,7 +93,7 @@
 	unbegun *unbegunSend
 	// content names what is asked, once the body is here, and run is the send as one of
 	// the runs at its runner.
-	content quarantine.Content
+	content quarantine.ContentID
 	run     *quarantine.Run
 	// suspected is set when the content may end its runner, brokeOff when a run of this call
 	// broke off, and checked is closed once it is known whether its runner has ended.
@@ -161,7 +161,7 @@
 		c.refuse(refusal)
 		return
 	}
-	c.content = quarantine.ContentOf(c.tenantName(), request.Host, target(request), c.body)
+	c.content = quarantine.NewContentID(c.tenantName(), request.Host, target(request), c.body)
 	if refusal := c.judgeContent(); refusal != nil {
 		c.abandonQuota()
 		c.placing.abandon()
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -70,13 +70,13 @@
 }
 
 // noteRun notes how the run of a send ended.
-func (c *call) noteRun(how quarantine.RunEnd) {
+func (c *call) noteRun(how quarantine.RunOutcome) {
 	g, now := c.gateway, c.gateway.now()
 	g.ends.end(now, c.run, how)
 	switch how {
-	case quarantine.Outlived:
+	case quarantine.Survived:
 		g.suspects.outlived(now, c.content)
-	case quarantine.Broken:
+	case quarantine.ConnectionLost:
 		c.brokeOff, c.checked = true, g.ends.check(c.runner)
 	}
 }
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -37,23 +37,23 @@
 	// era is that of the store's last list, 0 before any.
 	era uint64
 	// stored holds what the store is known to have of each content.
-	stored map[quarantine.Content]quarantine.Record
+	stored map[quarantine.ContentID]quarantine.Record
 	// pending are contents whose record is to be written or, once it is cleared or
 	// forgotten, taken out; there are as many as records at most.
-	pending map[quarantine.Content]bool
+	pending map[quarantine.ContentID]bool
 	// wanted is told when there is something to write.
 	wanted chan struct{}
 }
 
 func newKeptQuarantines(g *Gateway) *keptQuarantines {
 	return &keptQuarantines{
-		gateway: g, stored: map[quarantine.Content]quarantine.Record{}, pending: map[quarantine.Content]bool{}, wanted: make(chan struct{}, 1),
+		gateway: g, stored: map[quarantine.ContentID]quarantine.Record{}, pending: map[quarantine.ContentID]bool{}, wanted: make(chan struct{}, 1),
 	}
 }
 
 // changed has the content's record written, if it is to be kept or taken out, as soon as this
 // router reads the store.
-func (k *keptQuarantines) changed(content quarantine.Content, ends int) {
+func (k *keptQuarantines) changed(content quarantine.ContentID, ends int) {
 	k.mutex.Lock()
 	if _, stored := k.stored[content]; ends >= endsToKeep || stored {
 		k.pending[content] = true
@@ -153,7 +153,7 @@
 func (k *keptQuarantines) keepAll() {
 	for _, content := range k.gateway.suspects.contents() {
 		_, verdict := k.gateway.suspects.record(content)
-		k.changed(content, verdict.Ends)
+		k.changed(content, verdict.Crashes)
 	}
 }
 
@@ -176,7 +176,7 @@
 	for _, record := range records {
 		if _, verdict := g.suspects.record(record.Content); verdict.State == quarantine.Clear {
 			// It is of no use any more, and whoever kept it may be gone.
-			k.changed(record.Content, verdict.Ends)
+			k.changed(record.Content, verdict.Crashes)
 		}
 	}
 }
@@ -216,20 +216,20 @@
 
 // next returns a content whose record is to be written, or false when there is none or this
 // router does not read the store.
-func (k *keptQuarantines) next() (quarantine.Content, bool) {
+func (k *keptQuarantines) next() (quarantine.ContentID, bool) {
 	if !k.gateway.direct.on() {
-		return quarantine.Content{}, false
+		return quarantine.ContentID{}, false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for content := range k.pending {
 		return content, true
 	}
-	return quarantine.Content{}, false
+	return quarantine.ContentID{}, false
 }
 
 // writeOne makes the store have what this router knows of the content.
-func (k *keptQuarantines) writeOne(content quarantine.Content) error {
+func (k *keptQuarantines) writeOne(content quarantine.ContentID) error {
 	stored, isStored := k.takePending(content)
 	record, verdict := k.gateway.suspects.record(content)
 	cleared, missing := verdict.State == quarantine.Clear, !isStored
@@ -250,7 +250,7 @@
 }
 
 // takePending takes the content out of those to be written, and returns what the store has.
-func (k *keptQuarantines) takePending(content quarantine.Content) (stored quarantine.Record, isStored bool) {
+func (k *keptQuarantines) takePending(content quarantine.ContentID) (stored quarantine.Record, isStored bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.pending, content)
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func (k *keptQuarantines) drop(content quarantine.Content) error {
+func (k *keptQuarantines) drop(content quarantine.ContentID) error {
 	g := k.gateway
 	if err := k.call(func(ctx context.Context) error { return g.ports.Store.DropQuarantine(ctx, content) }); err != nil {
 		return err
@@ -312,10 +312,10 @@
 // router's clock, on which the time of day may step.
 func fromTimesOfDay(clock, day time.Time, record quarantine.Record) quarantine.Record {
 	moved := record
-	moved.Ends = nil
-	for _, end := range record.Ends {
-		ended := clock.Add(-max(day.Sub(end.At), 0))
-		moved.Ends = append(moved.Ends, quarantine.End{Runner: end.Runner, At: ended, Began: ended.Add(-end.At.Sub(end.Began))})
+	moved.Crashes = nil
+	for _, end := range record.Crashes {
+		ended := clock.Add(-max(day.Sub(end.DetectedAt), 0))
+		moved.Crashes = append(moved.Crashes, quarantine.Crash{Runner: end.Runner, DetectedAt: ended, SentAt: ended.Add(-end.DetectedAt.Sub(end.SentAt))})
 	}
 	return moved
 }
@@ -323,9 +323,9 @@
 // toTimesOfDay does the reverse.
 func toTimesOfDay(clock, day time.Time, record quarantine.Record) quarantine.Record {
 	moved := record
-	moved.Ends = nil
-	for _, end := range record.Ends {
-		moved.Ends = append(moved.Ends, quarantine.End{Runner: end.Runner, At: day.Add(-clock.Sub(end.At)), Began: day.Add(-clock.Sub(end.Began))})
+	moved.Crashes = nil
+	for _, end := range record.Crashes {
+		moved.Crashes = append(moved.Crashes, quarantine.Crash{Runner: end.Runner, DetectedAt: day.Add(-clock.Sub(end.DetectedAt)), SentAt: day.Add(-clock.Sub(end.SentAt))})
 	}
 	return moved
 }
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -85,12 +85,12 @@
 	gateway := quarantining(t, &forgetfulStore{})
 	now := gateway.now()
 	for digest := range uint64(100) {
-		gateway.suspects.learn([]quarantine.Record{{Content: quarantine.Content{Digest: digest}, Ends: []quarantine.End{
-			{Runner: quarantine.Runner{ID: "a"}, Began: now, At: now}, {Runner: quarantine.Runner{ID: "b"}, Began: now, At: now},
+		gateway.suspects.learn([]quarantine.Record{{Content: quarantine.ContentID{Digest: digest}, Crashes: []quarantine.Crash{
+			{Runner: quarantine.Runner{ID: "a"}, SentAt: now, DetectedAt: now}, {Runner: quarantine.Runner{ID: "b"}, SentAt: now, DetectedAt: now},
 		}}})
 	}
 	g.Expect(gateway.suspects.kept.pending).To(HaveLen(100))
 	gateway.suspects.sweep(now.Add(2 * time.Hour))
-	g.Expect(gateway.suspects.judge.Counts(now)).To(BeEmpty())
+	g.Expect(gateway.suspects.judge.CountByState(now)).To(BeEmpty())
 	g.Expect(gateway.suspects.kept.pending).To(BeEmpty())
 }
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -30,10 +30,10 @@
 }
 
 func oneSuspect(now time.Time) []quarantine.Record {
-	record := quarantine.Record{Content: quarantine.Content{Tenant: "t", Digest: 7}}
+	record := quarantine.Record{Content: quarantine.ContentID{Tenant: "t", Digest: 7}}
 	for i, id := range []string{"a", "b"} {
 		at := now.Add(time.Duration(i-5) * time.Second)
-		record.Ends = append(record.Ends, quarantine.End{Runner: quarantine.Runner{ID: id, Incarnation: 3}, Began: at.Add(-time.Second), At: at})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id, Incarnation: 3}, SentAt: at.Add(-time.Second), DetectedAt: at})
 	}
 	return []quarantine.Record{record}
 }
@@ -56,7 +56,7 @@
 	t.Parallel()
 	e, now := NewWithT(t), time.Now()
 	records := oneSuspect(now)
-	records[0].OutlivedAt = now.Add(-30 * time.Second)
+	records[0].SurvivedAt = now.Add(-30 * time.Second)
 	encoded, err := proto.Marshal(suspectNews(now, records))
 	e.Expect(err).NotTo(HaveOccurred())
 	// A later version tells more.
@@ -66,11 +66,11 @@
 	read := recordsOf(now, news.GetRecords())
 	e.Expect(read).To(HaveLen(1))
 	e.Expect(read[0].Content).To(Equal(records[0].Content))
-	e.Expect(read[0].OutlivedAt).To(BeTemporally("~", records[0].OutlivedAt, 2*time.Millisecond))
-	for i, end := range read[0].Ends {
-		e.Expect(end.Runner).To(Equal(records[0].Ends[i].Runner))
-		e.Expect(end.At).To(BeTemporally("~", records[0].Ends[i].At, 2*time.Millisecond))
-		e.Expect(end.Began).To(BeTemporally("~", records[0].Ends[i].Began, 2*time.Millisecond))
+	e.Expect(read[0].SurvivedAt).To(BeTemporally("~", records[0].SurvivedAt, 2*time.Millisecond))
+	for i, end := range read[0].Crashes {
+		e.Expect(end.Runner).To(Equal(records[0].Crashes[i].Runner))
+		e.Expect(end.DetectedAt).To(BeTemporally("~", records[0].Crashes[i].DetectedAt, 2*time.Millisecond))
+		e.Expect(end.SentAt).To(BeTemporally("~", records[0].Crashes[i].SentAt, 2*time.Millisecond))
 	}
 }
 
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -184,7 +184,7 @@
 	// KeepQuarantine writes what is known of a content, in place of what is kept of it.
 	KeepQuarantine(ctx context.Context, record quarantine.Record) error
 	// DropQuarantine takes the content out; one that is not kept is no error.
-	DropQuarantine(ctx context.Context, content quarantine.Content) error
+	DropQuarantine(ctx context.Context, content quarantine.ContentID) error
 	// OnEra has the function told the era of each answer that names one, refusals included.
 	// It is set before the first call. The era rises by one whenever the store comes back
 	// from a copy: it then lacks what it acknowledged since, and gives out the revisions of
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -170,10 +170,10 @@
 func TestRecordThatIsOfNoUseAnyMoreIsTakenOutOfTheStore(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 1, false)
-	record := quarantine.Record{Content: quarantine.Content{Tenant: "tenant-one", Digest: 255}}
+	record := quarantine.Record{Content: quarantine.ContentID{Tenant: "tenant-one", Digest: 255}}
 	for i, id := range []string{"a", "b", "c"} {
 		ended := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
-		record.Ends = append(record.Ends, quarantine.End{Runner: quarantine.Runner{ID: id}, Began: ended.Add(-time.Millisecond), At: ended})
+		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: ended.Add(-time.Millisecond), DetectedAt: ended})
 	}
 	door, err := p.store.Open()
 	p.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -48,7 +48,7 @@
 		fields["config"] = c.view.table.Version
 		fields["config_age_ms"] = c.arrived.Sub(c.view.provenAt).Milliseconds()
 	}
-	if c.content != (quarantine.Content{}) {
+	if c.content != (quarantine.ContentID{}) {
 		fields["content"] = c.content.String()
 	}
 	if r.limited {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -144,7 +144,7 @@
 			return c.outOfTime(false)
 		}
 	}
-	c.end(backend.Answered, quarantine.Outlived, "", response.Status)
+	c.end(backend.Answered, quarantine.Survived, "", response.Status)
 	c.request.Accept()
 	c.request.Finish(c.request.Attempt(), 0)
 	return attempt.Stop
@@ -161,9 +161,9 @@
 		return c.endWithdrawn(false)
 	}
 	if c.stream.unread(c.gateway.now()) {
-		c.end(backend.Abandoned, quarantine.Left, "the caller left the stream unread: "+cause.Error(), response.Status)
+		c.end(backend.Abandoned, quarantine.Canceled, "the caller left the stream unread: "+cause.Error(), response.Status)
 	} else {
-		c.end(backend.Failed, quarantine.Broken, "stream broke off: "+cause.Error(), response.Status)
+		c.end(backend.Failed, quarantine.ConnectionLost, "stream broke off: "+cause.Error(), response.Status)
 	}
 	if c.fromCopy() {
 		return c.request.CopyHeld()
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -28,13 +28,13 @@
 type runnerEnds struct {
 	gateway *Gateway
 	mutex   sync.Mutex
-	work    *quarantine.Work
+	work    *quarantine.RunTable
 	// asking holds the runners that are being asked, each with what is closed after that.
 	asking map[quarantine.Runner]chan struct{}
 }
 
 func newRunnerEnds(g *Gateway) *runnerEnds {
-	return &runnerEnds{gateway: g, work: quarantine.NewWork(), asking: map[quarantine.Runner]chan struct{}{}}
+	return &runnerEnds{gateway: g, work: quarantine.NewRunTable(), asking: map[quarantine.Runner]chan struct{}{}}
 }
 
 func startOf(runner backend.Runner) quarantine.Runner {
@@ -42,14 +42,14 @@
 }
 
 // begin notes a request that is about to be sent.
-func (e *runnerEnds) begin(now time.Time, runner backend.Runner, content quarantine.Content) *quarantine.Run {
+func (e *runnerEnds) begin(now time.Time, runner backend.Runner, content quarantine.ContentID) *quarantine.Run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.work.Begin(now, startOf(runner), content)
 }
 
 // end notes the end of a run.
-func (e *runnerEnds) end(now time.Time, run *quarantine.Run, how quarantine.RunEnd) {
+func (e *runnerEnds) end(now time.Time, run *quarantine.Run, how quarantine.RunOutcome) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.work.End(now, run, how)
@@ -67,7 +67,7 @@
 		return done
 	}
 	done := make(chan struct{})
-	if e.work.HasEnded(start) || !expected {
+	if e.work.HasCrashed(start) || !expected {
 		close(done)
 		return done
 	}
@@ -100,7 +100,7 @@
 	switch liveness {
 	case RunnerRuns:
 		e.mutex.Lock()
-		e.work.RunnerRuns(asked, startOf(runner))
+		e.work.RunnerAlive(asked, startOf(runner))
 		e.mutex.Unlock()
 	case RunnerEnded:
 		e.noteEnded(runner)
@@ -111,7 +111,7 @@
 func (e *runnerEnds) noteEnded(runner backend.Runner) {
 	now := e.gateway.now()
 	e.mutex.Lock()
-	runs := e.work.RunnerEnded(now, startOf(runner))
+	runs := e.work.RunnerCrashed(now, startOf(runner))
 	e.mutex.Unlock()
 	e.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
 	e.gateway.log.Log(events.RunnerFoundEnded, events.Fields{
@@ -134,17 +134,17 @@
 }
 
 // atWork tells whether a run of the content is open.
-func (e *runnerEnds) atWork(content quarantine.Content) bool {
+func (e *runnerEnds) atWork(content quarantine.ContentID) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.work.Open(content)
+	return e.work.HasOpenRun(content)
 }
 
 // sweep forgets runs that are over.
 func (e *runnerEnds) sweep(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.work.Sweep(now)
+	e.work.Prune(now)
 }
 
 // contentNames lists the contents of runs for the log.
--- a/internal/gateway/runnerends_internal_test.go
+++ b/internal/gateway/runnerends_internal_test.go
@@ -24,7 +24,7 @@
 	time.Sleep(50 * time.Millisecond)
 	began := make(chan struct{})
 	go func() {
-		ends.begin(time.Now(), backend.Runner{ID: "r2"}, quarantine.Content{})
+		ends.begin(time.Now(), backend.Runner{ID: "r2"}, quarantine.ContentID{})
 		close(began)
 	}()
 	g.Eventually(began, time.Second).Should(BeClosed())
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -27,7 +27,7 @@
 	runner := f.runner("e1", "engines")
 	at := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
-	asked := quarantine.ContentOf("tenant-one", "h.example", "/once/x", []byte("the body")).String()
+	asked := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
 	runner.Behave(runnerstand.BreaksOff)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
 	f.counts(at, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -139,12 +139,12 @@
 		c.end(backend.Refused, quarantine.NotRun, "refused", response.Status)
 		return c.request.Reject()
 	case !answer.Stamped || answer.Encoded:
-		return c.spoilt(quarantine.Unclear, "not a runner's answer")
+		return c.spoilt(quarantine.Indeterminate, "not a runner's answer")
 	case c.route.Kind == routing.Streaming && isSuccess(response.Status):
 		return c.relay(response)
 	case c.stream != nil:
 		// The head of the first runner stands; a failure cannot follow it.
-		return c.spoilt(quarantine.Unclear, "failure instead of the rest of a stream")
+		return c.spoilt(quarantine.Indeterminate, "failure instead of the rest of a stream")
 	}
 	return c.passOn(response)
 }
@@ -210,7 +210,7 @@
 }
 
 // end notes the outcome of the current attempt, and how its run ended.
-func (c *call) end(outcome backend.Outcome, run quarantine.RunEnd, cause string, status int) {
+func (c *call) end(outcome backend.Outcome, run quarantine.RunOutcome, cause string, status int) {
 	c.endSend(outcome, run)
 	if outcome == backend.Answered {
 		return
@@ -223,7 +223,7 @@
 }
 
 // endSend tells those who count the current attempt how it ended.
-func (c *call) endSend(outcome backend.Outcome, run quarantine.RunEnd) {
+func (c *call) endSend(outcome backend.Outcome, run quarantine.RunOutcome) {
 	g := c.gateway
 	c.noteRun(run)
 	g.mutex.Lock()
@@ -273,7 +273,7 @@
 		c.end(backend.Unreachable, quarantine.NotRun, err.Error(), 0)
 		return c.request.NotSent()
 	}
-	c.end(backend.Unreachable, quarantine.Broken, err.Error(), 0)
+	c.end(backend.Unreachable, quarantine.ConnectionLost, err.Error(), 0)
 	return c.lost()
 }
 
@@ -289,7 +289,7 @@
 
 // outOfTime ends the call because its caller left or its time is up.
 func (c *call) outOfTime(notSent bool) attempt.Next {
-	c.end(backend.Abandoned, quarantine.Left, "caller left or time is up", 0)
+	c.end(backend.Abandoned, quarantine.Canceled, "caller left or time is up", 0)
 	if notSent {
 		c.request.NotSent()
 	}
@@ -298,7 +298,7 @@
 }
 
 // spoilt takes an answer that is not one, or not a whole one.
-func (c *call) spoilt(run quarantine.RunEnd, cause string) attempt.Next {
+func (c *call) spoilt(run quarantine.RunOutcome, cause string) attempt.Next {
 	if c.ctx.Err() != nil {
 		return c.outOfTime(false)
 	}
--- a/internal/gateway/suspectnews.go
+++ b/internal/gateway/suspectnews.go
@@ -16,14 +16,14 @@
 func suspectMessages(now time.Time, records []quarantine.Record) []*wire.SuspectRecord {
 	messages := make([]*wire.SuspectRecord, 0, len(records))
 	for _, record := range records {
-		message := &wire.SuspectRecord{Tenant: record.Content.Tenant, Digest: record.Content.Digest, Outlived: !record.OutlivedAt.IsZero()}
+		message := &wire.SuspectRecord{Tenant: record.Content.Tenant, Digest: record.Content.Digest, Outlived: !record.SurvivedAt.IsZero()}
 		if message.Outlived {
-			message.OutlivedAgeMillis = wire.AgeMillis(now.Sub(record.OutlivedAt))
+			message.OutlivedAgeMillis = wire.AgeMillis(now.Sub(record.SurvivedAt))
 		}
-		for _, end := range record.Ends {
+		for _, end := range record.Crashes {
 			message.Ends = append(message.Ends, &wire.RunnerEnd{
 				Runner: end.Runner.ID, Incarnation: end.Runner.Incarnation,
-				AgeMillis: wire.AgeMillis(now.Sub(end.At)), BeganAgeMillis: wire.AgeMillis(now.Sub(end.Began)),
+				AgeMillis: wire.AgeMillis(now.Sub(end.DetectedAt)), BeganAgeMillis: wire.AgeMillis(now.Sub(end.SentAt)),
 			})
 		}
 		messages = append(messages, message)
@@ -35,14 +35,14 @@
 func recordsOf(now time.Time, messages []*wire.SuspectRecord) []quarantine.Record {
 	records := make([]quarantine.Record, 0, len(messages))
 	for _, message := range messages {
-		record := quarantine.Record{Content: quarantine.Content{Tenant: message.GetTenant(), Digest: message.GetDigest()}}
+		record := quarantine.Record{Content: quarantine.ContentID{Tenant: message.GetTenant(), Digest: message.GetDigest()}}
 		if message.GetOutlived() {
-			record.OutlivedAt = now.Add(-wire.Age(message.GetOutlivedAgeMillis()))
+			record.SurvivedAt = now.Add(-wire.Age(message.GetOutlivedAgeMillis()))
 		}
 		for _, end := range message.GetEnds() {
-			record.Ends = append(record.Ends, quarantine.End{
-				Runner: quarantine.Runner{ID: end.GetRunner(), Incarnation: end.GetIncarnation()},
-				At:     now.Add(-wire.Age(end.GetAgeMillis())), Began: now.Add(-wire.Age(end.GetBeganAgeMillis())),
+			record.Crashes = append(record.Crashes, quarantine.Crash{
+				Runner:     quarantine.Runner{ID: end.GetRunner(), Incarnation: end.GetIncarnation()},
+				DetectedAt: now.Add(-wire.Age(end.GetAgeMillis())), SentAt: now.Add(-wire.Age(end.GetBeganAgeMillis())),
 			})
 		}
 		records = append(records, record)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -17,13 +17,13 @@
 type suspects struct {
 	gateway *Gateway
 	kept    *keptQuarantines
-	out     *newsOutbox[quarantine.Content]
+	out     *newsOutbox[quarantine.ContentID]
 	mutex   sync.Mutex
-	judge   *quarantine.Judge
+	judge   *quarantine.Detector
 	// followed is how far this router knows the records of those that it pulls from.
 	followed map[string]feedPlace
 	// logged holds until when contents were logged to be quarantined.
-	logged map[quarantine.Content]time.Time
+	logged map[quarantine.ContentID]time.Time
 }
 
 // feedPlace is a place in the changes of another router's records.
@@ -37,18 +37,18 @@
 
 func newSuspects(g *Gateway) *suspects {
 	s := &suspects{
-		gateway: g, kept: newKeptQuarantines(g), judge: quarantine.NewJudge(),
-		followed: map[string]feedPlace{}, logged: map[quarantine.Content]time.Time{},
+		gateway: g, kept: newKeptQuarantines(g), judge: quarantine.NewDetector(),
+		followed: map[string]feedPlace{}, logged: map[quarantine.ContentID]time.Time{},
 	}
 	s.out = newNewsOutbox(g, s.news)
 	return s
 }
 
 // news tells other routers what is known by now of the contents.
-func (s *suspects) news(now time.Time, contents []quarantine.Content) *wire.Envelope {
+func (s *suspects) news(now time.Time, contents []quarantine.ContentID) *wire.Envelope {
 	var records []quarantine.Record
 	for _, content := range contents {
-		if record, _ := s.record(content); len(record.Ends) > 0 {
+		if record, _ := s.record(content); len(record.Crashes) > 0 {
 			records = append(records, record)
 		}
 	}
@@ -59,8 +59,8 @@
 }
 
 // contentsOf names the contents of the records.
-func contentsOf(records []quarantine.Record) []quarantine.Content {
-	contents := make([]quarantine.Content, 0, len(records))
+func contentsOf(records []quarantine.Record) []quarantine.ContentID {
+	contents := make([]quarantine.ContentID, 0, len(records))
 	for _, record := range records {
 		contents = append(contents, record.Content)
 	}
@@ -68,10 +68,10 @@
 }
 
 // verdict judges the content.
-func (s *suspects) verdict(now time.Time, content quarantine.Content) quarantine.Verdict {
+func (s *suspects) verdict(now time.Time, content quarantine.ContentID) quarantine.Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.judge.Verdict(now, content)
+	return s.judge.Evaluate(now, content)
 }
 
 // runnerEnded notes a runner's end under the runs.
@@ -79,7 +79,7 @@
 	var changed []quarantine.Record
 	s.mutex.Lock()
 	for _, run := range runs {
-		if s.judge.Ended(now, run) {
+		if s.judge.RunnerCrashed(now, run) {
 			record, _ := s.judge.Record(run.Content)
 			changed = append(changed, record)
 		}
@@ -89,10 +89,10 @@
 }
 
 // outlived notes that a runner has outlived a run of the content.
-func (s *suspects) outlived(now time.Time, content quarantine.Content) {
+func (s *suspects) outlived(now time.Time, content quarantine.ContentID) {
 	var changed []quarantine.Record
 	s.mutex.Lock()
-	if s.judge.Outlived(now, content) {
+	if s.judge.RunnerSurvived(now, content) {
 		record, _ := s.judge.Record(content)
 		changed = append(changed, record)
 	}
@@ -132,7 +132,7 @@
 		case quarantineLifted:
 			s.gateway.log.Log(events.QuarantineLifted, events.Fields{"content": record.Content.String(), "tenant": record.Content.Tenant})
 		}
-		s.kept.changed(record.Content, verdict.Ends)
+		s.kept.changed(record.Content, verdict.Crashes)
 	}
 }
 
@@ -148,10 +148,10 @@
 )
 
 // step judges a content whose record has changed, and tells what is to be logged of it.
-func (s *suspects) step(now time.Time, content quarantine.Content) (quarantine.Verdict, quarantineStep) {
+func (s *suspects) step(now time.Time, content quarantine.ContentID) (quarantine.Status, quarantineStep) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	verdict := s.judge.Verdict(now, content)
+	verdict := s.judge.Evaluate(now, content)
 	until, logged := s.logged[content]
 	switch {
 	case verdict.State == quarantine.Quarantined && !until.Equal(verdict.Until):
@@ -165,22 +165,22 @@
 }
 
 // quarantined notes that a content is not sent any more.
-func (s *suspects) quarantined(now time.Time, record quarantine.Record, verdict quarantine.Verdict) {
+func (s *suspects) quarantined(now time.Time, record quarantine.Record, verdict quarantine.Status) {
 	g := s.gateway
-	first := record.Ends[max(len(record.Ends)-verdict.Ends, 0)]
+	first := record.Crashes[max(len(record.Crashes)-verdict.Crashes, 0)]
 	g.metrics.quarantines.Inc()
-	g.metrics.quarantineTimes.Observe(now.Sub(first.At).Seconds())
+	g.metrics.quarantineTimes.Observe(now.Sub(first.DetectedAt).Seconds())
 	g.log.Log(events.ContentQuarantined, events.Fields{
-		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": verdict.Ends, "runners": endedRunners(record),
-		"after_ms": now.Sub(first.At).Milliseconds(), "for_ms": verdict.Until.Sub(now).Milliseconds(),
+		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": verdict.Crashes, "runners": endedRunners(record),
+		"after_ms": now.Sub(first.DetectedAt).Milliseconds(), "for_ms": verdict.Until.Sub(now).Milliseconds(),
 	})
 	g.withdrawContent(record.Content)
 }
 
 // endedRunners names the runners that ended under the content.
 func endedRunners(record quarantine.Record) []string {
-	names := make([]string, 0, len(record.Ends))
-	for _, end := range record.Ends {
+	names := make([]string, 0, len(record.Crashes))
+	for _, end := range record.Crashes {
 		names = append(names, end.Runner.ID)
 	}
 	return names
@@ -206,7 +206,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	records, reached := s.judge.Since(through, mostSuspects)
+	records, reached := s.judge.ChangedSince(through, mostSuspects)
 	if reached == through {
 		return nil
 	}
@@ -227,7 +227,7 @@
 // sweep forgets records that are of no use any more.
 func (s *suspects) sweep(now time.Time) {
 	s.mutex.Lock()
-	forgotten := s.judge.Sweep(now)
+	forgotten := s.judge.Prune(now)
 	for _, record := range forgotten {
 		delete(s.logged, record.Content)
 	}
@@ -238,15 +238,15 @@
 }
 
 // record returns what is known of the content, and what follows from it.
-func (s *suspects) record(content quarantine.Content) (quarantine.Record, quarantine.Verdict) {
+func (s *suspects) record(content quarantine.ContentID) (quarantine.Record, quarantine.Status) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	record, _ := s.judge.Record(content)
-	return record, s.judge.Verdict(s.gateway.now(), content)
+	return record, s.judge.Evaluate(s.gateway.now(), content)
 }
 
 // contents returns all contents that this router has a record of.
-func (s *suspects) contents() []quarantine.Content {
+func (s *suspects) contents() []quarantine.ContentID {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return contentsOf(s.judge.Records())
@@ -259,7 +259,7 @@
 	for _, record := range s.judge.Quarantined(now, mostQuarantined) {
 		summary = append(summary, QuarantinedContent{
 			Content: record.Content.String(), Tenant: record.Content.Tenant, Runners: endedRunners(record),
-			LeftMillis: s.judge.Verdict(now, record.Content).Until.Sub(now).Milliseconds(),
+			LeftMillis: s.judge.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
 		})
 	}
 	return summary
@@ -269,5 +269,5 @@
 func (s *suspects) counts() map[quarantine.State]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.judge.Counts(s.gateway.now())
+	return s.judge.CountByState(s.gateway.now())
 }
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -24,7 +24,7 @@
 	model  string
 	// weights is the version that the runner was known to have at the send.
 	weights uint64
-	content quarantine.Content
+	content quarantine.ContentID
 	cancel  context.CancelCauseFunc
 }
 
@@ -84,7 +84,7 @@
 
 // withdrawContent ends the connections of streams of the content that wait at runners: each
 // would end its runner, too. One that has begun unseen does so in any case.
-func (g *Gateway) withdrawContent(content quarantine.Content) {
+func (g *Gateway) withdrawContent(content quarantine.ContentID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for send := range g.unbegun {
@@ -104,7 +104,7 @@
 // endWithdrawn takes a send whose connection was ended before the runner was seen to
 // begin: it may have begun all the same.
 func (c *call) endWithdrawn(notSent bool) attempt.Next {
-	c.end(backend.Abandoned, quarantine.Left, context.Cause(c.sendCtx).Error(), 0)
+	c.end(backend.Abandoned, quarantine.Canceled, context.Cause(c.sendCtx).Error(), 0)
 	if notSent {
 		return c.request.NotSent()
 	}
--- a/internal/quarantine/content.go
+++ b/internal/quarantine/content.go
@@ -1,7 +1,7 @@
-// Package quarantine finds contents of requests that end the runners that run them, and
-// says which may not be sent any more.
+// Package quarantine detects requests that crash the runners that process them, and decides
+// which contents must no longer be sent.
 //
-// The package has no I/O, clock or goroutines.
+// The package performs no I/O, does not read the clock and starts no goroutines.
 package quarantine
 
 import (
@@ -10,27 +10,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content names what a request asks: whoever asks the same again has the same one, at
-// whichever router. The tenant is part of it, so that no tenant's requests speak against
-// those of another, whatever their digests.
-type Content struct {
+// ContentID identifies the content of a request: identical requests have the same ContentID at
+// every router. The tenant is part of it, so that crashes caused by one tenant's requests never
+// count against those of another tenant, even if their digests collide.
+type ContentID struct {
 	Tenant string
-	// Digest is the hash of host, path with query, and body.
+	// Digest is the hash of the host, the path with its query, and the body.
 	Digest uint64
 }
 
-// ContentOf returns the content of a tenant's request; the tenant is empty for requests
-// without one.
-func ContentOf(tenant, host, target string, body []byte) Content {
-	digest := xxhash.New()
-	// Writing to a hash does not fail.
+// NewContentID returns the ContentID of a tenant's request. The tenant is empty for requests
+// without one, and target is the path with its query.
+func NewContentID(tenant, host, target string, body []byte) ContentID {
+	hash := xxhash.New()
+	// Writing to a hash never fails.
 	for _, part := range []string{host, target} {
-		_, _ = digest.WriteString(part)
-		_, _ = digest.Write([]byte{0})
+		_, _ = hash.WriteString(part)
+		_, _ = hash.Write([]byte{0})
 	}
-	_, _ = digest.Write(body)
-	return Content{Tenant: tenant, Digest: digest.Sum64()}
+	_, _ = hash.Write(body)
+	return ContentID{Tenant: tenant, Digest: hash.Sum64()}
 }
 
-// String returns the digest as logs and the store have it.
-func (c Content) String() string { return fmt.Sprintf("%016x", c.Digest) }
+// String returns the digest in the form that is used in logs and in the store.
+func (c ContentID) String() string { return fmt.Sprintf("%016x", c.Digest) }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,201 +6,208 @@
 	"time"
 )
 
-// End is the end of one runner while a content was at work on it.
-type End struct {
+// Crash is a crash of one runner that occurred while the runner was processing the content.
+type Crash struct {
 	Runner Runner
-	// Began is when the run was sent, and At when the runner was found to have ended.
-	Began, At time.Time
+	// SentAt is when the run was sent, and DetectedAt is when the crash was detected.
+	SentAt, DetectedAt time.Time
 }
 
-// keptEnds bounds the ends of one record, above what quarantining and lifting it some
-// times takes.
-const keptEnds = 16
+// maxCrashes limits the crashes in one record. It is more than the content needs to be
+// quarantined and to fail several trials.
+const maxCrashes = 16
 
-// Record is what is known of one content. Records of several routers merge in any order
-// and any number of times to the same one: ends are a set by runner, and the newest word
-// that a runner outlived the content counts.
+// Record holds the crashes of one content. Merging records of several routers gives the same
+// result in any order and with any number of repetitions: crashes are a set keyed by runner,
+// and the latest SurvivedAt applies.
 type Record struct {
-	Content Content
-	// Ends are those of different runners, the earliest first, keptEnds at most.
-	Ends []End
-	// OutlivedAt is when a runner was last seen to outlive a run of the content, zero for
-	// never.
-	OutlivedAt time.Time
+	Content ContentID
+	// Crashes holds at most one crash per runner, earliest first and at most maxCrashes.
+	Crashes []Crash
+	// SurvivedAt is when a runner was last seen to survive a run of the content, zero if none
+	// did.
+	SurvivedAt time.Time
 }
 
-// Merge returns the record with what the other one knows, and whether that was news. That a
-// runner outlived the content is news only if ends count no more by it: moments shift a
-// little on their way, and routers would tell each other of the shifts for ever.
+// Merge combines both records and reports whether that added information. A later SurvivedAt
+// counts as a change only if it makes crashes inactive: times shift slightly in transit, and
+// routers would otherwise send each other the shifted times forever.
 func (r Record) Merge(other Record) (merged Record, changed bool) {
 	merged = r
-	for _, end := range other.Ends {
-		if !merged.names(end.Runner) {
-			merged.Ends, changed = append(slices.Clone(merged.Ends), end), true
+	for _, crash := range other.Crashes {
+		if !merged.includesRunner(crash.Runner) {
+			merged.Crashes, changed = append(slices.Clone(merged.Crashes), crash), true
 		}
 	}
-	slices.SortStableFunc(merged.Ends, func(a, b End) int { return a.At.Compare(b.At) })
-	merged.Ends = merged.Ends[max(len(merged.Ends)-keptEnds, 0):]
-	if other.OutlivedAt.After(r.OutlivedAt) {
-		before := len(merged.standing())
-		merged.OutlivedAt = other.OutlivedAt
-		changed = changed || len(merged.standing()) < before
+	slices.SortStableFunc(merged.Crashes, func(a, b Crash) int { return a.DetectedAt.Compare(b.DetectedAt) })
+	merged.Crashes = merged.Crashes[max(len(merged.Crashes)-maxCrashes, 0):]
+	if other.SurvivedAt.After(r.SurvivedAt) {
+		before := len(merged.activeCrashes())
+		merged.SurvivedAt = other.SurvivedAt
+		changed = changed || len(merged.activeCrashes()) < before
 	}
 	return merged, changed
 }
 
-// names tells whether one of the ends is the runner's.
-func (r Record) names(runner Runner) bool {
-	return slices.ContainsFunc(r.Ends, func(end End) bool { return end.Runner == runner })
+// includesRunner reports whether the record contains a crash of the runner.
+func (r Record) includesRunner(runner Runner) bool {
+	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Runner == runner })
 }
 
-// standing returns the ends since a runner outlived the content: one that did so shows
-// that those before had another cause.
-func (r Record) standing() []End {
-	first := slices.IndexFunc(r.Ends, func(end End) bool { return end.At.After(r.OutlivedAt) })
+// activeCrashes returns the crashes since a runner last survived a run of the content. A
+// survived run shows that the earlier crashes had another cause.
+func (r Record) activeCrashes() []Crash {
+	first := slices.IndexFunc(r.Crashes, func(crash Crash) bool { return crash.DetectedAt.After(r.SurvivedAt) })
 	if first < 0 {
 		return nil
 	}
-	return r.Ends[first:]
+	return r.Crashes[first:]
 }
 
-// explains tells whether the content of this record was at work on all runners that ended
-// under the other one, by which it may be the cause of these ends.
-func (r Record) explains(other Record) bool {
-	ends, others := r.standing(), other.standing()
-	if r.Content == other.Content || len(ends) < len(others) {
+// coversCrashes reports whether every runner in the other record's active crashes is also in
+// the active crashes of this record. The content of this record may then be the cause of the
+// other's crashes.
+func (r Record) coversCrashes(other Record) bool {
+	ownCrashes, otherCrashes := r.activeCrashes(), other.activeCrashes()
+	if r.Content == other.Content || len(ownCrashes) < len(otherCrashes) {
 		return false
 	}
-	for _, end := range others {
-		if !slices.ContainsFunc(ends, func(own End) bool { return own.Runner == end.Runner }) {
+	for _, crash := range otherCrashes {
+		if !slices.ContainsFunc(ownCrashes, func(own Crash) bool { return own.Runner == crash.Runner }) {
 			return false
 		}
 	}
 	return true
 }
 
-// State is what follows for a content.
+// State determines how requests with a content are handled.
 type State uint8
 
-// The states.
+// The states of a content.
 const (
-	// Clear contents are sent like all others.
+	// Clear contents are sent without restrictions.
 	Clear State = iota
-	// Suspected contents were at work on a runner that ended. They are sent, apart from
-	// each other.
+	// Suspected contents were being processed on a runner that crashed. They are sent, but kept
+	// on separate runners.
 	Suspected
 	// Quarantined contents are not sent.
 	Quarantined
-	// OnTrial contents were quarantined. They are sent one at a time.
+	// OnTrial contents have left their quarantine. They are sent one at a time.
 	OnTrial
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"clear", "suspected", "quarantined", "on trial"}[s]
 }
 
-// Verdict is a state and the ends that it rests on.
-type Verdict struct {
+// Status is the state of a content and the reason for it.
+type Status struct {
 	State State
-	// Ends counts the runners that ended since one outlived the content.
-	Ends int
-	// Until is when a quarantine is over.
+	// Crashes is the number of runners that crashed since one last survived a run of the
+	// content.
+	Crashes int
+	// Until is when the quarantine ends.
 	Until time.Time
 }
 
-// Bounds of judging.
+// Thresholds and durations of the quarantine.
 const (
-	// endsToQuarantine is how many runners must have ended under a content before it is not
-	// sent any more. In the model of mixed fleets (simulation_test.go) four cost one runner
-	// more for each such content; two spare one, and would refuse what was at two ended
-	// runners by chance, as long requests are.
-	endsToQuarantine = 3
-	// endsIfExplained is the same while something else explains the ends: two more, so that
-	// also then no more runners end than the three and three more that are borne.
-	endsIfExplained = 5
-	// waveTime is within which runners count as lost together, and waveRunners how many others
-	// make it a wave: runners that are lost at once are found to have ended within 10 ms, or
-	// when their next answer is due. One content that ends runners meets so many others by
-	// chance now and then, and hardly at each of its ends.
-	waveTime    = 300 * time.Millisecond
-	waveRunners = 2
-	// quarantineTime is how long a content is not sent at first. One that is refused wrongly
-	// is shut out for so long, and each trial may cost a runner: after 5, 15, 35 and 75
-	// minutes, three in the first hour.
-	quarantineTime = 5 * time.Minute
-	// longestQuarantine bounds the time, which doubles with each trial that ends a runner.
-	longestQuarantine = 24 * time.Hour
-	// suspectTime is how long ends count that led to no quarantine: contents that are asked
-	// less often are never quarantined. One run that a runner outlives ends it sooner.
-	suspectTime = time.Hour
-	// clearedTime is how long a content is remembered to have been outlived: above the time
-	// in which other routers hear of it.
-	clearedTime = time.Minute
+	// quarantineThreshold is the number of crashed runners at which a content is no longer
+	// sent. In the simulation of mixed fleets (simulation_test.go), a threshold of four costs
+	// one more runner per crashing content. A threshold of two saves one runner, but would
+	// refuse contents that were on two crashed runners by chance, which is likely for long
+	// requests.
+	quarantineThreshold = 3
+	// otherCauseThreshold is the threshold while the crashes may have another cause. It is two
+	// higher, so that even then no more runners crash than the accepted three plus three more.
+	otherCauseThreshold = 5
+	// correlationWindow is the maximum time between crashes that count as correlated, and
+	// minCorrelatedRunners is the number of other crashed runners that makes a crash
+	// correlated. Runners that are lost at once are detected within 10 ms, or when their next
+	// response is due. A content that crashes runners coincides with that many other crashes
+	// now and then, but hardly on each of its crashes.
+	correlationWindow    = 300 * time.Millisecond
+	minCorrelatedRunners = 2
+	// initialQuarantine is the length of the first quarantine. A content that is refused
+	// wrongly is blocked for this long, but each trial may cost a runner. Trials occur after 5,
+	// 15, 35 and 75 minutes, which is three in the first hour.
+	initialQuarantine = 5 * time.Minute
+	// maxQuarantine limits the length of a quarantine, which doubles with each trial that
+	// crashes a runner.
+	maxQuarantine = 24 * time.Hour
+	// suspicionRetention is how long crashes count that did not lead to a quarantine. Contents
+	// that are sent less often than this are never quarantined. A survived run clears the
+	// content earlier.
+	suspicionRetention = time.Hour
+	// clearedRetention is how long the record of a survived run is kept. It is longer than
+	// other routers need to learn of it.
+	clearedRetention = time.Minute
 )
 
-// Verdict judges the content at the moment, by how many ends quarantine it.
-func (r Record) Verdict(now time.Time, needed int) Verdict {
-	ends := r.standing()
-	verdict := Verdict{Ends: len(ends)}
-	first := quarantinedBy(ends, needed)
+// Evaluate returns the status of the content at the given time, if threshold crashes quarantine
+// it.
+func (r Record) Evaluate(now time.Time, threshold int) Status {
+	crashes := r.activeCrashes()
+	status := Status{Crashes: len(crashes)}
+	first := quarantiningCrash(crashes, threshold)
 	if first < 0 {
-		if len(ends) > 0 {
-			verdict.State = Suspected
+		if len(crashes) > 0 {
+			status.State = Suspected
 		}
-		return verdict
+		return status
 	}
-	until, _ := quarantineOf(ends, first)
-	verdict.State, verdict.Until = OnTrial, until
+	until, _ := quarantinePeriod(crashes, first)
+	status.State, status.Until = OnTrial, until
 	if now.Before(until) {
-		verdict.State = Quarantined
+		status.State = Quarantined
 	}
-	return verdict
+	return status
 }
 
-// quarantinedBy returns the index of the end by which the content was first quarantined,
-// -1 if it was not. Runners that end all at once, as with a rack, are no evidence against
-// what was at work on several of them: one run at least must have begun after a runner had
-// ended under another.
-func quarantinedBy(ends []End, needed int) int {
-	for i := needed - 1; i < len(ends); i++ {
-		if again := slices.ContainsFunc(ends[:i+1], func(end End) bool { return end.Began.After(ends[0].At) }); again {
+// quarantiningCrash returns the index of the crash that first quarantined the content, or -1 if
+// it was not quarantined. Runners that crash all at once, such as those of a failed rack, are
+// no evidence against a content that was running on several of them. Therefore at least one run
+// must have been sent after the first crash was detected.
+func quarantiningCrash(crashes []Crash, threshold int) int {
+	for i := threshold - 1; i < len(crashes); i++ {
+		if sentAgain := slices.ContainsFunc(crashes[:i+1], func(crash Crash) bool { return crash.SentAt.After(crashes[0].DetectedAt) }); sentAgain {
 			return i
 		}
 	}
 	return -1
 }
 
-// quarantineOf returns until when the content is quarantined, and for how long: anew, and
-// twice as long, with each end under a run that began after the last time.
-func quarantineOf(ends []End, first int) (until time.Time, span time.Duration) {
-	span = quarantineTime
-	until = ends[first].At.Add(span)
-	for _, end := range ends[first+1:] {
-		if !end.Began.Before(until) {
-			span = min(2*span, longestQuarantine)
-			until = end.At.Add(span)
+// quarantinePeriod returns when the quarantine ends and how long it is. Each crash during a run
+// that was sent after the previous quarantine starts a new quarantine of twice the length.
+func quarantinePeriod(crashes []Crash, first int) (until time.Time, duration time.Duration) {
+	duration = initialQuarantine
+	until = crashes[first].DetectedAt.Add(duration)
+	for _, crash := range crashes[first+1:] {
+		if !crash.SentAt.Before(until) {
+			duration = min(2*duration, maxQuarantine)
+			until = crash.DetectedAt.Add(duration)
 		}
 	}
-	return until, span
+	return until, duration
 }
 
-// forgetAt is when the record is of no use any more. A content that was quarantined is
-// remembered for as long again, so that its trial counts.
-func (r Record) forgetAt() time.Time {
-	ends := r.standing()
-	if len(ends) == 0 {
-		return r.OutlivedAt.Add(clearedTime)
+// expiry returns when the record can be removed. A quarantined content is kept for the length
+// of its quarantine after the quarantine ended, so that the result of its trial counts.
+func (r Record) expiry() time.Time {
+	crashes := r.activeCrashes()
+	if len(crashes) == 0 {
+		return r.SurvivedAt.Add(clearedRetention)
 	}
-	if first := quarantinedBy(ends, endsToQuarantine); first >= 0 {
-		until, span := quarantineOf(ends, first)
-		return until.Add(span)
+	if first := quarantiningCrash(crashes, quarantineThreshold); first >= 0 {
+		until, duration := quarantinePeriod(crashes, first)
+		return until.Add(duration)
 	}
-	return ends[len(ends)-1].At.Add(suspectTime)
+	return crashes[len(crashes)-1].DetectedAt.Add(suspicionRetention)
 }
 
-// weaker orders records by how little would be lost with them: first by ends, then by when
-// they last changed.
-func weaker(a, b Record) int {
-	return cmp.Or(cmp.Compare(len(a.standing()), len(b.standing())), a.forgetAt().Compare(b.forgetAt()))
+// compareSignificance orders records for eviction, least significant first: by the number of
+// active crashes, then by expiry.
+func compareSignificance(a, b Record) int {
+	return cmp.Or(cmp.Compare(len(a.activeCrashes()), len(b.activeCrashes())), a.expiry().Compare(b.expiry()))
 }
--- /dev/null
+++ b/internal/quarantine/runtable_test.go
@@ -0,0 +1,75 @@
+package quarantine_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"github.com/clovertiller/clovertiller/internal/quarantine"
+)
+
+var (
+	start   = time.Unix(1_000, 0)
+	runnerA = quarantine.Runner{ID: "a", Incarnation: 1}
+)
+
+func content(body string) quarantine.ContentID {
+	return quarantine.NewContentID("tenant", "h.example", "/p/", []byte(body))
+}
+
+func TestContentIDCoversTenantHostPathAndBody(t *testing.T) {
+	g := NewWithT(t)
+	base := quarantine.NewContentID("t", "h", "/p", []byte("b"))
+	g.Expect(quarantine.NewContentID("t", "h", "/p", []byte("b"))).To(Equal(base))
+	for _, other := range []quarantine.ContentID{
+		quarantine.NewContentID("u", "h", "/p", []byte("b")), quarantine.NewContentID("t", "i", "/p", []byte("b")),
+		quarantine.NewContentID("t", "h", "/q", []byte("b")), quarantine.NewContentID("t", "h", "/p", []byte("c")),
+		quarantine.NewContentID("t", "h/", "p", []byte("b")), quarantine.NewContentID("t", "h", "/pb", nil),
+	} {
+		g.Expect(other).NotTo(Equal(base))
+	}
+}
+
+func TestRunnerCrashedReturnsOpenAndRecentlyEndedRuns(t *testing.T) {
+	g, table := NewWithT(t), quarantine.NewRunTable()
+	begin := func(name string) *quarantine.Run { return table.Begin(start, runnerA, content(name)) }
+	open, lost, canceled, old := begin("open"), begin("lost"), begin("canceled"), begin("old")
+	for _, outcome := range []quarantine.RunOutcome{quarantine.NotRun, quarantine.Survived, quarantine.Indeterminate} {
+		table.End(start, begin("settled"), outcome)
+	}
+	table.Begin(start, quarantine.Runner{ID: "a", Incarnation: 2}, content("next incarnation"))
+	table.End(start, old, quarantine.ConnectionLost)
+	now := start.Add(time.Second)
+	table.End(now, lost, quarantine.ConnectionLost)
+	table.End(now, canceled, quarantine.Canceled)
+	g.Expect(table.RunnerCrashed(now, runnerA)).To(ConsistOf(open, lost, canceled))
+	g.Expect(table.RunnerCrashed(now, runnerA)).To(BeEmpty(), "runs are returned only once")
+	g.Expect(table.HasCrashed(runnerA)).To(BeTrue())
+	g.Expect(table.HasCrashed(quarantine.Runner{ID: "a", Incarnation: 2})).To(BeFalse())
+	table.Prune(now.Add(time.Minute))
+	g.Expect(table.HasCrashed(runnerA)).To(BeFalse())
+}
+
+func TestRunnerAliveMarksEarlierLostConnectionsAsSurvived(t *testing.T) {
+	g, table := NewWithT(t), quarantine.NewRunTable()
+	before, after, canceled := table.Begin(start, runnerA, content("1")), table.Begin(start, runnerA, content("2")), table.Begin(start, runnerA, content("3"))
+	table.End(start, before, quarantine.ConnectionLost)
+	table.End(start, canceled, quarantine.Canceled)
+	table.End(start.Add(2*time.Millisecond), after, quarantine.ConnectionLost)
+	table.RunnerAlive(start.Add(time.Millisecond), runnerA)
+	g.Expect(table.RunnerCrashed(start.Add(3*time.Millisecond), runnerA)).To(ConsistOf(after, canceled))
+}
+
+func TestEndedRunsPerRunnerAreBounded(t *testing.T) {
+	g, table := NewWithT(t), quarantine.NewRunTable()
+	open := table.Begin(start, runnerA, content("open"))
+	for i := range 1000 {
+		table.End(start, table.Begin(start, runnerA, content(fmt.Sprint(i))), quarantine.Canceled)
+	}
+	runs := table.RunnerCrashed(start, runnerA)
+	g.Expect(len(runs)).To(BeNumerically("<=", 129))
+	g.Expect(runs).To(ContainElement(open))
+	g.Expect(runs[len(runs)-1].Content).To(Equal(content("999")), "the latest runs are kept")
+}
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -10,343 +10,355 @@
 	. "github.com/onsi/gomega"
 )
 
-// The model of a fleet: routers send requests to runners; some contents end each runner that
-// runs them, and runners end by themselves in waves. It weighs who judges, by how many ends,
-// and whether suspected contents are kept apart, and holds the way that is built to its aims.
+// The simulation of a fleet: routers send requests to runners, some contents crash each runner
+// that processes them, and groups of runners also fail for other reasons. It compares policies
+// by whether routers share their records, by the crash threshold, and by the placement of
+// suspected contents, and it checks the implemented policy against its requirements.
 
-// policy is one way to judge.
+// policy is one way to decide which contents are quarantined and where suspected contents are
+// sent.
 type policy struct {
-	// alone has each router judge by what it saw itself.
-	alone bool
-	// ends is how many ended runners quarantine a content.
-	ends int
-	// apart keeps suspected contents apart from each other.
-	apart bool
-	// together sends a suspected content to the runner that already runs it.
-	together bool
-	// counts leaves out that another content may explain the ends.
-	counts bool
+	// localOnly makes each router decide by the crashes that it detected itself.
+	localOnly bool
+	// threshold is the number of crashed runners that quarantines a content.
+	threshold int
+	// isolate sends suspected contents to different runners.
+	isolate bool
+	// colocate sends a suspected content to the runner that is already processing it.
+	colocate bool
+	// countOnly applies the threshold without considering other causes of the crashes. It
+	// distinguishes such a policy from the implemented one.
+	countOnly bool
 }
 
-var built = policy{ends: endsToQuarantine, apart: true, together: true}
+var implemented = policy{threshold: quarantineThreshold, isolate: true, colocate: true}
 
-// world is one scenario.
-type world struct {
+// scenario describes a fleet and its load.
+type scenario struct {
 	name    string
 	routers int
 	runners int
-	// poisons is how many contents end runners, and poisonEvery the mean time between two
-	// requests of each, each at a random router.
-	poisons     int
-	poisonEvery time.Duration
-	// waves is how often waveShare of the runners end by themselves.
-	waves     time.Duration
-	waveShare float64
-	// affinity is the share of requests that go to the runner of their prompt's family.
+	// poisonContents is the number of contents that crash runners, and poisonInterval is the
+	// mean time between two requests of each. Each request arrives at a random router.
+	poisonContents int
+	poisonInterval time.Duration
+	// failureInterval is how often runners fail for other reasons; failureShare is the fraction
+	// of the runners that does.
+	failureInterval time.Duration
+	failureShare    float64
+	// affinity is the fraction of requests that are sent to the runner of their prompt family.
 	affinity float64
 }
 
-var worlds = []world{
-	{name: "one", routers: 7, runners: 18, poisons: 1, poisonEvery: 400 * time.Millisecond, affinity: 0.7},
-	{name: "one, frequent", routers: 7, runners: 18, poisons: 1, poisonEvery: 50 * time.Millisecond, affinity: 0.7},
-	{name: "one, rare", routers: 7, runners: 18, poisons: 1, poisonEvery: 5 * time.Second, affinity: 0.7},
-	{name: "ten", routers: 7, runners: 18, poisons: 10, poisonEvery: 3 * time.Second, affinity: 0.7},
-	{name: "few runners", routers: 3, runners: 5, poisons: 2, poisonEvery: time.Second, affinity: 0.7},
-	{name: "two runners", routers: 3, runners: 2, poisons: 1, poisonEvery: 2 * time.Second, affinity: 1},
-	{name: "one runner", routers: 3, runners: 1, poisons: 1, poisonEvery: 3 * time.Second, affinity: 1},
-	{name: "waves", routers: 7, runners: 18, waves: 3500 * time.Millisecond, waveShare: 0.3, affinity: 0.7},
-	{name: "one, waves", routers: 7, runners: 18, poisons: 1, poisonEvery: 400 * time.Millisecond, waves: 3500 * time.Millisecond, waveShare: 0.3, affinity: 0.7},
-	{name: "one, all runners lost", routers: 7, runners: 18, poisons: 1, poisonEvery: 400 * time.Millisecond, waves: 10 * time.Second, waveShare: 1, affinity: 0.7},
-	{name: "one of many routers", routers: 60, runners: 90, poisons: 1, poisonEvery: 100 * time.Millisecond, affinity: 0.7},
+var scenarios = []scenario{
+	{name: "one", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 400 * time.Millisecond, affinity: 0.7},
+	{name: "one, frequent", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 50 * time.Millisecond, affinity: 0.7},
+	{name: "one, rare", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 5 * time.Second, affinity: 0.7},
+	{name: "ten", routers: 7, runners: 18, poisonContents: 10, poisonInterval: 3 * time.Second, affinity: 0.7},
+	{name: "few runners", routers: 3, runners: 5, poisonContents: 2, poisonInterval: time.Second, affinity: 0.7},
+	{name: "two runners", routers: 3, runners: 2, poisonContents: 1, poisonInterval: 2 * time.Second, affinity: 1},
+	{name: "one runner", routers: 3, runners: 1, poisonContents: 1, poisonInterval: 3 * time.Second, affinity: 1},
+	{name: "group failures", routers: 7, runners: 18, failureInterval: 3500 * time.Millisecond, failureShare: 0.3, affinity: 0.7},
+	{name: "one, group failures", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 400 * time.Millisecond, failureInterval: 3500 * time.Millisecond, failureShare: 0.3, affinity: 0.7},
+	{name: "one, all runners lost", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 400 * time.Millisecond, failureInterval: 10 * time.Second, failureShare: 1, affinity: 0.7},
+	{name: "one, many routers", routers: 60, runners: 90, poisonContents: 1, poisonInterval: 100 * time.Millisecond, affinity: 0.7},
 }
 
-// Figures of the model.
+// Parameters of the simulation.
 const (
-	modelTime  = 60 * time.Second
-	modelStep  = 5 * time.Millisecond
-	reviveTime = 2 * time.Second
-	// uniqueRate and sameRate are requests a second for each runner: of contents of their
-	// own, and of one content that many ask.
-	uniqueRate, sameRate = 4.0, 2.0
-	// newsTime is within which routers hear of each other's records.
-	newsTime = 20 * time.Millisecond
-	// contact is how long after the third end sends of a content do not count.
-	contact = 3 * time.Second
-	// clientTries is how often a request comes when its answer breaks off.
-	clientTries = 4
-	families    = 20
-	slots       = 32
+	simulatedTime = 60 * time.Second
+	timeStep      = 5 * time.Millisecond
+	restartDelay  = 2 * time.Second
+	// uniqueRate and sharedRate are rates in requests per second and runner: of requests with a
+	// unique content, and of requests that all have the same content.
+	uniqueRate, sharedRate = 4.0, 2.0
+	// propagationDelay is the time until all routers receive each other's records.
+	propagationDelay = 20 * time.Millisecond
+	// lateSendDelay is the time after the third crash of a content from which sends of it count
+	// as late.
+	lateSendDelay = 3 * time.Second
+	// maxClientTries is the maximum number of times that a client sends a request whose
+	// response is interrupted.
+	maxClientTries = 4
+	familyCount    = 20
+	runnerSlots    = 32
 )
 
-// ask is one request of the model.
-type ask struct {
-	content Content
+// simRequest is one simulated request.
+type simRequest struct {
+	content ContentID
 	poison  bool
 	family  int
 	tries   int
 	router  int
 	run     *Run
-	ends    time.Time
+	endsAt  time.Time
 }
 
-// host is one runner of the model.
-type host struct {
-	runner Runner
-	asks   []*ask
-	backAt time.Time
+// simRunner is one simulated runner.
+type simRunner struct {
+	runner      Runner
+	requests    []*simRequest
+	availableAt time.Time
 }
 
-// result is what a run of the model showed.
+// result holds the measurements of a simulation.
 type result struct {
-	endsEach, sendsLate float64
-	asked, refused      int
-	broken              int
+	crashesPerPoison, lateSends float64
+	requested, refused          int
+	interrupted                 int
 }
 
-// model is one run.
-type model struct {
-	world  world
-	policy policy
-	random *rand.Rand
-	now    time.Time
-	hosts  []*host
-	judges []*Judge
-	// third is when each poison had ended its third runner.
-	ended map[Content]int
-	third map[Content]time.Time
-	next  int
+// simulation is one simulation of a scenario under a policy.
+type simulation struct {
+	scenario   scenario
+	policy     policy
+	random     *rand.Rand
+	now        time.Time
+	simRunners []*simRunner
+	detectors  []*Detector
+	// crashes counts the crashes caused by each poison content, and thirdCrashAt is the time of
+	// the third one.
+	crashes      map[ContentID]int
+	thirdCrashAt map[ContentID]time.Time
+	lastUnique   int
 	result
 }
 
-func newModel(w world, p policy, seed uint64) *model {
-	m := &model{world: w, policy: p, random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000, 0), ended: map[Content]int{}, third: map[Content]time.Time{}}
-	for i := range w.runners {
-		m.hosts = append(m.hosts, &host{runner: Runner{ID: fmt.Sprint(i), Incarnation: 1}})
+func newSimulation(sc scenario, p policy, seed uint64) *simulation {
+	s := &simulation{scenario: sc, policy: p, random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000, 0), crashes: map[ContentID]int{}, thirdCrashAt: map[ContentID]time.Time{}}
+	for i := range sc.runners {
+		s.simRunners = append(s.simRunners, &simRunner{runner: Runner{ID: fmt.Sprint(i), Incarnation: 1}})
 	}
-	judges := 1
-	if p.alone {
-		judges = w.routers
+	detectorCount := 1
+	if p.localOnly {
+		detectorCount = sc.routers
 	}
-	for range judges {
-		m.judges = append(m.judges, NewJudge())
+	for range detectorCount {
+		s.detectors = append(s.detectors, NewDetector())
 	}
-	return m
+	return s
 }
 
-func (m *model) judge(router int) *Judge { return m.judges[router%len(m.judges)] }
+func (s *simulation) detector(router int) *Detector { return s.detectors[router%len(s.detectors)] }
 
-// happens draws whether something of the rate a second happens in this step.
-func (m *model) happens(rate float64) bool { return m.random.Float64() < rate*modelStep.Seconds() }
+// happens reports at random whether an event with the given rate per second occurs in this time
+// step.
+func (s *simulation) happens(rate float64) bool { return s.random.Float64() < rate*timeStep.Seconds() }
 
-func (m *model) play() result {
-	for end := m.now.Add(modelTime); m.now.Before(end); m.now = m.now.Add(modelStep) {
-		for _, h := range m.hosts {
-			m.finish(h)
+func (s *simulation) run() result {
+	for end := s.now.Add(simulatedTime); s.now.Before(end); s.now = s.now.Add(timeStep) {
+		for _, r := range s.simRunners {
+			s.completeRequests(r)
 		}
-		m.wave()
-		m.arrive()
+		s.crashRandomRunners()
+		s.generateRequests()
 	}
-	m.endsEach /= float64(max(m.world.poisons, 1))
-	return m.result
+	s.crashesPerPoison /= float64(max(s.scenario.poisonContents, 1))
+	return s.result
 }
 
-func (m *model) arrive() {
-	for range m.world.runners {
-		if m.happens(uniqueRate) {
-			m.next++
-			m.send(&ask{content: Content{Digest: uint64(1000 + m.next)}, family: m.next % families})
+func (s *simulation) generateRequests() {
+	for range s.scenario.runners {
+		if s.happens(uniqueRate) {
+			s.lastUnique++
+			s.send(&simRequest{content: ContentID{Digest: uint64(1000 + s.lastUnique)}, family: s.lastUnique % familyCount})
 		}
-		if m.happens(sameRate) {
-			m.send(&ask{content: Content{Digest: 500}, family: 1})
+		if s.happens(sharedRate) {
+			s.send(&simRequest{content: ContentID{Digest: 500}, family: 1})
 		}
 	}
-	for i := range m.world.poisons {
-		if m.happens(1 / m.world.poisonEvery.Seconds()) {
-			m.send(&ask{content: Content{Digest: uint64(1 + i)}, poison: true, family: i % families, tries: clientTries})
+	for i := range s.scenario.poisonContents {
+		if s.happens(1 / s.scenario.poisonInterval.Seconds()) {
+			s.send(&simRequest{content: ContentID{Digest: uint64(1 + i)}, poison: true, family: i % familyCount, tries: maxClientTries})
 		}
 	}
 }
 
-// send lets a router judge the request and sends it.
-func (m *model) send(a *ask) {
-	a.router = m.random.IntN(m.world.routers)
-	record, _ := m.judge(a.router).Record(a.content)
-	if !a.poison && a.tries == 0 {
-		m.asked++
+// send assigns the request to a random router, which refuses it if its content is quarantined
+// and otherwise sends it to a runner.
+func (s *simulation) send(req *simRequest) {
+	req.router = s.random.IntN(s.scenario.routers)
+	record, _ := s.detector(req.router).Record(req.content)
+	if !req.poison && req.tries == 0 {
+		s.requested++
 	}
-	a.tries++
-	if m.quarantines(a, record) {
-		if !a.poison {
-			m.refused++
+	req.tries++
+	if s.isQuarantined(req, record) {
+		if !req.poison {
+			s.refused++
 		}
 		return
 	}
-	h := m.place(a, len(record.standing()) > 0)
-	if h == nil {
+	r := s.place(req, len(record.activeCrashes()) > 0)
+	if r == nil {
 		return
 	}
-	if third, known := m.third[a.content]; a.poison && known && m.now.After(third.Add(contact)) {
-		m.sendsLate++
+	if thirdCrash, known := s.thirdCrashAt[req.content]; req.poison && known && s.now.After(thirdCrash.Add(lateSendDelay)) {
+		s.lateSends++
 	}
-	a.run = &Run{Content: a.content, Runner: h.runner, Began: m.now}
-	duration := time.Duration((0.2 + m.random.ExpFloat64()*0.5) * float64(time.Second))
-	if a.poison {
-		duration = time.Duration((0.05 + m.random.Float64()) * float64(time.Second))
+	req.run = &Run{Content: req.content, Runner: r.runner, SentAt: s.now}
+	duration := time.Duration((0.2 + s.random.ExpFloat64()*0.5) * float64(time.Second))
+	if req.poison {
+		duration = time.Duration((0.05 + s.random.Float64()) * float64(time.Second))
 	}
-	a.ends = m.now.Add(duration)
-	h.asks = append(h.asks, a)
+	req.endsAt = s.now.Add(duration)
+	r.requests = append(r.requests, req)
 }
 
-// quarantines judges as the product does, or by the policy's number of ends alone.
-func (m *model) quarantines(a *ask, record Record) bool {
-	if m.policy == built {
-		return m.judge(a.router).Verdict(m.now, a.content).State == Quarantined
+// isQuarantined decides as the implementation does, or by the threshold of another policy.
+func (s *simulation) isQuarantined(req *simRequest, record Record) bool {
+	if s.policy == implemented {
+		return s.detector(req.router).Evaluate(s.now, req.content).State == Quarantined
 	}
-	return record.Verdict(m.now, m.policy.ends).State == Quarantined
+	return record.Evaluate(s.now, s.policy.threshold).State == Quarantined
 }
 
-// place chooses a runner: by family or at random, and suspected contents apart, if the
-// policy says so, at the one with the fewest requests.
-func (m *model) place(a *ask, suspected bool) *host {
-	var up []*host
-	for _, h := range m.hosts {
-		if !h.backAt.After(m.now) {
-			up = append(up, h)
+// place chooses a runner by prompt family or at random. For suspected contents, it chooses the
+// runner that is already processing the content, or the one with the fewest suspected requests,
+// if the policy says so.
+func (s *simulation) place(req *simRequest, suspected bool) *simRunner {
+	var available []*simRunner
+	for _, r := range s.simRunners {
+		if !r.availableAt.After(s.now) {
+			available = append(available, r)
 		}
 	}
-	if len(up) == 0 {
+	if len(available) == 0 {
 		return nil
 	}
-	for _, h := range up {
-		if suspected && m.policy.together && len(h.asks) < slots/2 && h.runs(a.content) {
-			return h
+	for _, r := range available {
+		if suspected && s.policy.colocate && len(r.requests) < runnerSlots/2 && r.isRunning(req.content) {
+			return r
 		}
 	}
-	if suspected && m.policy.apart {
-		var best *host
-		for _, h := range up {
-			if best == nil || m.suspects(h) < m.suspects(best) || m.suspects(h) == m.suspects(best) && len(h.asks) < len(best.asks) {
-				best = h
+	if suspected && s.policy.isolate {
+		var best *simRunner
+		for _, r := range available {
+			if best == nil || s.countSuspected(r) < s.countSuspected(best) || s.countSuspected(r) == s.countSuspected(best) && len(r.requests) < len(best.requests) {
+				best = r
 			}
 		}
 		return best
 	}
-	if m.random.Float64() < m.world.affinity {
-		return up[a.family%len(up)]
+	if s.random.Float64() < s.scenario.affinity {
+		return available[req.family%len(available)]
 	}
-	return up[m.random.IntN(len(up))]
+	return available[s.random.IntN(len(available))]
 }
 
-// runs tells whether a request of the content is open at the host.
-func (h *host) runs(content Content) bool {
-	return slices.ContainsFunc(h.asks, func(a *ask) bool { return a.content == content })
+// isRunning reports whether the runner is processing a request with the content.
+func (r *simRunner) isRunning(content ContentID) bool {
+	return slices.ContainsFunc(r.requests, func(req *simRequest) bool { return req.content == content })
 }
 
-// suspects counts the requests at the host whose contents are suspected.
-func (m *model) suspects(h *host) (count int) {
-	for _, a := range h.asks {
-		if record, _ := m.judge(a.router).Record(a.content); len(record.standing()) > 0 {
+// countSuspected returns the number of requests at the runner whose contents are suspected.
+func (s *simulation) countSuspected(r *simRunner) (count int) {
+	for _, req := range r.requests {
+		if record, _ := s.detector(req.router).Record(req.content); len(record.activeCrashes()) > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// finish ends runs that are over, and the runner if one of them ends it.
-func (m *model) finish(h *host) {
-	var open []*ask
-	for _, a := range h.asks {
+// completeRequests completes the runs that are due, and crashes the runner if one of them has a
+// poison content.
+func (s *simulation) completeRequests(r *simRunner) {
+	var remaining []*simRequest
+	for _, req := range r.requests {
 		switch {
-		case a.ends.After(m.now):
-			open = append(open, a)
-		case a.poison:
-			m.ended[a.content]++
-			m.endsEach++
-			if m.ended[a.content] == 3 {
-				m.third[a.content] = m.now
+		case req.endsAt.After(s.now):
+			remaining = append(remaining, req)
+		case req.poison:
+			s.crashes[req.content]++
+			s.crashesPerPoison++
+			if s.crashes[req.content] == 3 {
+				s.thirdCrashAt[req.content] = s.now
 			}
-			m.crash(h)
+			s.crash(r)
 			return
 		default:
-			m.judge(a.router).Outlived(m.now, a.content)
+			s.detector(req.router).RunnerSurvived(s.now, req.content)
 		}
 	}
-	h.asks = open
+	r.requests = remaining
 }
 
-// wave ends a share of the runners.
-func (m *model) wave() {
-	since := m.now.Sub(time.Unix(1_000, 0))
-	if m.world.waves == 0 || since%m.world.waves != 0 || since == 0 {
+// crashRandomRunners crashes a random part of the runners at the failure interval.
+func (s *simulation) crashRandomRunners() {
+	elapsed := s.now.Sub(time.Unix(1_000, 0))
+	if s.scenario.failureInterval == 0 || elapsed%s.scenario.failureInterval != 0 || elapsed == 0 {
 		return
 	}
-	for _, h := range m.hosts {
-		if m.random.Float64() < m.world.waveShare {
-			m.crash(h)
+	for _, r := range s.simRunners {
+		if s.random.Float64() < s.scenario.failureShare {
+			s.crash(r)
 		}
 	}
 }
 
-// crash ends a runner: what was at work on it breaks off and comes again.
-func (m *model) crash(h *host) {
-	lost := h.asks
-	h.asks, h.backAt = nil, m.now.Add(reviveTime)
-	for _, a := range lost {
-		m.judge(a.router).Ended(m.now.Add(newsTime), a.run)
+// crash restarts a runner. Its requests are interrupted, and clients send them again.
+func (s *simulation) crash(r *simRunner) {
+	lost := r.requests
+	r.requests, r.availableAt = nil, s.now.Add(restartDelay)
+	for _, req := range lost {
+		s.detector(req.router).RunnerCrashed(s.now.Add(propagationDelay), req.run)
 	}
-	h.runner.Incarnation++
-	for _, a := range lost {
-		if a.poison {
+	r.runner.Incarnation++
+	for _, req := range lost {
+		if req.poison {
 			continue
 		}
-		m.broken++
-		if a.tries < clientTries {
-			m.send(a)
+		s.interrupted++
+		if req.tries < maxClientTries {
+			s.send(req)
 		}
 	}
 }
 
-// mean plays the world with some seeds.
-func mean(w world, p policy, seeds int) (sum result) {
+// runSeeds runs the scenario with several seeds. It returns the mean of crashesPerPoison, the
+// maximum of lateSends and the sums of the counts.
+func runSeeds(sc scenario, p policy, seeds int) (total result) {
 	for seed := range seeds {
-		got := newModel(w, p, uint64(seed)).play()
-		sum.endsEach += got.endsEach / float64(seeds)
-		sum.sendsLate = max(sum.sendsLate, got.sendsLate)
-		sum.asked += got.asked
-		sum.refused += got.refused
-		sum.broken += got.broken
+		got := newSimulation(sc, p, uint64(seed)).run()
+		total.crashesPerPoison += got.crashesPerPoison / float64(seeds)
+		total.lateSends = max(total.lateSends, got.lateSends)
+		total.requested += got.requested
+		total.refused += got.refused
+		total.interrupted += got.interrupted
 	}
-	return sum
+	return total
 }
 
-// The way that is built keeps to its aims in every world: three sends at most beyond the
-// third runner and the time of contact, and fewer than one in 200 others refused.
-func TestFewRunnersEndAndFewOthersAreRefused(t *testing.T) {
-	for _, w := range worlds {
-		t.Run(w.name, func(t *testing.T) {
+// In every scenario, the implemented policy allows at most three late sends per poison content
+// and refuses fewer than one in 200 other requests.
+func TestCrashesAndFalseRefusalsAreBounded(t *testing.T) {
+	for _, sc := range scenarios {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			got := mean(w, built, 5)
+			got := runSeeds(sc, implemented, 5)
 			t.Logf("%+v", got)
-			g.Expect(got.sendsLate).To(BeNumerically("<=", 3*max(w.poisons, 1)))
-			g.Expect(200 * got.refused).To(BeNumerically("<", got.asked))
+			g.Expect(got.lateSends).To(BeNumerically("<=", 3*max(sc.poisonContents, 1)))
+			g.Expect(200 * got.refused).To(BeNumerically("<", got.requested))
 		})
 	}
 }
 
-// The ways that were weighed, for docs/design/poison-requests.md.
-func TestWaysToJudge(t *testing.T) {
+// TestComparePolicies prints the figures for docs/design/poison-requests.md.
+func TestComparePolicies(t *testing.T) {
 	if testing.Short() || !testing.Verbose() {
-		t.Skip("prints figures only")
+		t.Skip("prints figures only, in verbose mode")
 	}
-	ways := map[string]policy{
-		"built": built, "three ends": {ends: 3, apart: true, together: true, counts: true}, "alone": {alone: true, ends: 3, apart: true, together: true}, "two ends": {ends: 2, apart: true, together: true},
-		"four ends": {ends: 4, apart: true, together: true}, "not apart": {ends: 3}, "each apart": {ends: 3, apart: true}, "together": {ends: 3, together: true},
+	policies := map[string]policy{
+		"current": implemented, "3 crashes": {threshold: 3, isolate: true, colocate: true, countOnly: true}, "local only": {localOnly: true, threshold: 3, isolate: true, colocate: true}, "threshold 2": {threshold: 2, isolate: true, colocate: true},
+		"4 crashes": {threshold: 4, isolate: true, colocate: true}, "any runner": {threshold: 3}, "isolated": {threshold: 3, isolate: true}, "colocated": {threshold: 3, colocate: true},
 	}
-	for _, w := range worlds {
-		for name, p := range ways {
-			got := mean(w, p, 5)
-			t.Logf("%-22s %-10s ends each %5.1f  late sends at most %3.0f  refused %4d of %5d  broken %5d", w.name, name, got.endsEach, got.sendsLate, got.refused, got.asked, got.broken)
+	for _, sc := range scenarios {
+		for name, p := range policies {
+			got := runSeeds(sc, p, 5)
+			t.Logf("%-22s %-10s crashes per poison content %5.1f  late sends at most %3.0f  refused %4d of %5d  interrupted %5d", sc.name, name, got.crashesPerPoison, got.lateSends, got.refused, got.requested, got.interrupted)
 		}
 	}
 }
