--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -41,7 +41,7 @@
 
 mutant "1 every claim wins" internal/node/claims.go 's/return round.Decide\(\), round.Reason\(\), nil/return claim.Won, round.Reason(), nil/' ./test/prove -ginkgo.focus "duplicates sent to all routers"
 mutant "1 unrepeatable requests are tried again" internal/attempt/attempt.go 's/if !r.repeatable \{/if !r.repeatable \&\& r.limits.MaxAttempts < 0 {/' ./internal/attempt
-mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.doubtful = true/r.doubtful = false/g' ./internal/attempt
+mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.uncertain = true/r.uncertain = false/g' ./internal/attempt
 mutant "1 lost memories keep the old horizon" internal/claim/handover.go 's/handover.Horizon = now/handover.Horizon = time.Time{}/' ./test/prove -ginkgo.focus "when all routers restart"
 mutant "2 frames of any attempt and offset pass" internal/attempt/attempt.go 's/attempt != r.attempts \|\| offset != r.offset \|\| //' ./test/prove -ginkgo.focus "passes on only the frames"
 mutant "2 frames of any request pass" internal/node/relay.go 's/string\(frame.Request\) != x.call.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,77 +1,81 @@
-// Package attempt is the state machine of one request: claim, place, dispatch,
-// relay, resume, retry, outcome. It decides what may be tried next and what the
-// caller may truthfully be told.
+// Package attempt implements the state machine of one request: claim, placement, dispatch,
+// relaying, resumption, retry and outcome. It decides which step may follow and which outcome
+// may be reported to the caller.
 //
-// The package has no I/O, clock or goroutines. Its invariants:
+// The package performs no I/O, does not read the clock and starts no goroutines. Its invariants
+// are:
 //
-//   - "not run" is said only while no dispatch can have reached an engine, or
-//     with the engine's own refusal of every dispatch in hand;
-//   - an unrepeatable request is dispatched again only after the engine proved
-//     that the earlier dispatch has not run and never will;
-//   - a frame is passed on only if it belongs to the current attempt and starts
-//     at the next offset.
+//   - NotRun is reported only if no dispatch can have reached a runner, or if the runner itself
+//     refused every dispatch;
+//   - an unrepeatable request is dispatched again only after proof from the runner that the
+//     earlier dispatch has not run and never will;
+//   - a frame is relayed only if it belongs to the current attempt and starts at the next offset.
 package attempt
 
 import (
 	"slices"
 )
 
-// RunState is what a caller may be told of a request that did not complete.
+// RunState tells the caller of a failed request whether the request may have run.
 type RunState string
 
 // The run states.
 const (
-	NotRun         RunState = "not_run"
+	// NotRun means that no attempt ran or will run.
+	NotRun RunState = "not_run"
+	// FailedAfterRun means that a runner started to compute the request.
 	FailedAfterRun RunState = "failed_after_run"
-	Unknown        RunState = "unknown"
+	// Unknown means that an attempt may have run.
+	Unknown RunState = "unknown"
 )
 
-// Phase is the state of the request.
+// Phase is the current state of a Request.
 type Phase uint8
 
-// The phases.
+// The phases of a request.
 const (
-	// Ready means that no dispatch is in flight and one may be made.
+	// Ready means that no dispatch is in flight and that one may be made.
 	Ready Phase = iota
-	// Dispatched means that a dispatch may have reached an engine.
+	// Dispatched means that a dispatch may have reached a runner.
 	Dispatched
-	// Accepted means that the engine has said it took the request.
+	// Accepted means that the runner accepted the request.
 	Accepted
-	// Streaming means that output has been relayed.
+	// Streaming means that output has been relayed to the caller.
 	Streaming
-	// Complete means that the whole answer has been relayed.
+	// Complete means that the whole response has been relayed.
 	Complete
-	// Failed means that the request has its final, unsuccessful outcome.
+	// Failed means that the request has ended without success.
 	Failed
 )
 
-// Next is what the request is to do.
-type Next uint8
+// Action is the next step of a request.
+type Action uint8
 
-// The steps.
+// The actions.
 const (
-	// Dispatch means: place the request and send it, as a new attempt.
-	Dispatch Next = iota
-	// Resume means: ask the same engine process for the stream from Offset on,
-	// and to refuse the attempt from now on if it has never seen it.
+	// Dispatch means to place the request and send it to a runner as a new attempt.
+	Dispatch Action = iota
+	// Resume means to ask the same runner process for the output stream from Offset on. If the
+	// process never received the attempt, it must refuse it from then on.
 	Resume
-	// Stop means: the outcome is final; tell the caller.
+	// Stop means that the outcome is final and is to be reported to the caller.
 	Stop
 )
 
-// Limits bound the attempts of a request.
+// Limits bounds the number of attempts of a request.
 type Limits struct {
 	// MaxAttempts bounds the dispatches that may have run.
 	MaxAttempts int
-	MaxResumes  int
-	// MaxRefusals bounds the dispatches that did not run; at 0 they count as
-	// attempts.
+	// MaxResumes bounds the resumptions of each attempt.
+	MaxResumes int
+	// MaxRefusals bounds the dispatches that did not run. If it is 0, they count towards
+	// MaxAttempts.
 	MaxRefusals int
-	// MaxUnsent bounds the dispatches that were not sent; at 0 they count as refusals.
+	// MaxUnsent bounds the dispatches that were not sent. If it is 0, they count as refusals.
 	MaxUnsent int
 }
 
-// DefaultLimits are used in production.
+// DefaultLimits returns the limits used in production.
 func DefaultLimits() Limits { return Limits{MaxAttempts: 4, MaxResumes: 3} }
 
 // Request is the state machine of one request. It is not safe for concurrent use.
@@ -83,30 +87,31 @@
 	resumes    int
 	// offset is the number of output tokens relayed to the caller.
 	offset int
-	// refusals counts dispatches that certainly did not run.
+	// refusals counts the dispatches that did not run.
 	refusals int
-	// unsent counts dispatches that were not sent.
+	// unsent counts the dispatches that were not sent.
 	unsent int
-	// ran is true when an engine may have begun to compute any attempt.
+	// ran is true if a runner may have started to compute any of the attempts.
 	ran bool
-	// continuing is true while an engine is asked to go on with a run whose
-	// memory it holds a copy of.
-	continuing bool
-	// doubtful is true when an attempt's fate is not known.
-	doubtful bool
-	excluded []string
-	runner   string
+	// fromCopy is true while a runner is asked to continue a run from its copy of the run's
+	// memory.
+	fromCopy bool
+	// uncertain is true if it is unknown whether some attempt ran.
+	uncertain bool
+	excluded  []string
+	runner    string
 }
 
-// NewRequest returns the state machine of a request that may be repeated or not.
+// NewRequest returns the state machine of a new request. Only a repeatable request may run more
+// than once.
 func NewRequest(repeatable bool, limits Limits) *Request {
 	return &Request{limits: limits, repeatable: repeatable}
 }
 
-// Attempt returns the number of the current attempt, 1 for the first.
+// Attempt returns the number of the current attempt. The first attempt has number 1.
 func (r *Request) Attempt() uint32 { return r.attempts }
 
-// Offset returns the number of output tokens relayed.
+// Offset returns the number of output tokens relayed to the caller.
 func (r *Request) Offset() int { return r.offset }
 
 // Phase returns the current phase.
@@ -118,11 +123,11 @@
 // Excluded returns the runners that refused or failed this request.
 func (r *Request) Excluded() []string { return r.excluded }
 
-// Dispatching notes that a dispatch to the runner is about to be sent. It must
-// be called before the first byte leaves.
-func (r *Request) Dispatching(runner string) uint32 {
+// BeginDispatch starts a new attempt at the runner and returns its number. It must be called
+// before the first byte is sent, and panics if a dispatch is in flight.
+func (r *Request) BeginDispatch(runner string) uint32 {
 	if r.phase != Ready {
-		panic("attempt: dispatch while another one is in flight")
+		panic("attempt: dispatch while another dispatch is in flight")
 	}
 	r.attempts++
 	r.resumes = 0
@@ -131,63 +136,63 @@
 	return r.attempts
 }
 
-// Accept notes the engine's word that it took the request.
-func (r *Request) Accept() {
+// MarkAccepted records that the runner accepted the request.
+func (r *Request) MarkAccepted() {
 	if r.phase == Dispatched {
 		r.phase = Accepted
 	}
 }
 
-// Started notes the engine's word that it has begun to compute.
-func (r *Request) Started(attempt uint32) {
+// MarkStarted records that the runner started to compute the attempt.
+func (r *Request) MarkStarted(attempt uint32) {
 	if attempt == r.attempts {
 		r.ran = true
 	}
 }
 
-// Reject notes the engine's own word that it did not and will not run the
-// current attempt.
-func (r *Request) Reject() Next {
+// Reject records that the runner reported that it did not run the current attempt and will not
+// run it.
+func (r *Request) Reject() Action {
 	r.exclude()
-	return r.refused()
+	return r.retryAfterRefusal()
 }
 
-// RejectStale notes the engine's own word that it did not run the current
-// attempt because the dispatch named what it no longer has; named anew, the
-// request may go to the same engine.
-func (r *Request) RejectStale() Next { return r.refused() }
+// RejectStale records that the runner reported that it did not run the current attempt because
+// the dispatch referred to something that the runner no longer has. With updated references,
+// the request may be sent to the same runner again.
+func (r *Request) RejectStale() Action { return r.retryAfterRefusal() }
 
-// NotSent notes that the dispatch cannot have reached the engine, because no
-// connection to it was made.
-func (r *Request) NotSent() Next {
+// NotSent records that the dispatch cannot have reached the runner because no connection to it
+// was established.
+func (r *Request) NotSent() Action {
 	r.exclude()
-	return r.NotConfirmed()
+	return r.DispatchAborted()
 }
 
-// NotConfirmed notes that the dispatch was given up right before it was sent. Nothing
-// speaks against the engine, so it is not excluded.
-func (r *Request) NotConfirmed() Next {
+// DispatchAborted records that the dispatch was aborted immediately before it was sent. The
+// runner is not excluded, because it is not at fault.
+func (r *Request) DispatchAborted() Action {
 	if r.limits.MaxUnsent == 0 {
-		return r.refused()
+		return r.retryAfterRefusal()
 	}
 	r.unsent++
-	return r.tryAgain()
+	return r.retryNotRun()
 }
 
-// Arrivals counts the dispatches that may have arrived at an engine.
-func (r *Request) Arrivals() int { return int(r.attempts) - r.unsent }
+// SentDispatches returns the number of dispatches that may have reached a runner.
+func (r *Request) SentDispatches() int { return int(r.attempts) - r.unsent }
 
-// FailedAnswer notes the engine's own failure of the current attempt, which ran.
-func (r *Request) FailedAnswer() Next {
+// RunnerFailed records that the runner ran the current attempt and reported a failure.
+func (r *Request) RunnerFailed() Action {
 	r.exclude()
 	r.ran = true
-	return r.retryRepeatable()
+	return r.retryIfRepeatable()
 }
 
-// Frame takes an output frame of count tokens. It returns false when the frame
-// is not to be passed on: it belongs to an earlier attempt, repeats what was
-// relayed, or would leave a gap.
-func (r *Request) Frame(attempt uint32, offset, count int) bool {
+// AcceptFrame processes an output frame of count tokens. It returns false if the frame must not
+// be relayed because it belongs to an earlier attempt, repeats relayed output or would leave a
+// gap.
+func (r *Request) AcceptFrame(attempt uint32, offset, count int) bool {
 	if attempt != r.attempts || offset != r.offset || (r.phase != Accepted && r.phase != Streaming) {
 		return false
 	}
@@ -197,8 +202,8 @@
 	return true
 }
 
-// Finish notes the engine's end of stream at the given total of tokens. It
-// returns false when tokens are missing, which is then a break of the stream.
+// Finish records the end of the stream at the given total number of tokens. It returns false if
+// tokens are missing, in which case the caller must treat the stream as broken.
 func (r *Request) Finish(attempt uint32, total int) bool {
 	if attempt != r.attempts || total != r.offset {
 		return false
@@ -207,9 +212,9 @@
 	return true
 }
 
-// Lost notes that the connection to the engine broke before the end of the
-// stream, or before the engine's answer to the dispatch.
-func (r *Request) Lost() Next {
+// ConnectionLost records that the connection to the runner was lost before the end of the
+// stream or before the runner responded to the dispatch.
+func (r *Request) ConnectionLost() Action {
 	if r.phase == Complete || r.phase == Failed {
 		return Stop
 	}
@@ -220,44 +225,44 @@
 	return r.abandon()
 }
 
-// CopyHeld notes that the engine process of the current attempt has ended, and
-// that another engine may hold a copy of the run's memory. To go on from the
-// copy is the same run, so it may be dispatched whether the request may be
-// repeated or not; the engine refuses if it has no copy.
-func (r *Request) CopyHeld() Next {
-	if r.phase == Complete || r.phase == Failed || r.continuing {
+// ContinueFromCopy records that the runner process of the current attempt has ended and that
+// another runner may hold a copy of the run's memory. Continuing from the copy is still the
+// same run, so it may be dispatched even if the request is not repeatable. A runner without a
+// copy refuses it.
+func (r *Request) ContinueFromCopy() Action {
+	if r.phase == Complete || r.phase == Failed || r.fromCopy {
 		return r.abandon()
 	}
 	r.exclude()
 	r.ran = true
-	r.continuing = true
+	r.fromCopy = true
 	r.phase = Ready
 	return Dispatch
 }
 
-// EngineGone notes that the engine process of the current attempt has ended or
-// cannot be reached, so that the stream cannot be resumed on it.
-func (r *Request) EngineGone() Next { return r.abandon() }
+// RunnerGone records that the runner process of the current attempt has ended or cannot be
+// reached, so that the stream cannot be resumed there.
+func (r *Request) RunnerGone() Action { return r.abandon() }
 
-// NeverSeen notes the engine's word, from the same process, that it never saw
-// the current attempt and has barred it.
-func (r *Request) NeverSeen() Next {
+// NeverSeen records that the same runner process reported that it never received the current
+// attempt and will refuse it from now on.
+func (r *Request) NeverSeen() Action {
 	r.exclude()
-	if r.continuing {
-		return r.retryRepeatable()
+	if r.fromCopy {
+		return r.retryIfRepeatable()
 	}
 	return r.retry()
 }
 
-// abandon gives up the current attempt without knowing that it has not run.
-func (r *Request) abandon() Next {
+// abandon gives up the current attempt without proof that it has not run.
+func (r *Request) abandon() Action {
 	r.exclude()
-	r.doubtful = true
-	return r.retryRepeatable()
+	r.uncertain = true
+	return r.retryIfRepeatable()
 }
 
-// retryRepeatable tries again after an attempt that may have run.
-func (r *Request) retryRepeatable() Next {
+// retryIfRepeatable retries after an attempt that may have run.
+func (r *Request) retryIfRepeatable() Action {
 	if !r.repeatable {
 		r.phase = Failed
 		return Stop
@@ -265,17 +270,17 @@
 	return r.retry()
 }
 
-// refused tries again after an attempt that certainly has not run. An attempt
-// that was to go on from a copy leaves the run before, which has run.
-func (r *Request) refused() Next {
+// retryAfterRefusal counts a refusal and retries after an attempt that did not run.
+func (r *Request) retryAfterRefusal() Action {
 	r.refusals++
-	return r.tryAgain()
+	return r.retryNotRun()
 }
 
-// tryAgain goes on after a dispatch that certainly did not run.
-func (r *Request) tryAgain() Next {
-	if r.continuing {
-		return r.retryRepeatable()
+// retryNotRun retries after a dispatch that did not run. If the dispatch was to continue from a
+// copy, the run before it did run, so the request must be repeatable.
+func (r *Request) retryNotRun() Action {
+	if r.fromCopy {
+		return r.retryIfRepeatable()
 	}
 	return r.retry()
 }
@@ -286,8 +291,8 @@
 	}
 }
 
-func (r *Request) retry() Next {
-	if r.exhausted() {
+func (r *Request) retry() Action {
+	if r.limitReached() {
 		r.phase = Failed
 		return Stop
 	}
@@ -295,43 +300,44 @@
 	return Dispatch
 }
 
-func (r *Request) exhausted() bool {
+func (r *Request) limitReached() bool {
 	if r.unsent > r.limits.MaxUnsent {
 		return true
 	}
-	spent := r.Arrivals()
+	used := r.SentDispatches()
 	if r.limits.MaxRefusals > 0 {
 		if r.refusals > r.limits.MaxRefusals {
 			return true
 		}
-		spent -= r.refusals
+		used -= r.refusals
 	}
-	return spent >= r.limits.MaxAttempts
+	return used >= r.limits.MaxAttempts
 }
 
-// Fail ends the request: no runner, no time left, or the caller has gone.
+// Fail ends the request because there is no runner, the deadline has passed or the caller has
+// disconnected.
 func (r *Request) Fail() {
 	if r.phase == Complete {
 		return
 	}
 	if r.phase != Ready {
-		r.doubtful = true
+		r.uncertain = true
 	}
 	r.phase = Failed
 }
 
-// MayGoOn tells whether another engine may be tried if the current one is lost.
-func (r *Request) MayGoOn() bool { return r.repeatable && !r.exhausted() }
+// MayRetry reports whether another runner may be tried if the current one is lost.
+func (r *Request) MayRetry() bool { return r.repeatable && !r.limitReached() }
 
-// MayHaveRun tells whether any attempt may have been run.
-func (r *Request) MayHaveRun() bool { return r.ran || r.doubtful }
+// MayHaveRun reports whether any attempt may have run.
+func (r *Request) MayHaveRun() bool { return r.ran || r.uncertain }
 
-// RunState returns what the caller may be told of a failed request.
+// RunState returns the run state to report for a failed request.
 func (r *Request) RunState() RunState {
 	switch {
 	case r.ran:
 		return FailedAfterRun
-	case r.doubtful:
+	case r.uncertain:
 		return Unknown
 	}
 	return NotRun
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -9,159 +9,162 @@
 	"github.com/clovertiller/clovertiller/internal/lab/testkit"
 )
 
-// truth is what really happened at engines, which the state machine cannot see.
-type truth struct {
-	// reached is true for attempts whose dispatch an engine has received.
-	reached map[uint32]bool
-	// mayRun is true for attempts that an engine has run or may still run.
+// runnerHistory records what actually happened at the runners, which the state machine cannot
+// see.
+type runnerHistory struct {
+	// received holds the attempts whose dispatch a runner received.
+	received map[uint32]bool
+	// mayRun holds the attempts that a runner has run or may still run.
 	mayRun map[uint32]bool
 }
 
-// TestRunStateIsTrue drives requests through random engine behaviour and checks
-// that "not run" is said only when no engine ran or will run any attempt, and
-// that an unrepeatable request never has two attempts that may run.
-func TestRunStateIsTrue(t *testing.T) {
+// TestReportedRunStateIsCorrect simulates random runner behavior. It checks that NotRun is
+// reported only if no runner ran or will run any attempt, and that an unrepeatable request
+// never has two attempts that may run.
+func TestReportedRunStateIsCorrect(t *testing.T) {
 	testkit.Properties(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		request := NewRequest(repeatable, DefaultLimits())
-		world := truth{reached: map[uint32]bool{}, mayRun: map[uint32]bool{}}
-		next := Dispatch
-		for next != Stop {
+		history := runnerHistory{received: map[uint32]bool{}, mayRun: map[uint32]bool{}}
+		action := Dispatch
+		for action != Stop {
 			if rapid.IntRange(0, 19).Draw(t, "give up") == 0 {
 				request.Fail()
 				break
 			}
-			if next == Dispatch {
-				next = dispatchOnce(t, request, &world)
+			if action == Dispatch {
+				action = simulateDispatch(t, request, &history)
 			} else {
-				next = resumeOnce(t, request, &world)
+				action = simulateResume(t, request, &history)
 			}
 		}
-		if !repeatable && len(world.mayRun) > 1 {
-			t.Fatalf("unrepeatable request may run in %v", world.mayRun)
+		if !repeatable && len(history.mayRun) > 1 {
+			t.Fatalf("attempts of an unrepeatable request that may run: %v", history.mayRun)
 		}
 		if request.Phase() != Complete {
 			request.Fail()
-			if request.RunState() == NotRun && len(world.mayRun) > 0 {
-				t.Fatalf("said not run, but %v may run", world.mayRun)
+			if request.RunState() == NotRun && len(history.mayRun) > 0 {
+				t.Fatalf("run state is not_run, but attempts %v may run", history.mayRun)
 			}
 		}
 	})
 }
 
-func dispatchOnce(t *rapid.T, request *Request, world *truth) Next {
-	number := request.Dispatching("runner")
-	switch rapid.SampledFrom([]string{"no connection", "not confirmed", "refused", "lost before", "lost after", "accepted"}).Draw(t, "dispatch") {
+func simulateDispatch(t *rapid.T, request *Request, history *runnerHistory) Action {
+	number := request.BeginDispatch("runner")
+	switch rapid.SampledFrom([]string{"no connection", "aborted", "refused", "lost before arrival", "lost after arrival", "accepted"}).Draw(t, "dispatch") {
 	case "no connection":
 		return request.NotSent()
-	case "not confirmed":
-		return request.NotConfirmed()
+	case "aborted":
+		return request.DispatchAborted()
 	case "refused":
 		return request.Reject()
-	case "lost before":
-		// The dispatch is still on its way and may arrive later, unless barred.
-		world.mayRun[number] = true
-		return request.Lost()
-	case "lost after":
-		world.reached[number] = true
-		world.mayRun[number] = true
-		return request.Lost()
+	case "lost before arrival":
+		// The dispatch is still in transit and may arrive later, unless the runner is told to
+		// refuse it.
+		history.mayRun[number] = true
+		return request.ConnectionLost()
+	case "lost after arrival":
+		history.received[number] = true
+		history.mayRun[number] = true
+		return request.ConnectionLost()
 	}
-	world.reached[number] = true
-	world.mayRun[number] = true
-	request.Accept()
-	return streamOnce(t, request)
+	history.received[number] = true
+	history.mayRun[number] = true
+	request.MarkAccepted()
+	return simulateStream(t, request)
 }
 
-func streamOnce(t *rapid.T, request *Request) Next {
+func simulateStream(t *rapid.T, request *Request) Action {
 	for range rapid.IntRange(0, 3).Draw(t, "frames") {
-		request.Started(request.Attempt())
-		request.Frame(request.Attempt(), request.Offset(), 1)
+		request.MarkStarted(request.Attempt())
+		request.AcceptFrame(request.Attempt(), request.Offset(), 1)
 	}
 	if rapid.Bool().Draw(t, "ends") && request.Finish(request.Attempt(), request.Offset()) {
 		return Stop
 	}
-	return request.Lost()
+	return request.ConnectionLost()
 }
 
-func resumeOnce(t *rapid.T, request *Request, world *truth) Next {
+func simulateResume(t *rapid.T, request *Request, history *runnerHistory) Action {
 	number := request.Attempt()
-	switch rapid.SampledFrom([]string{"answers", "silent", "other process"}).Draw(t, "resume") {
-	case "answers":
-		if !world.reached[number] {
-			// The engine never saw the attempt and bars it: it will not run.
-			delete(world.mayRun, number)
+	switch rapid.SampledFrom([]string{"response", "no response", "other process"}).Draw(t, "resume") {
+	case "response":
+		if !history.received[number] {
+			// The runner never received the attempt and refuses it from now on, so it will not
+			// run.
+			delete(history.mayRun, number)
 			return request.NeverSeen()
 		}
-		request.Accept()
-		return streamOnce(t, request)
+		request.MarkAccepted()
+		return simulateStream(t, request)
 	case "other process":
-		return request.EngineGone()
+		return request.RunnerGone()
 	}
-	return request.EngineGone()
+	return request.RunnerGone()
 }
 
-func TestFramesPassOnlyInOrderAndOfTheCurrentAttempt(t *testing.T) {
+func TestAcceptFrameRequiresCurrentAttemptAndNextOffset(t *testing.T) {
 	g := NewWithT(t)
 	request := NewRequest(true, DefaultLimits())
-	request.Dispatching("one")
-	g.Expect(request.Frame(1, 0, 1)).To(BeFalse(), "before the engine accepted")
-	request.Accept()
-	g.Expect(request.Frame(1, 0, 2)).To(BeTrue())
-	g.Expect(request.Frame(1, 0, 2)).To(BeFalse(), "a repeat")
-	g.Expect(request.Frame(1, 3, 1)).To(BeFalse(), "a gap")
-	g.Expect(request.Frame(2, 2, 1)).To(BeFalse(), "an attempt that was not made")
-	g.Expect(request.EngineGone()).To(Equal(Dispatch))
-	request.Dispatching("two")
-	request.Accept()
-	g.Expect(request.Frame(1, 2, 1)).To(BeFalse(), "a late frame of the earlier attempt")
-	g.Expect(request.Frame(2, 2, 1)).To(BeTrue())
-	g.Expect(request.Finish(2, 4)).To(BeFalse(), "an end with tokens missing")
+	request.BeginDispatch("one")
+	g.Expect(request.AcceptFrame(1, 0, 1)).To(BeFalse(), "before the runner accepted the request")
+	request.MarkAccepted()
+	g.Expect(request.AcceptFrame(1, 0, 2)).To(BeTrue())
+	g.Expect(request.AcceptFrame(1, 0, 2)).To(BeFalse(), "repeated output")
+	g.Expect(request.AcceptFrame(1, 3, 1)).To(BeFalse(), "a gap")
+	g.Expect(request.AcceptFrame(2, 2, 1)).To(BeFalse(), "an attempt that does not exist")
+	g.Expect(request.RunnerGone()).To(Equal(Dispatch))
+	request.BeginDispatch("two")
+	request.MarkAccepted()
+	g.Expect(request.AcceptFrame(1, 2, 1)).To(BeFalse(), "a late frame of an earlier attempt")
+	g.Expect(request.AcceptFrame(2, 2, 1)).To(BeTrue())
+	g.Expect(request.Finish(2, 4)).To(BeFalse(), "end of stream with missing tokens")
 	g.Expect(request.Finish(2, 3)).To(BeTrue())
 }
 
-func TestUnrepeatableRequestIsDispatchedAgainOnlyAfterProof(t *testing.T) {
+func TestUnrepeatableRequestIsRetriedOnlyIfNotRun(t *testing.T) {
 	g := NewWithT(t)
 	request := NewRequest(false, DefaultLimits())
-	request.Dispatching("one")
-	g.Expect(request.Lost()).To(Equal(Resume))
+	request.BeginDispatch("one")
+	g.Expect(request.ConnectionLost()).To(Equal(Resume))
 	g.Expect(request.NeverSeen()).To(Equal(Dispatch))
-	request.Dispatching("two")
-	g.Expect(request.Lost()).To(Equal(Resume))
-	g.Expect(request.EngineGone()).To(Equal(Stop))
+	request.BeginDispatch("two")
+	g.Expect(request.ConnectionLost()).To(Equal(Resume))
+	g.Expect(request.RunnerGone()).To(Equal(Stop))
 	g.Expect(request.RunState()).To(Equal(Unknown))
 }
 
-func TestOnlyACopyLetsAnUnrepeatableRunGoOn(t *testing.T) {
+func TestUnrepeatableRequestContinuesOnlyFromCopy(t *testing.T) {
 	g := NewWithT(t)
 	request := NewRequest(false, Limits{MaxAttempts: 1, MaxRefusals: 3})
-	request.Dispatching("a")
-	g.Expect(request.CopyHeld()).To(Equal(Dispatch))
-	request.Dispatching("b")
-	g.Expect(request.Reject()).To(Equal(Stop), "the copy was not there: nobody else may run it")
+	request.BeginDispatch("a")
+	g.Expect(request.ContinueFromCopy()).To(Equal(Dispatch))
+	request.BeginDispatch("b")
+	g.Expect(request.Reject()).To(Equal(Stop), "the runner has no copy, and no other runner may run the request")
 	g.Expect(request.RunState()).To(Equal(FailedAfterRun))
 
-	again := NewRequest(false, Limits{MaxAttempts: 1, MaxRefusals: 3})
-	again.Dispatching("a")
-	again.CopyHeld()
-	again.Dispatching("b")
-	g.Expect(again.CopyHeld()).To(Equal(Stop), "copies are not copied")
+	second := NewRequest(false, Limits{MaxAttempts: 1, MaxRefusals: 3})
+	second.BeginDispatch("a")
+	second.ContinueFromCopy()
+	second.BeginDispatch("b")
+	g.Expect(second.ContinueFromCopy()).To(Equal(Stop), "a continued run cannot be continued from a copy again")
 }
 
-// Whatever way the engine that was to go on from a copy does not, the run before
-// has run, and an unrepeatable request must not be dispatched anew.
-func TestRunThatCouldNotGoOnIsNeverDispatchedAnew(t *testing.T) {
-	for name, refuse := range map[string]func(*Request) Next{
+// If a run cannot be continued from a copy, for whatever reason, the original run has still
+// run. An unrepeatable request must then not be dispatched as a new run.
+func TestUnrepeatableRequestIsNotRetriedAfterFailedContinuation(t *testing.T) {
+	for name, event := range map[string]func(*Request) Action{
 		"rejected": (*Request).Reject, "stale": (*Request).RejectStale, "not sent": (*Request).NotSent, "never seen": (*Request).NeverSeen,
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := NewRequest(false, Limits{MaxAttempts: 2, MaxRefusals: 3})
-			request.Dispatching("a")
-			g.Expect(request.CopyHeld()).To(Equal(Dispatch))
-			request.Dispatching("b")
-			g.Expect(refuse(request)).To(Equal(Stop))
+			request.BeginDispatch("a")
+			g.Expect(request.ContinueFromCopy()).To(Equal(Dispatch))
+			request.BeginDispatch("b")
+			g.Expect(event(request)).To(Equal(Stop))
 			g.Expect(request.RunState()).To(Equal(FailedAfterRun))
 		})
 	}
@@ -174,15 +177,15 @@
 		want  RunState
 	}{
 		{"never dispatched", func(*Request) {}, NotRun},
-		{"refused by the engine", func(r *Request) { r.Dispatching("a"); r.Reject() }, NotRun},
-		{"no connection", func(r *Request) { r.Dispatching("a"); r.NotSent() }, NotRun},
-		{"in flight", func(r *Request) { r.Dispatching("a") }, Unknown},
-		{"accepted, not known to have begun", func(r *Request) { r.Dispatching("a"); r.Accept() }, Unknown},
-		{"begun", func(r *Request) { r.Dispatching("a"); r.Accept(); r.Started(1) }, FailedAfterRun},
-		{"engine gone in flight, then refused elsewhere", func(r *Request) {
-			r.Dispatching("a")
-			r.EngineGone()
-			r.Dispatching("b")
+		{"refused by the runner", func(r *Request) { r.BeginDispatch("a"); r.Reject() }, NotRun},
+		{"no connection", func(r *Request) { r.BeginDispatch("a"); r.NotSent() }, NotRun},
+		{"in flight", func(r *Request) { r.BeginDispatch("a") }, Unknown},
+		{"accepted, not known to have started", func(r *Request) { r.BeginDispatch("a"); r.MarkAccepted() }, Unknown},
+		{"started", func(r *Request) { r.BeginDispatch("a"); r.MarkAccepted(); r.MarkStarted(1) }, FailedAfterRun},
+		{"runner gone in flight, then refused by another", func(r *Request) {
+			r.BeginDispatch("a")
+			r.RunnerGone()
+			r.BeginDispatch("b")
 			r.Reject()
 		}, Unknown},
 	}
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -40,7 +40,7 @@
 
 // passOn reads a whole answer and passes it on. A failure of a repeatable
 // request is kept while another runner is tried.
-func (c *call) passOn(response *httpconn.Response) attempt.Next {
+func (c *call) passOn(response *httpconn.Response) attempt.Action {
 	c.firstAnswer()
 	body, more, err := response.Body.ReadAll(wholeAnswer)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return c.runnerFailed(answer)
 	}
 	c.end(backend.Answered, quarantine.Survived, "", response.Status)
-	c.request.Accept()
+	c.request.MarkAccepted()
 	c.request.Finish(c.request.Attempt(), 0)
 	if more {
 		c.passOnLong(answer, response)
@@ -68,12 +68,12 @@
 }
 
 // runnerFailed takes a runner's own failure.
-func (c *call) runnerFailed(answer *heldAnswer) attempt.Next {
+func (c *call) runnerFailed(answer *heldAnswer) attempt.Action {
 	c.end(backend.Failed, quarantine.Indeterminate, "runner's failure", answer.status)
 	if answer.status != http.StatusServiceUnavailable && !isPromise(answer.status) {
 		c.failure = answer
 	}
-	return c.request.FailedAnswer()
+	return c.request.RunnerFailed()
 }
 
 // passOnLong relays the rest of a long answer; a break must look like one.
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -111,7 +111,7 @@
 
 func (c *call) watchSilence(body *httpconn.Body) *silenceWatch {
 	w := &silenceWatch{call: c, runner: c.runner, body: body}
-	if c.backup.ID != "" || c.request.MayGoOn() {
+	if c.backup.ID != "" || c.request.MayRetry() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		w.timer = time.AfterFunc(streamSilence, w.ask)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -72,7 +72,7 @@
 }
 
 // relay passes a runner's events on until the stream ends.
-func (c *call) relay(response *httpconn.Response) attempt.Next {
+func (c *call) relay(response *httpconn.Response) attempt.Action {
 	watch := c.watchSilence(response.Body)
 	defer watch.stop()
 	var pending []byte
@@ -135,7 +135,7 @@
 }
 
 // endStream takes the orderly end of the runner's stream.
-func (c *call) endStream(response *httpconn.Response, rest []byte) attempt.Next {
+func (c *call) endStream(response *httpconn.Response, rest []byte) attempt.Action {
 	if c.stream == nil {
 		c.beginStream(response)
 	}
@@ -145,14 +145,14 @@
 		}
 	}
 	c.end(backend.Answered, quarantine.Survived, "", response.Status)
-	c.request.Accept()
+	c.request.MarkAccepted()
 	c.request.Finish(c.request.Attempt(), 0)
 	return attempt.Stop
 }
 
 // brokenStream takes a stream that broke off. It goes on at another runner
 // after the last whole event, if the route allows; the old run is ended first.
-func (c *call) brokenStream(response *httpconn.Response, cause error) attempt.Next {
+func (c *call) brokenStream(response *httpconn.Response, cause error) attempt.Action {
 	response.Body.Close()
 	if c.ctx.Err() != nil {
 		return c.outOfTime(false)
@@ -166,7 +166,7 @@
 		c.end(backend.Failed, quarantine.ConnectionLost, "stream broke off: "+cause.Error(), response.Status)
 	}
 	if c.fromCopy() {
-		return c.request.CopyHeld()
+		return c.request.ContinueFromCopy()
 	}
 	next := c.lost()
 	if next == attempt.Dispatch && c.stream != nil {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -33,7 +33,7 @@
 func (c *call) pick() (backend.Runner, *refusal) {
 	g := c.gateway
 	// What reached nobody is no repeat of anything.
-	again := c.request.Arrivals() > 0
+	again := c.request.SentDispatches() > 0
 	if c.copyAt != nil {
 		return c.takeCopy()
 	}
@@ -110,9 +110,9 @@
 }
 
 // send makes one attempt at the picked runner and relays its answer.
-func (c *call) send() attempt.Next {
+func (c *call) send() attempt.Action {
 	defer c.releaseSend()
-	c.request.Dispatching(c.runner.ID)
+	c.request.BeginDispatch(c.runner.ID)
 	c.answering, c.rest = 0, 0
 	c.sent = c.gateway.now()
 	c.gateway.metrics.attempts.WithLabelValues(c.service).Inc()
@@ -259,7 +259,7 @@
 }
 
 // notAnswered takes a send without the head of an answer.
-func (c *call) notAnswered(err error) attempt.Next {
+func (c *call) notAnswered(err error) attempt.Action {
 	if c.ctx.Err() != nil {
 		return c.outOfTime(errors.Is(err, httpconn.ErrNotSent))
 	}
@@ -278,17 +278,17 @@
 }
 
 // notConfirmed takes a send that mayBegin stopped. It is no evidence about the runner.
-func (c *call) notConfirmed() attempt.Next {
+func (c *call) notConfirmed() attempt.Action {
 	c.endSend(backend.NotConfirmed, quarantine.NotRun)
 	c.note(events.SendNotConfirmed, events.Fields{
 		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.request.Attempt(),
 		"weights": c.weights, "after_ms": c.gateway.since(c.sent).Milliseconds(),
 	})
-	return c.request.NotConfirmed()
+	return c.request.DispatchAborted()
 }
 
 // outOfTime ends the call because its caller left or its time is up.
-func (c *call) outOfTime(notSent bool) attempt.Next {
+func (c *call) outOfTime(notSent bool) attempt.Action {
 	c.end(backend.Abandoned, quarantine.Canceled, "caller left or time is up", 0)
 	if notSent {
 		c.request.NotSent()
@@ -298,7 +298,7 @@
 }
 
 // spoilt takes an answer that is not one, or not a whole one.
-func (c *call) spoilt(run quarantine.RunOutcome, cause string) attempt.Next {
+func (c *call) spoilt(run quarantine.RunOutcome, cause string) attempt.Action {
 	if c.ctx.Err() != nil {
 		return c.outOfTime(false)
 	}
@@ -309,4 +309,4 @@
 	return c.lost()
 }
 
-func (c *call) lost() attempt.Next { return c.request.Lost() }
+func (c *call) lost() attempt.Action { return c.request.ConnectionLost() }
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -103,7 +103,7 @@
 
 // endWithdrawn takes a send whose connection was ended before the runner was seen to
 // begin: it may have begun all the same.
-func (c *call) endWithdrawn(notSent bool) attempt.Next {
+func (c *call) endWithdrawn(notSent bool) attempt.Action {
 	c.end(backend.Abandoned, quarantine.Canceled, context.Cause(c.sendCtx).Error(), 0)
 	if notSent {
 		return c.request.NotSent()
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -206,7 +206,7 @@
 }
 
 // dispatch places the request and sends one attempt.
-func (x *execution) dispatch(ctx context.Context) attempt.Next {
+func (x *execution) dispatch(ctx context.Context) attempt.Action {
 	n := x.node
 	x.chooseVersion()
 	pick := n.place(ctx, x.placeRequest())
@@ -222,7 +222,7 @@
 	}
 	x.address, x.incarnation = runner.Spec.Address, pick.GetIncarnation()
 	x.begun.Store(false)
-	number := x.request.Dispatching(pick.GetRunner())
+	number := x.request.BeginDispatch(pick.GetRunner())
 	if number > 1 {
 		n.log.Log(events.RequestRetried, events.Fields{"request": x.call.id, "runner": pick.GetRunner(), "attempt": number, "offset": x.request.Offset()})
 	}
@@ -231,7 +231,7 @@
 	if err != nil {
 		return x.dispatchFailed(ctx, err)
 	}
-	x.request.Accept()
+	x.request.MarkAccepted()
 	return x.relay(ctx, stream)
 }
 
@@ -257,11 +257,11 @@
 }
 
 // dispatchFailed sorts what is known of a dispatch that got no stream.
-func (x *execution) dispatchFailed(ctx context.Context, err error) attempt.Next {
+func (x *execution) dispatchFailed(ctx context.Context, err error) attempt.Action {
 	var refusal *engineapi.RefusedError
 	switch {
 	case errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeDuplicate:
-		return x.request.Lost()
+		return x.request.ConnectionLost()
 	case errors.As(err, &refusal):
 		x.reportRejection(refusal.Refusal.Code == engineapi.CodeDraining)
 		return x.request.Reject()
@@ -274,7 +274,7 @@
 		return attempt.Stop
 	}
 	x.eject()
-	return x.request.Lost()
+	return x.request.ConnectionLost()
 }
 
 func (x *execution) eject() {
@@ -292,14 +292,14 @@
 
 // resume asks the engine process of the current attempt for the rest of the
 // stream. Only that process can say that it never saw the attempt.
-func (x *execution) resume(ctx context.Context) attempt.Next {
+func (x *execution) resume(ctx context.Context) attempt.Action {
 	n := x.node
 	n.log.Log(events.RequestResumed, events.Fields{"request": x.call.id, "runner": x.request.Runner(), "offset": x.request.Offset()})
 	stream, err := n.engines.Resume(ctx, x.address, &engineapi.ResumeRequest{
 		Request: x.call.id, Attempt: x.request.Attempt(), Incarnation: x.incarnation, Offset: x.request.Offset(),
 	})
 	if err == nil {
-		x.request.Accept()
+		x.request.MarkAccepted()
 		return x.relay(ctx, stream)
 	}
 	if ctx.Err() != nil {
@@ -313,7 +313,7 @@
 	// Another process, or none: the attempt's stream is gone with it. If the
 	// old process still lives behind a cut, the cancel stops its useless work.
 	n.cancelAttempt(x.address, x.call.id, x.request.Attempt())
-	return x.request.EngineGone()
+	return x.request.RunnerGone()
 }
 
 // noteStart takes the engine's word that it has begun to compute.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -13,7 +13,7 @@
 
 // relay passes an engine's output on to the caller until the stream ends. Frames
 // that do not belong to the current attempt at the next offset are dropped.
-func (x *execution) relay(ctx context.Context, stream *engineapi.Stream) attempt.Next {
+func (x *execution) relay(ctx context.Context, stream *engineapi.Stream) attempt.Action {
 	defer stream.Close()
 	watch := newSilenceWatch(x, stream)
 	defer watch.stop()
@@ -24,7 +24,7 @@
 			if ctx.Err() != nil {
 				return attempt.Stop
 			}
-			return x.request.Lost()
+			return x.request.ConnectionLost()
 		}
 		watch.touch()
 		if string(frame.Request) != x.call.id {
@@ -52,7 +52,7 @@
 }
 
 func (x *execution) passOn(frame *engineapi.Frame) {
-	if !x.request.Frame(frame.Attempt, frame.Offset, frame.Count) {
+	if !x.request.AcceptFrame(frame.Attempt, frame.Offset, frame.Count) {
 		x.dropFrame(frame)
 		return
 	}
@@ -72,7 +72,7 @@
 		x.dropFrame(frame)
 		return
 	}
-	x.request.Started(frame.Attempt)
+	x.request.MarkStarted(frame.Attempt)
 	if !x.begun.Load() {
 		x.noteStart(start)
 	}
@@ -80,14 +80,14 @@
 
 // end takes the end of the stream. An end that does not match the relayed
 // tokens is a break of the stream, not its end.
-func (x *execution) end(ctx context.Context, frame *engineapi.Frame) attempt.Next {
+func (x *execution) end(ctx context.Context, frame *engineapi.Frame) attempt.Action {
 	var end engineapi.End
 	if json.Unmarshal(frame.Data, &end) != nil || !x.request.Finish(frame.Attempt, end.CompletionTokens) {
 		x.dropFrame(frame)
 		if ctx.Err() != nil {
 			return attempt.Stop
 		}
-		return x.request.Lost()
+		return x.request.ConnectionLost()
 	}
 	if !x.firstSent {
 		x.sink.begin(x.version, x.request.Runner())
--- a/internal/node/relay_bench_test.go
+++ b/internal/node/relay_bench_test.go
@@ -55,8 +55,8 @@
 func benchExecution(node *Node) *execution {
 	c := &call{id: "cmpl-1", format: engineapi.FormatChat, stream: true, tenant: &config.Tenant{Name: "t", Spec: &v1.TenantSpec{Tier: "gold"}}}
 	x := &execution{node: node, call: c, request: attempt.NewRequest(true, attempt.DefaultLimits()), sink: newSink(&discardWriter{http.Header{}}, c)}
-	x.request.Dispatching("r")
-	x.request.Accept()
+	x.request.BeginDispatch("r")
+	x.request.MarkAccepted()
 	return x
 }
 
