--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -10,290 +10,293 @@
 	"github.com/clovertiller/clovertiller/internal/lab/testkit"
 )
 
-// process is one router process of the simulated system.
-type process struct {
+// simRouter is one router process of the simulation.
+type simRouter struct {
 	incarnation int
 	holder      *Holder
-	// skew is the process's clock minus true time.
+	// skew is the difference between the router's clock and the true time.
 	skew time.Duration
-	// known is the newest assignment number the process has learnt.
-	known int
+	// assignment is the newest assignment number that the router has observed.
+	assignment int
 }
 
-// listed is one entry of an assignment.
-type listed struct {
+// assignedHolder is one entry of an assignment.
+type assignedHolder struct {
 	node        int
 	incarnation int
 }
 
-// try is one attempt of a key, as its ingress runs it.
-type try struct {
+// simAttempt is one attempt to claim a key, as it is run by the router that received the
+// request.
+type simAttempt struct {
 	name       string
 	key        string
-	issued     time.Time
+	issuedAt   time.Time
 	assignment int
 	round      *Round
-	asked      []bool
+	sent       []bool
 	answered   []bool
 	won        bool
-	over       bool
+	done       bool
 }
 
-// change is a change of holders in the making.
-type change struct {
+// holderChange is a change of holders in progress.
+type holderChange struct {
 	from    int
-	answers []SealAnswer
-	next    []listed
+	results []SealResult
+	next    []assignedHolder
 }
 
-// system is the whole simulated protocol: processes, the platform's one object
-// and the attempts. Messages are delivered, delayed, lost and repeated by the
-// choice of which action comes next.
-type system struct {
+// simulation runs the whole protocol: the routers, the assignments stored on the platform, and
+// the attempts. The choice of the next action determines whether messages are delivered,
+// delayed, lost or repeated.
+type simulation struct {
 	now         time.Time
-	processes   []*process
-	assignments [][]listed
-	tries       []*try
-	changes     []*change
-	wins        map[string]string
+	routers     []*simRouter
+	assignments [][]assignedHolder
+	attempts    []*simAttempt
+	changes     []*holderChange
+	winners     map[string]string
 }
 
-func newSystem(t *rapid.T) *system {
-	s := &system{now: time.Unix(1_000_000, 0), wins: map[string]string{}}
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{now: time.Unix(1_000_000, 0), winners: map[string]string{}}
 	for range 4 {
-		skew := time.Duration(rapid.Int64Range(-int64(ClockBound)/2, int64(ClockBound)/2).Draw(t, "skew"))
-		s.processes = append(s.processes, &process{holder: NewHolder(), skew: skew})
+		skew := time.Duration(rapid.Int64Range(-int64(MaxClockSkew)/2, int64(MaxClockSkew)/2).Draw(t, "skew"))
+		s.routers = append(s.routers, &simRouter{holder: NewHolder(), skew: skew})
 	}
-	s.assignments = [][]listed{nil, {{0, 0}, {1, 0}, {2, 0}}}
+	s.assignments = [][]assignedHolder{nil, {{0, 0}, {1, 0}, {2, 0}}}
 	for node := range 3 {
-		s.processes[node].holder.Serve(s.clock(node), 1)
-		s.processes[node].known = 1
+		s.routers[node].holder.Serve(s.clock(node), 1)
+		s.routers[node].assignment = 1
 	}
 	s.now = s.now.Add(10 * time.Second)
 	return s
 }
 
-func (s *system) clock(node int) time.Time { return s.now.Add(s.processes[node].skew) }
+func (s *simulation) clock(node int) time.Time { return s.now.Add(s.routers[node].skew) }
 
-func (s *system) latest() int { return len(s.assignments) - 1 }
+func (s *simulation) latestAssignment() int { return len(s.assignments) - 1 }
 
-func (s *system) advance(t *rapid.T) {
+func (s *simulation) advance(t *rapid.T) {
 	s.now = s.now.Add(time.Duration(rapid.Int64Range(0, 1500).Draw(t, "ms")) * time.Millisecond)
 }
 
-// learn lets a process see the assignment in force on the platform.
-func (s *system) learn(t *rapid.T) {
-	node := rapid.IntRange(0, len(s.processes)-1).Draw(t, "node")
-	s.learnUpTo(node, s.latest()-rapid.IntRange(0, 1).Draw(t, "behind"))
+// observeAssignment lets a router observe the current assignment on the platform or the one
+// before.
+func (s *simulation) observeAssignment(t *rapid.T) {
+	node := rapid.IntRange(0, len(s.routers)-1).Draw(t, "node")
+	s.observeUpTo(node, s.latestAssignment()-rapid.IntRange(0, 1).Draw(t, "assignments behind"))
 }
 
-func (s *system) learnUpTo(node, number int) {
-	p := s.processes[node]
-	p.known = max(p.known, number)
-	if p.known == 0 {
+func (s *simulation) observeUpTo(node, number int) {
+	router := s.routers[node]
+	router.assignment = max(router.assignment, number)
+	if router.assignment == 0 {
 		return
 	}
-	for _, entry := range s.assignments[p.known] {
-		if entry.node == node && entry.incarnation == p.incarnation {
-			p.holder.Serve(s.clock(node), uint64(p.known))
+	for _, entry := range s.assignments[router.assignment] {
+		if entry.node == node && entry.incarnation == router.incarnation {
+			router.holder.Serve(s.clock(node), uint64(router.assignment))
 			return
 		}
 	}
-	p.holder.Retire(uint64(p.known))
+	router.holder.Retire(uint64(router.assignment))
 }
 
-func (s *system) restart(t *rapid.T) {
-	node := rapid.IntRange(0, len(s.processes)-1).Draw(t, "node")
-	old := s.processes[node]
-	s.processes[node] = &process{incarnation: old.incarnation + 1, holder: NewHolder(), skew: old.skew}
+func (s *simulation) restart(t *rapid.T) {
+	node := rapid.IntRange(0, len(s.routers)-1).Draw(t, "node")
+	old := s.routers[node]
+	s.routers[node] = &simRouter{incarnation: old.incarnation + 1, holder: NewHolder(), skew: old.skew}
 }
 
-// begin starts an attempt and carries its claims to some of the holders at once.
-func (s *system) begin(t *rapid.T) {
-	if len(s.tries) >= 24 {
+// startAttempt starts an attempt and immediately delivers its claims to some of the holders.
+func (s *simulation) startAttempt(t *rapid.T) {
+	if len(s.attempts) >= 24 {
 		return
 	}
-	number := max(s.latest()-rapid.IntRange(0, 1).Draw(t, "behind"), 1)
-	fresh := &try{name: fmt.Sprintf("try-%d", len(s.tries)), assignment: number}
-	if len(s.tries) > 0 && rapid.IntRange(0, 3).Draw(t, "duplicate") > 0 {
-		other := s.tries[len(s.tries)-1-rapid.IntRange(0, min(2, len(s.tries)-1)).Draw(t, "of")]
-		fresh.key, fresh.issued = other.key, other.issued
+	number := max(s.latestAssignment()-rapid.IntRange(0, 1).Draw(t, "assignments behind"), 1)
+	attempt := &simAttempt{name: fmt.Sprintf("attempt-%d", len(s.attempts)), assignment: number}
+	if len(s.attempts) > 0 && rapid.IntRange(0, 3).Draw(t, "duplicate") > 0 {
+		other := s.attempts[len(s.attempts)-1-rapid.IntRange(0, min(2, len(s.attempts)-1)).Draw(t, "attempts back")]
+		attempt.key, attempt.issuedAt = other.key, other.issuedAt
 	} else {
-		// Callers' clocks are not trusted at all.
+		// The clocks of callers are not trusted at all.
 		skew := time.Duration(rapid.Int64Range(-3000, 3000).Draw(t, "caller skew")) * time.Millisecond
-		fresh.key, fresh.issued = fmt.Sprintf("key-%d", len(s.tries)), s.now.Add(skew)
+		attempt.key, attempt.issuedAt = fmt.Sprintf("key-%d", len(s.attempts)), s.now.Add(skew)
 	}
-	s.ask(fresh, number)
-	s.tries = append(s.tries, fresh)
-	for index := range fresh.asked {
-		if !fresh.over && fresh.assignment == number && rapid.IntRange(0, 3).Draw(t, "reaches") > 0 {
-			s.deliverTo(t, fresh, index)
+	s.startRound(attempt, number)
+	s.attempts = append(s.attempts, attempt)
+	for index := range attempt.sent {
+		if !attempt.done && attempt.assignment == number && rapid.IntRange(0, 3).Draw(t, "delivered") > 0 {
+			s.deliverClaimTo(t, attempt, index)
 		}
 	}
 }
 
-func (s *system) ask(a *try, number int) {
-	a.assignment = number
-	a.round = NewRound(len(s.assignments[number]))
-	a.asked = make([]bool, len(s.assignments[number]))
-	a.answered = make([]bool, len(s.assignments[number]))
+func (s *simulation) startRound(attempt *simAttempt, number int) {
+	attempt.assignment = number
+	attempt.round = NewRound(len(s.assignments[number]))
+	attempt.sent = make([]bool, len(s.assignments[number]))
+	attempt.answered = make([]bool, len(s.assignments[number]))
 }
 
-func (s *system) pickTry(t *rapid.T) *try {
-	if len(s.tries) == 0 {
+func (s *simulation) pickAttempt(t *rapid.T) *simAttempt {
+	if len(s.attempts) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(s.tries).Draw(t, "try")
+	return rapid.SampledFrom(s.attempts).Draw(t, "attempt")
 }
 
-// deliver carries one claim to one holder, and its answer back or not.
-func (s *system) deliver(t *rapid.T) {
-	a := s.pickTry(t)
-	if a == nil {
+// deliverClaim delivers one claim to one holder. The verdict may be lost.
+func (s *simulation) deliverClaim(t *rapid.T) {
+	attempt := s.pickAttempt(t)
+	if attempt == nil {
 		return
 	}
-	s.deliverTo(t, a, rapid.IntRange(0, len(a.asked)-1).Draw(t, "holder"))
+	s.deliverClaimTo(t, attempt, rapid.IntRange(0, len(attempt.sent)-1).Draw(t, "holder"))
 }
 
-func (s *system) deliverTo(t *rapid.T, a *try, index int) {
-	entry := s.assignments[a.assignment][index]
-	p := s.processes[entry.node]
-	// A process answers whatever reaches its address, also when it is not the
-	// process that the assignment lists: it must then refuse by itself.
-	verdict := p.holder.Claim(s.clock(entry.node), uint64(a.assignment), a.key, a.issued, a.name)
-	a.asked[index] = true
-	if a.over || a.answered[index] || rapid.IntRange(0, 3).Draw(t, "answer arrives") == 0 {
+func (s *simulation) deliverClaimTo(t *rapid.T, attempt *simAttempt, index int) {
+	entry := s.assignments[attempt.assignment][index]
+	router := s.routers[entry.node]
+	// A process responds to every claim that reaches its address, even if it is not the process
+	// listed in the assignment. It must then refuse by itself.
+	verdict := router.holder.Claim(s.clock(entry.node), uint64(attempt.assignment), attempt.key, attempt.issuedAt, attempt.name)
+	attempt.sent[index] = true
+	if attempt.done || attempt.answered[index] || rapid.IntRange(0, 3).Draw(t, "response arrives") == 0 {
 		return
 	}
-	a.answered[index] = true
-	a.round.Answer(verdict)
-	s.conclude(t, a)
+	attempt.answered[index] = true
+	attempt.round.AddVerdict(verdict)
+	s.decide(t, attempt)
 }
 
-// giveUp is the time-out of one holder.
-func (s *system) giveUp(t *rapid.T) {
-	a := s.pickTry(t)
-	if a == nil || a.over {
+// timeOutHolder times out the claim at one holder.
+func (s *simulation) timeOutHolder(t *rapid.T) {
+	attempt := s.pickAttempt(t)
+	if attempt == nil || attempt.done {
 		return
 	}
-	index := rapid.IntRange(0, len(a.answered)-1).Draw(t, "holder")
-	if a.answered[index] {
+	index := rapid.IntRange(0, len(attempt.answered)-1).Draw(t, "holder")
+	if attempt.answered[index] {
 		return
 	}
-	a.answered[index] = true
-	a.round.Silent()
-	s.conclude(t, a)
+	attempt.answered[index] = true
+	attempt.round.AddTimeout()
+	s.decide(t, attempt)
 }
 
-func (s *system) conclude(t *rapid.T, a *try) {
-	switch a.round.Decide() {
+func (s *simulation) decide(t *rapid.T, attempt *simAttempt) {
+	switch attempt.round.Decide() {
 	case Undecided:
 	case Won:
-		a.over, a.won = true, true
-		if other, found := s.wins[a.key]; found {
-			t.Fatalf("%s and %s both won %s", other, a.name, a.key)
+		attempt.done, attempt.won = true, true
+		if other, found := s.winners[attempt.key]; found {
+			t.Fatalf("attempts %s and %s both won key %s", other, attempt.name, attempt.key)
 		}
-		s.wins[a.key] = a.name
+		s.winners[attempt.key] = attempt.name
 	case Retry:
-		s.ask(a, s.latest())
+		s.startRound(attempt, s.latestAssignment())
 	default:
-		a.over = true
+		attempt.done = true
 	}
 }
 
-// startChange lets a process propose new holders over the newest assignment or
-// the one before, asking some of the old holders at once.
-func (s *system) startChange(t *rapid.T) {
-	from := max(s.latest()-rapid.IntRange(0, 1).Draw(t, "behind"), 1)
-	c := &change{from: from, answers: make([]SealAnswer, len(s.assignments[from]))}
-	nodes := rapid.Permutation([]int{0, 1, 2, 3}).Draw(t, "next")
+// startChange lets a router propose new holders to replace the current assignment or the one
+// before, and immediately seals some of the old holders.
+func (s *simulation) startChange(t *rapid.T) {
+	from := max(s.latestAssignment()-rapid.IntRange(0, 1).Draw(t, "assignments behind"), 1)
+	c := &holderChange{from: from, results: make([]SealResult, len(s.assignments[from]))}
+	nodes := rapid.Permutation([]int{0, 1, 2, 3}).Draw(t, "next holders")
 	for _, node := range nodes[:3] {
-		c.next = append(c.next, listed{node, s.processes[node].incarnation})
+		c.next = append(c.next, assignedHolder{node, s.routers[node].incarnation})
 	}
 	s.changes = append(s.changes, c)
-	for index := range c.answers {
-		if rapid.IntRange(0, 3).Draw(t, "reaches") > 0 {
-			s.sealOne(t, c, index)
+	for index := range c.results {
+		if rapid.IntRange(0, 3).Draw(t, "delivered") > 0 {
+			s.sealHolderAt(t, c, index)
 		}
 	}
 }
 
-func (s *system) pickChange(t *rapid.T) *change {
+func (s *simulation) pickChange(t *rapid.T) *holderChange {
 	if len(s.changes) == 0 {
 		return nil
 	}
 	return s.changes[len(s.changes)-1-rapid.IntRange(0, min(1, len(s.changes)-1)).Draw(t, "change")]
 }
 
-func (s *system) seal(t *rapid.T) {
+func (s *simulation) sealHolder(t *rapid.T) {
 	if c := s.pickChange(t); c != nil {
-		s.sealOne(t, c, rapid.IntRange(0, len(c.answers)-1).Draw(t, "holder"))
+		s.sealHolderAt(t, c, rapid.IntRange(0, len(c.results)-1).Draw(t, "holder"))
 	}
 }
 
-func (s *system) sealOne(t *rapid.T, c *change, index int) {
+func (s *simulation) sealHolderAt(t *rapid.T, c *holderChange, index int) {
 	entry := s.assignments[c.from][index]
-	p := s.processes[entry.node]
-	if p.incarnation != entry.incarnation {
-		c.answers[index] = SealAnswer{Gone: true}
+	router := s.routers[entry.node]
+	if router.incarnation != entry.incarnation {
+		c.results[index] = SealResult{Ended: true}
 		return
 	}
-	horizon, records, sealed := p.holder.Seal(uint64(c.from))
-	if sealed && rapid.IntRange(0, 3).Draw(t, "answer arrives") > 0 {
-		c.answers[index] = SealAnswer{Sealed: true, Horizon: horizon, Records: records}
+	horizon, records, sealed := router.holder.Seal(uint64(c.from))
+	if sealed && rapid.IntRange(0, 3).Draw(t, "response arrives") > 0 {
+		c.results[index] = SealResult{Sealed: true, Horizon: horizon, Records: records}
 	}
 }
 
-// finishChange hands the memory to the next holders, writes the assignment and
-// lets some processes learn it; each step may fail.
-func (s *system) finishChange(t *rapid.T) {
+// finishChange installs the records at the next holders, writes the assignment and lets some
+// routers observe it. Each step may fail.
+func (s *simulation) finishChange(t *rapid.T) {
 	c := s.pickChange(t)
 	if c == nil {
 		return
 	}
-	proposer := rapid.IntRange(0, len(s.processes)-1).Draw(t, "proposer")
-	handover, ready := NewHandover(s.clock(proposer), c.answers)
+	proposer := rapid.IntRange(0, len(s.routers)-1).Draw(t, "proposer")
+	handover, ready := NewHandover(s.clock(proposer), c.results)
 	if !ready {
 		return
 	}
 	for _, entry := range c.next {
-		p := s.processes[entry.node]
-		if rapid.IntRange(0, 3).Draw(t, "installed") > 0 && p.incarnation == entry.incarnation {
-			p.holder.Install(uint64(c.from+1), handover.Horizon, handover.Records)
+		router := s.routers[entry.node]
+		if rapid.IntRange(0, 3).Draw(t, "installed") > 0 && router.incarnation == entry.incarnation {
+			router.holder.Install(uint64(c.from+1), handover.Horizon, handover.Records)
 		}
 	}
-	// The platform accepts the write only over the assignment it was made from.
-	if c.from != s.latest() || rapid.IntRange(0, 3).Draw(t, "written") == 0 {
+	// The platform accepts the write only if the assignment that it replaces is still current.
+	if c.from != s.latestAssignment() || rapid.IntRange(0, 3).Draw(t, "written") == 0 {
 		return
 	}
 	s.assignments = append(s.assignments, c.next)
-	for node := range s.processes {
-		if rapid.Bool().Draw(t, "learns") {
-			s.learnUpTo(node, s.latest())
+	for node := range s.routers {
+		if rapid.Bool().Draw(t, "observes") {
+			s.observeUpTo(node, s.latestAssignment())
 		}
 	}
 }
 
-// TestAtMostOneAttemptWins checks the protocol's one promise under random
-// delays, losses, restarts, clock differences and racing changes of holders.
+// TestAtMostOneAttemptWins checks that at most one attempt wins each key, under random delays,
+// message loss, restarts, clock differences and concurrent changes of holders.
 func TestAtMostOneAttemptWins(t *testing.T) {
 	testkit.Properties(20000)
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSystem(t)
+		s := newSimulation(t)
+		// Actions with several entries are chosen more often.
 		t.Repeat(map[string]func(*rapid.T){
-			"advance":      s.advance,
-			"learn":        s.learn,
-			"learn again":  s.learn,
-			"restart":      s.restart,
-			"begin":        s.begin,
-			"deliver":      s.deliver,
-			"deliver more": s.deliver,
-			"deliver most": s.deliver,
-			"give up":      s.giveUp,
-			"start change": s.startChange,
-			"seal":         s.seal,
-			"seal more":    s.seal,
-			"finish":       s.finishChange,
+			"advance":                          s.advance,
+			"observe assignment":               s.observeAssignment,
+			"observe assignment, second entry": s.observeAssignment,
+			"restart":                          s.restart,
+			"start attempt":                    s.startAttempt,
+			"deliver claim":                    s.deliverClaim,
+			"deliver claim, second entry":      s.deliverClaim,
+			"deliver claim, third entry":       s.deliverClaim,
+			"time out holder":                  s.timeOutHolder,
+			"start change":                     s.startChange,
+			"seal holder":                      s.sealHolder,
+			"seal holder, second entry":        s.sealHolder,
+			"finish change":                    s.finishChange,
 		})
 	})
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -10,15 +10,15 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// serving returns a holder that has served assignment 2 for a minute, with
-// no memory from before it.
-func serving() *Holder {
+// newServingHolder returns a holder that has served assignment 2 for one minute and has no
+// records from earlier assignments.
+func newServingHolder() *Holder {
 	holder := NewHolder()
 	holder.Serve(start.Add(-time.Minute), 2)
 	return holder
 }
 
-func TestFirstAssignmentTakesEveryKeyAndAChangeAfterLossDoesNot(t *testing.T) {
+func TestOnlyFirstAssignmentStartsWithoutHorizon(t *testing.T) {
 	g := NewWithT(t)
 	first := NewHolder()
 	first.Serve(start, 1)
@@ -35,33 +35,33 @@
 		issued     time.Time
 		want       Verdict
 	}{
-		{"a fresh key", 2, start, Granted},
-		{"a key ahead within the bound", 2, start.Add(ClockBound), Granted},
-		{"a key ahead of the bound", 2, start.Add(ClockBound + time.Millisecond), FromFuture},
-		{"a key at the horizon plus the bound", 2, start.Add(-time.Minute + ClockBound), BeforeHorizon},
-		{"a key just after it", 2, start.Add(-time.Minute + ClockBound + time.Millisecond), Granted},
+		{"current issue time", 2, start, Granted},
+		{"issued in the future, within MaxClockSkew", 2, start.Add(MaxClockSkew), Granted},
+		{"issued in the future, beyond MaxClockSkew", 2, start.Add(MaxClockSkew + time.Millisecond), IssuedInFuture},
+		{"issued at the horizon plus MaxClockSkew", 2, start.Add(-time.Minute + MaxClockSkew), BeforeHorizon},
+		{"issued just after the horizon plus MaxClockSkew", 2, start.Add(-time.Minute + MaxClockSkew + time.Millisecond), Granted},
 		{"another assignment", 3, start, WrongAssignment},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(serving().Claim(start, c.assignment, "key", c.issued, "a")).To(Equal(c.want))
+			g.Expect(newServingHolder().Claim(start, c.assignment, "key", c.issued, "a")).To(Equal(c.want))
 		})
 	}
 }
 
-func TestRepeatedAskGetsTheSameAnswer(t *testing.T) {
+func TestRepeatedClaimGetsSameVerdict(t *testing.T) {
 	g := NewWithT(t)
-	holder := serving()
+	holder := newServingHolder()
 	g.Expect(holder.Claim(start, 2, "key", start, "a")).To(Equal(Granted))
 	g.Expect(holder.Claim(start, 2, "key", start, "b")).To(Equal(Taken))
 	g.Expect(holder.Claim(start, 2, "key", start, "a")).To(Equal(Granted))
 	g.Expect(holder.Claim(start, 2, "key", start, "b")).To(Equal(Taken))
 }
 
-func TestSealedHolderGrantsNoMore(t *testing.T) {
+func TestSealedHolderGrantsNoNewKeys(t *testing.T) {
 	g := NewWithT(t)
-	holder := serving()
+	holder := newServingHolder()
 	holder.Claim(start, 2, "old", start, "a")
 	_, records, sealed := holder.Seal(2)
 	g.Expect(sealed).To(BeTrue())
@@ -70,24 +70,24 @@
 	g.Expect(holder.Claim(start, 2, "old", start, "b")).To(Equal(Taken))
 }
 
-func TestExpiredKeysAreForgottenAndRefused(t *testing.T) {
+func TestExpiredKeysArePrunedAndRefused(t *testing.T) {
 	g := NewWithT(t)
-	holder := serving()
+	holder := newServingHolder()
 	g.Expect(holder.Claim(start, 2, "key", start, "a")).To(Equal(Granted))
-	later := start.Add(Retention + 2*ClockBound + time.Minute)
+	later := start.Add(Retention + 2*MaxClockSkew + time.Minute)
 	g.Expect(holder.Claim(later, 2, "other", later, "a")).To(Equal(Granted))
 	g.Expect(holder.Len()).To(Equal(1))
 	g.Expect(holder.Claim(later, 2, "key", start, "b")).To(Equal(Expired))
 }
 
-func TestOneOldGrantDoesNotCountUnderTheNextAssignment(t *testing.T) {
+func TestGrantIsNotCarriedOverToNextAssignment(t *testing.T) {
 	g := NewWithT(t)
-	// Holders 1 and 2 granted key to attempt a, which has won; holder 3 granted it
-	// to b. Holder 2 is gone; the change of holders hears 3 only.
-	third := serving()
+	// Holders 1 and 2 granted the key to attempt a, which has won. Holder 3 granted it to
+	// attempt b. Holder 2 has ended, and in the change of holders only holder 3 responds.
+	third := newServingHolder()
 	third.Claim(start, 2, "key", start, "b")
 	horizon, records, _ := third.Seal(2)
-	handover, ready := NewHandover(start.Add(time.Second), []SealAnswer{{}, {Gone: true}, {Sealed: true, Horizon: horizon, Records: records}})
+	handover, ready := NewHandover(start.Add(time.Second), []SealResult{{}, {Ended: true}, {Sealed: true, Horizon: horizon, Records: records}})
 	g.Expect(ready).To(BeTrue())
 	next := NewHolder()
 	next.Install(3, handover.Horizon, handover.Records)
@@ -95,18 +95,18 @@
 	g.Expect(next.Claim(start.Add(time.Second), 3, "key", start, "b")).To(Equal(Taken))
 }
 
-func TestHandoverNeedsAMajorityThatNoLongerGrants(t *testing.T) {
+func TestHandoverRequiresMajoritySealedOrEnded(t *testing.T) {
 	g := NewWithT(t)
-	_, ready := NewHandover(start, []SealAnswer{{Sealed: true}, {}, {}})
+	_, ready := NewHandover(start, []SealResult{{Sealed: true}, {}, {}})
 	g.Expect(ready).To(BeFalse())
-	handover, ready := NewHandover(start, []SealAnswer{{Gone: true}, {Gone: true}, {}})
+	handover, ready := NewHandover(start, []SealResult{{Ended: true}, {Ended: true}, {}})
 	g.Expect(ready).To(BeTrue())
 	g.Expect(handover.Horizon).To(Equal(start))
 }
 
-func TestChangeThatFailedBeforeTheWriteCanBeTriedAgain(t *testing.T) {
+func TestHolderChangeCanBeRetriedAfterInstall(t *testing.T) {
 	g := NewWithT(t)
-	holder := serving()
+	holder := newServingHolder()
 	holder.Claim(start, 2, "key", start, "a")
 	horizon, records, _ := holder.Seal(2)
 	g.Expect(holder.Install(3, horizon, records)).To(BeTrue())
@@ -124,28 +124,28 @@
 		want     Decision
 	}{
 		{"two grants win", []Verdict{Granted, Granted}, 0, Won},
-		{"one grant waits", []Verdict{Granted}, 0, Undecided},
+		{"one grant is undecided", []Verdict{Granted}, 0, Undecided},
 		{"taken twice", []Verdict{Taken, Taken}, 0, Duplicate},
-		{"one grant and two silent", []Verdict{Granted}, 2, Unavailable},
+		{"one grant and two timeouts", []Verdict{Granted}, 2, Unavailable},
 		{"before the horizon", []Verdict{BeforeHorizon, BeforeHorizon}, 0, Refused},
-		{"the assignment moved on", []Verdict{Sealed, WrongAssignment}, 0, Retry},
-		{"moved on, but one took it", []Verdict{Sealed, Taken}, 0, Duplicate},
+		{"the assignment changed", []Verdict{Sealed, WrongAssignment}, 0, Retry},
+		{"the assignment changed, but one holder has the key taken", []Verdict{Sealed, Taken}, 0, Duplicate},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			round := NewRound(3)
 			for _, verdict := range c.verdicts {
-				round.Answer(verdict)
+				round.AddVerdict(verdict)
 			}
 			for range c.silent {
-				round.Silent()
+				round.AddTimeout()
 			}
 			NewWithT(t).Expect(round.Decide()).To(Equal(c.want))
 		})
 	}
 }
 
-func TestIssueTimeOfKeys(t *testing.T) {
+func TestIssueTime(t *testing.T) {
 	g := NewWithT(t)
 	before := time.Now().Truncate(time.Millisecond)
 	issued, err := IssueTime(uuid.Must(uuid.NewV7()).String())
@@ -153,6 +153,6 @@
 	g.Expect(issued).To(BeTemporally("~", before, time.Second))
 	for _, key := range []string{"", "hold-17", uuid.NewString()} {
 		_, err := IssueTime(key)
-		g.Expect(err).To(MatchError(ErrKeyWithoutTime))
+		g.Expect(err).To(MatchError(ErrNoIssueTime))
 	}
 }
--- a/internal/claim/handover.go
+++ b/internal/claim/handover.go
@@ -4,66 +4,66 @@
 	"time"
 )
 
-// SealAnswer is one old holder's part in a change of holders.
-type SealAnswer struct {
-	// Gone is true when the holder's process is known to have ended: its node
-	// runs under a newer incarnation, or the machine list no longer shows it.
-	// A holder that merely does not answer is not gone.
-	Gone    bool
+// SealResult is the result of sealing one old holder during a change of holders. The zero value
+// stands for a holder that did not respond.
+type SealResult struct {
+	// Ended is true if the holder's process is known to have ended: its node runs a newer
+	// incarnation, or is no longer in the machine list. A holder that merely does not respond
+	// has not ended.
+	Ended   bool
 	Sealed  bool
 	Horizon time.Time
 	Records []Record
 }
 
-// noAttempt owns the claims taken over from an older assignment: every attempt
-// that asks for them is refused.
-const noAttempt = ""
+// noOwner owns the records carried over from an older assignment. No attempt has this name, so
+// every attempt to claim their keys is refused.
+const noOwner = ""
 
-// Handover is the memory that the next assignment starts with.
+// Handover is the state with which the holders of the next assignment start.
 type Handover struct {
 	Horizon time.Time
 	Records []Record
 }
 
-// NewHandover merges the answers of the old holders at the given time. It
-// returns false when the old assignment may still grant: that is, unless a
-// majority of its holders has sealed or is gone.
+// NewHandover merges the results of sealing the old holders. It returns false if the old
+// assignment may still grant claims, which is the case unless a majority of its holders is
+// sealed or has ended.
 //
-// Invariant: a key granted by a majority of the old assignment is either in
-// the merged records or not after the merged horizon plus the clock bound. A
-// majority of sealed memories shares a holder with every granting majority. If
-// gone holders are needed to make up the majority, their memory is lost, and
-// the horizon moves to now.
-func NewHandover(now time.Time, answers []SealAnswer) (Handover, bool) {
-	majority := len(answers)/2 + 1
-	sealed, gone := 0, 0
+// Invariant: a key granted by a majority of the old assignment is either in the merged records
+// or was not issued after the merged horizon plus MaxClockSkew. Any majority of sealed holders
+// has a holder in common with every majority that granted a key. If ended holders are needed
+// for the majority, their records are lost, and the horizon moves to now.
+func NewHandover(now time.Time, results []SealResult) (Handover, bool) {
+	majority := len(results)/2 + 1
+	sealed, ended := 0, 0
 	handover := Handover{}
-	merged := map[string]bool{}
-	for _, answer := range answers {
-		if answer.Gone {
-			gone++
+	seenKeys := map[string]bool{}
+	for _, result := range results {
+		if result.Ended {
+			ended++
 			continue
 		}
-		if !answer.Sealed {
+		if !result.Sealed {
 			continue
 		}
 		sealed++
-		if answer.Horizon.After(handover.Horizon) {
-			handover.Horizon = answer.Horizon
+		if result.Horizon.After(handover.Horizon) {
+			handover.Horizon = result.Horizon
 		}
-		for _, record := range answer.Records {
-			if merged[record.Key] {
+		for _, record := range result.Records {
+			if seenKeys[record.Key] {
 				continue
 			}
-			merged[record.Key] = true
-			// The attempt is not carried over: a single old grant must not count
-			// again under the next assignment, because another attempt may have
-			// had the majority without the holders that were asked.
-			record.Attempt = noAttempt
+			seenKeys[record.Key] = true
+			// The owner is not carried over. A single old grant must not count again under the
+			// next assignment, because another attempt may have won a majority that did not
+			// include the sealed holders.
+			record.Attempt = noOwner
 			handover.Records = append(handover.Records, record)
 		}
 	}
-	if sealed+gone < majority {
+	if sealed+ended < majority {
 		return Handover{}, false
 	}
 	if sealed < majority {
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -1,63 +1,64 @@
-// Package claim makes a request that may not be repeated run at most once.
+// Package claim ensures that an unrepeatable request runs at most once.
 //
-// An unrepeatable request carries a key with its issue time. Before dispatch an
-// attempt takes a claim on the key from a majority of the claim holders of a
-// numbered assignment. Holders keep claims in memory only; each knows the
-// horizon since which its memory is complete and refuses keys from before it.
+// Each unrepeatable request carries a key with its issue time. Before dispatch, an attempt must
+// claim the key at a majority of the claim holders, which are listed in a numbered assignment.
+// Holders keep the claims in memory only. Each holder knows its horizon, the time since which
+// its records are complete, and refuses keys that were issued before it.
 //
-// The package has no I/O, clock or goroutines. spec/claim.pml models it.
+// The package performs no I/O, does not read the clock and starts no goroutines. spec/claim.pml
+// is a formal model of it.
 package claim
 
 import (
 	"time"
 )
 
-// Times of the protocol.
+// Durations of the protocol.
 const (
-	// ClockBound is the assumed greatest difference between the clocks of any two
-	// routers. If it does not hold, a key could be granted twice around a restart
-	// of holders. Callers' clocks are not trusted: a key from a clock that runs
-	// ahead by more than the bound is refused, and one from a clock that runs
-	// behind is only refused sooner.
-	ClockBound = 500 * time.Millisecond
+	// MaxClockSkew is the assumed maximum difference between the clocks of any two routers. If
+	// it is exceeded, a key could be granted twice around a restart of holders. The clocks of
+	// callers are not trusted: a key from a clock that is ahead by more than MaxClockSkew is
+	// refused, and a key from a clock that is behind is merely refused earlier.
+	MaxClockSkew = 500 * time.Millisecond
 	// Retention is how long a claim is remembered after its key was issued.
 	Retention = 10 * time.Minute
-	// pruneInterval is the least time between two removals of old claims.
+	// pruneInterval is the minimum time between two removals of expired claims.
 	pruneInterval = 10 * time.Second
 )
 
-// firstAssignment is the number of the assignment made when there was none.
+// firstAssignment is the number of the first assignment of a cluster.
 const firstAssignment = 1
 
-// MaxRecords bounds the claims a holder remembers. A full holder grants no more.
+// MaxRecords limits the claims that a holder remembers. A full holder grants no more claims.
 const MaxRecords = 1 << 20
 
-// Verdict is a holder's answer to a claim.
+// Verdict is the response of a holder to a claim.
 type Verdict uint8
 
-// The verdicts. Only Granted counts towards a majority; all others are final
-// for the holder and the attempt, except WrongAssignment and Sealed, which say
-// that the same attempt may ask again under a newer assignment.
+// The verdicts. Only Granted counts towards a majority. All others are final for this holder
+// and attempt, except WrongAssignment and Sealed, after which the same attempt may claim the
+// key under a newer assignment.
 const (
-	// Granted means that the attempt now owns the key on this holder.
+	// Granted means that the attempt now owns the key at this holder.
 	Granted Verdict = iota + 1
-	// Taken means that another attempt owns the key on this holder.
+	// Taken means that another attempt owns the key at this holder.
 	Taken
-	// BeforeHorizon means that the key is older than the holder's memory.
+	// BeforeHorizon means that the key may have been issued before the holder's horizon.
 	BeforeHorizon
-	// Expired means that the key is older than the retention time.
+	// Expired means that the key was issued longer than Retention ago.
 	Expired
-	// FromFuture means that the key's issue time is ahead of the clock bound.
-	FromFuture
-	// WrongAssignment means that the holder does not serve the named assignment.
+	// IssuedInFuture means that the key's issue time is ahead of the holder's clock by more
+	// than MaxClockSkew.
+	IssuedInFuture
+	// WrongAssignment means that the holder does not serve the requested assignment.
 	WrongAssignment
-	// Sealed means that the holder stopped granting for the named assignment.
+	// Sealed means that the holder no longer grants claims under the requested assignment.
 	Sealed
-	// Full means that the holder's memory is used up.
+	// Full means that the holder has reached MaxRecords.
 	Full
 )
 
-// String returns the verdict's name.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	names := []string{"none", "granted", "taken", "before horizon", "expired", "from the future", "wrong assignment", "sealed", "full"}
 	if int(v) < len(names) {
@@ -68,15 +69,15 @@
 
 // Record is one remembered claim.
 type Record struct {
-	Key     string
-	Attempt string
-	Issued  time.Time
+	Key      string
+	Attempt  string
+	IssuedAt time.Time
 }
 
-// claimed is a Record without its key.
-type claimed struct {
-	attempt string
-	issued  time.Time
+// claimEntry is the value stored for a claimed key.
+type claimEntry struct {
+	attempt  string
+	issuedAt time.Time
 }
 
 // Holder is the state of one claim holder. It is not safe for concurrent use.
@@ -84,22 +85,23 @@
 	assignment uint64
 	sealed     bool
 	serving    bool
-	// installed is true when the memory was taken over and not begun anew.
+	// installed is true if the records were taken over with Install, and false if they started
+	// empty.
 	installed bool
-	// horizon is the moment since which the memory is complete.
+	// horizon is the time since which the records are complete.
 	horizon   time.Time
-	records   map[string]claimed
+	records   map[string]claimEntry
 	nextPrune time.Time
 }
 
 // NewHolder returns a holder that serves no assignment yet.
-func NewHolder() *Holder { return &Holder{records: map[string]claimed{}} }
+func NewHolder() *Holder { return &Holder{records: map[string]claimEntry{}} }
 
-// Serve starts serving an assignment in which this process is listed. Without
-// an earlier Install for the same number its memory starts now: every claim
-// granted under older assignments was granted before now, so their keys are
-// before the horizon and none of them can be granted again. Before the first
-// assignment nothing was granted, so its memory is complete from the start.
+// Serve starts serving an assignment that lists this process. Unless Install was called for the
+// same assignment, the records start empty and the horizon is now: every claim under an older
+// assignment was granted before now, so its key is before the horizon and cannot be granted
+// again. Nothing was granted before the first assignment, so its records are complete from the
+// start.
 func (h *Holder) Serve(now time.Time, assignment uint64) {
 	if assignment < h.assignment || (assignment == h.assignment && h.serving) {
 		return
@@ -114,8 +116,8 @@
 	h.serving = true
 }
 
-// Install takes over the memory of a sealed assignment for the one that
-// follows it. It returns false when the holder is already past it.
+// Install takes over the records of a sealed assignment for its successor. It returns false if
+// the holder already has this assignment or a newer one.
 func (h *Holder) Install(assignment uint64, horizon time.Time, records []Record) bool {
 	if assignment <= h.assignment {
 		return false
@@ -124,7 +126,7 @@
 	h.installed = true
 	h.horizon = horizon
 	for _, record := range records {
-		h.records[record.Key] = claimed{record.Attempt, record.Issued}
+		h.records[record.Key] = claimEntry{record.Attempt, record.IssuedAt}
 	}
 	return true
 }
@@ -134,48 +136,48 @@
 	h.sealed = false
 	h.serving = false
 	h.installed = false
-	h.records = map[string]claimed{}
+	h.records = map[string]claimEntry{}
 }
 
-// Retire stops granting when an assignment newer than the holder's own does
-// not list it.
+// Retire stops granting claims if the assignment is newer than the holder's own. It is called
+// when the assignment does not list this holder.
 func (h *Holder) Retire(assignment uint64) {
 	if assignment > h.assignment {
 		h.reset(assignment)
 	}
 }
 
-// Seal stops granting for the assignment for good and returns the memory. It
-// returns false when the holder does not serve the assignment, and never did,
-// or serves a newer one.
+// Seal permanently stops granting claims under the assignment and returns the horizon and the
+// records. It returns false if the holder has never served the assignment or serves a newer
+// one.
 //
-// A holder that has taken over memory for a later assignment which is not in
-// force yet answers with that memory: it no longer grants for the old one, and
-// what it took over covers what it knew. Without this, a change of holders that
-// failed between Install and the platform's write could not be tried again.
+// A holder that has installed the records of a later assignment, which is not yet in force,
+// returns these. It no longer grants claims under the old assignment, and the installed records
+// include everything it knew. Otherwise a change of holders that failed between Install and the
+// write to the platform could not be retried.
 func (h *Holder) Seal(assignment uint64) (horizon time.Time, records []Record, sealed bool) {
-	tookOver := assignment < h.assignment && !h.serving && h.installed
-	if !tookOver && (assignment != h.assignment || !h.serving) {
+	installedNext := assignment < h.assignment && !h.serving && h.installed
+	if !installedNext && (assignment != h.assignment || !h.serving) {
 		return time.Time{}, nil, false
 	}
-	h.sealed = h.sealed || !tookOver
+	h.sealed = h.sealed || !installedNext
 	records = make([]Record, 0, len(h.records))
 	for key, record := range h.records {
-		records = append(records, Record{Key: key, Attempt: record.attempt, Issued: record.issued})
+		records = append(records, Record{Key: key, Attempt: record.attempt, IssuedAt: record.issuedAt})
 	}
 	return h.horizon, records, true
 }
 
-// Claim answers one attempt's claim on a key issued at the given time.
+// Claim decides on one attempt's claim to a key that was issued at issuedAt.
 //
-// Invariant: under one assignment a holder grants a key to one attempt only,
-// and a repeated ask of the same attempt gets the same answer.
-func (h *Holder) Claim(now time.Time, assignment uint64, key string, issued time.Time, attempt string) Verdict {
+// Invariant: under one assignment, a holder grants a key to only one attempt, and a repeated
+// claim by the same attempt gets the same verdict.
+func (h *Holder) Claim(now time.Time, assignment uint64, key string, issuedAt time.Time, attempt string) Verdict {
 	if assignment != h.assignment || !h.serving {
 		return WrongAssignment
 	}
-	if known, found := h.records[key]; found {
-		if known.attempt == attempt {
+	if existing, found := h.records[key]; found {
+		if existing.attempt == attempt {
 			return Granted
 		}
 		return Taken
@@ -183,36 +185,36 @@
 	if h.sealed {
 		return Sealed
 	}
-	return h.grant(now, key, issued, attempt)
+	return h.grant(now, key, issuedAt, attempt)
 }
 
-func (h *Holder) grant(now time.Time, key string, issued time.Time, attempt string) Verdict {
+func (h *Holder) grant(now time.Time, key string, issuedAt time.Time, attempt string) Verdict {
 	switch {
-	case !issued.After(h.horizon.Add(ClockBound)):
+	case !issuedAt.After(h.horizon.Add(MaxClockSkew)):
 		return BeforeHorizon
-	case issued.After(now.Add(ClockBound)):
-		return FromFuture
-	case !issued.After(now.Add(-Retention)):
+	case issuedAt.After(now.Add(MaxClockSkew)):
+		return IssuedInFuture
+	case !issuedAt.After(now.Add(-Retention)):
 		return Expired
 	}
 	h.prune(now)
 	if len(h.records) >= MaxRecords {
 		return Full
 	}
-	h.records[key] = claimed{attempt, issued}
+	h.records[key] = claimEntry{attempt, issuedAt}
 	return Granted
 }
 
-// prune forgets claims whose keys are refused as expired by now. The clock
-// bound is added so that no holder with a slower clock still grants them.
+// prune removes claims whose keys would be refused as expired. It keeps them for another
+// 2*MaxClockSkew, so that no holder with a slower clock can still grant them.
 func (h *Holder) prune(now time.Time) {
 	if now.Before(h.nextPrune) {
 		return
 	}
 	h.nextPrune = now.Add(pruneInterval)
-	oldest := now.Add(-Retention - 2*ClockBound)
+	oldest := now.Add(-Retention - 2*MaxClockSkew)
 	for key, record := range h.records {
-		if record.issued.Before(oldest) {
+		if record.issuedAt.Before(oldest) {
 			delete(h.records, key)
 		}
 	}
@@ -221,7 +223,8 @@
 // Len returns the number of remembered claims.
 func (h *Holder) Len() int { return len(h.records) }
 
-// Assignment returns the number served and whether the holder grants for it.
+// Assignment returns the number of the holder's assignment, and whether the holder grants
+// claims under it.
 func (h *Holder) Assignment() (number uint64, granting bool) {
 	return h.assignment, h.serving && !h.sealed
 }
--- a/internal/claim/holder_bench_test.go
+++ b/internal/claim/holder_bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkClaim is one granted claim; it also reports the memory of a record.
+// BenchmarkClaim measures one granted claim. It also reports the memory used per record.
 func BenchmarkClaim(b *testing.B) {
 	holder := NewHolder()
 	holder.Serve(start, 1)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -86,7 +86,7 @@
 func recordsToWire(records []claim.Record) []*wire.ClaimRecord {
 	converted := make([]*wire.ClaimRecord, len(records))
 	for i, record := range records {
-		converted[i] = &wire.ClaimRecord{Key: record.Key, Attempt: record.Attempt, IssuedUnixMillis: record.Issued.UnixMilli()}
+		converted[i] = &wire.ClaimRecord{Key: record.Key, Attempt: record.Attempt, IssuedUnixMillis: record.IssuedAt.UnixMilli()}
 	}
 	return converted
 }
@@ -94,7 +94,7 @@
 func recordsFromWire(records []*wire.ClaimRecord) []claim.Record {
 	converted := make([]claim.Record, len(records))
 	for i, record := range records {
-		converted[i] = claim.Record{Key: record.GetKey(), Attempt: record.GetAttempt(), Issued: time.UnixMilli(record.GetIssuedUnixMillis())}
+		converted[i] = claim.Record{Key: record.GetKey(), Attempt: record.GetAttempt(), IssuedAt: time.UnixMilli(record.GetIssuedUnixMillis())}
 	}
 	return converted
 }
@@ -133,9 +133,9 @@
 	round := claim.NewRound(len(assignment.Holders))
 	for round.Decide() == claim.Undecided {
 		if verdict := <-verdicts; verdict == 0 {
-			round.Silent()
+			round.AddTimeout()
 		} else {
-			round.Answer(verdict)
+			round.AddVerdict(verdict)
 		}
 	}
 	return round.Decide(), round.Reason(), nil
@@ -285,12 +285,12 @@
 }
 
 // sealAll stops the old holders and collects their memories.
-func (n *Node) sealAll(ctx context.Context, change proposal) []claim.SealAnswer {
-	answers := make([]claim.SealAnswer, len(change.current.Holders))
+func (n *Node) sealAll(ctx context.Context, change proposal) []claim.SealResult {
+	answers := make([]claim.SealResult, len(change.current.Holders))
 	var group sync.WaitGroup
 	for i, holder := range change.current.Holders {
 		if change.gone[holder.Node] {
-			answers[i].Gone = true
+			answers[i].Ended = true
 			continue
 		}
 		group.Add(1)
@@ -303,7 +303,7 @@
 	return answers
 }
 
-func (n *Node) sealOne(ctx context.Context, holder v1.ClaimHolder, number uint64) claim.SealAnswer {
+func (n *Node) sealOne(ctx context.Context, holder v1.ClaimHolder, number uint64) claim.SealResult {
 	request := &wire.SealRequest{Assignment: number}
 	var response *wire.SealResponse
 	if holder.Node == n.settings.Node {
@@ -314,11 +314,11 @@
 		reply := n.callNode(ctx, holder.Node, &wire.Envelope{Body: &wire.Envelope_SealRequest{SealRequest: request}})
 		// The answer must come from the listed process, not from a newer one.
 		if reply == nil || reply.GetFromIncarnation() != holder.Incarnation {
-			return claim.SealAnswer{}
+			return claim.SealResult{}
 		}
 		response = reply.GetSealResponse()
 	}
-	return claim.SealAnswer{
+	return claim.SealResult{
 		Sealed:  response.GetSealed(),
 		Horizon: time.UnixMilli(response.GetHorizonUnixMillis()),
 		Records: recordsFromWire(response.GetRecords()),
