--- a/internal/backpressure/permits.go
+++ b/internal/backpressure/permits.go
@@ -60,7 +60,8 @@
 	lastRetryAt map[string]time.Time
 }
 
-// pacer spaces the permits for one runner. The rate is in requests per second.
+// pacer spaces the permits for one runner. The rate limit is in requests per second, and nextAt
+// is when the next permit is due.
 type pacer struct {
 	rate   float64
 	nextAt time.Time
--- a/internal/backpressure/table_test.go
+++ b/internal/backpressure/table_test.go
@@ -107,7 +107,7 @@
 // Routers that receive the same records in different orders, and some of them repeatedly, end
 // with the same state.
 func TestMergeIsOrderIndependentAndIdempotent(t *testing.T) {
-	moment := rapid.Custom(func(t *rapid.T) time.Time {
+	drawTime := rapid.Custom(func(t *rapid.T) time.Time {
 		if seconds := rapid.IntRange(0, 9).Draw(t, "seconds"); seconds > 0 {
 			return start.Add(time.Duration(seconds) * time.Second)
 		}
@@ -117,7 +117,7 @@
 		// Records with equal LimitReportedAt must have equal rates, because both come from one
 		// response.
 		records := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Record {
-			return Record{Runner: runner, LeavingAt: moment.Draw(t, "leaving"), Rate: 1, LimitReportedAt: moment.Draw(t, "named"), LimitLiftedAt: moment.Draw(t, "lifted")}
+			return Record{Runner: runner, LeavingAt: drawTime.Draw(t, "leaving"), Rate: 1, LimitReportedAt: drawTime.Draw(t, "limit reported"), LimitLiftedAt: drawTime.Draw(t, "lifted")}
 		}), 1, 6, func(r Record) Record { return r }).Draw(t, "records")
 		shuffled := rapid.Permutation(append(records, records...)).Draw(t, "shuffled")
 		one, other := NewTable(), NewTable()
