--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -95,12 +95,12 @@
 	return true
 }
 
-// evictLeastSignificant removes the least significant record other than that of the kept
-// content.
-func (d *Detector) evictLeastSignificant(kept ContentID) {
+// evictLeastSignificant removes the least significant record, but never the record of the content
+// given by keep.
+func (d *Detector) evictLeastSignificant(keep ContentID) {
 	var least *entry
 	for content, e := range d.records {
-		if content != kept && (least == nil || compareSignificance(e.Record, least.Record) < 0) {
+		if content != keep && (least == nil || compareSignificance(e.Record, least.Record) < 0) {
 			least = e
 		}
 	}
@@ -167,7 +167,7 @@
 
 // ChangedSince returns the records that changed after the sequence number since, oldest change
 // first and at most limit of them, and the sequence number up to which they are complete.
-func (d *Detector) ChangedSince(since uint64, limit int) (records []Record, through uint64) {
+func (d *Detector) ChangedSince(since uint64, limit int) (records []Record, reached uint64) {
 	if since >= d.sequence {
 		return nil, d.sequence
 	}
@@ -178,15 +178,15 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.sequence, b.sequence) })
-	through = d.sequence
+	reached = d.sequence
 	if len(changed) > limit {
 		changed = changed[:limit]
-		through = changed[limit-1].sequence
+		reached = changed[limit-1].sequence
 	}
 	for _, e := range changed {
 		records = append(records, e.Record)
 	}
-	return records, through
+	return records, reached
 }
 
 // Records returns all records, oldest change first.
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -126,7 +126,7 @@
 	// minCorrelatedRunners is the number of other crashed runners that makes a crash
 	// correlated. Runners that are lost at once are detected within 10 ms, or when their next
 	// response is due. A content that crashes runners coincides with that many other crashes
-	// now and then, but hardly on each of its crashes.
+	// now and then, but rarely on every one of its crashes.
 	correlationWindow    = 300 * time.Millisecond
 	minCorrelatedRunners = 2
 	// initialQuarantine is the length of the first quarantine. A content that is refused
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -51,10 +51,10 @@
 }
 
 var scenarios = []scenario{
-	{name: "one", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 400 * time.Millisecond, affinity: 0.7},
+	{name: "one poison content", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 400 * time.Millisecond, affinity: 0.7},
 	{name: "one, frequent", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 50 * time.Millisecond, affinity: 0.7},
 	{name: "one, rare", routers: 7, runners: 18, poisonContents: 1, poisonInterval: 5 * time.Second, affinity: 0.7},
-	{name: "ten", routers: 7, runners: 18, poisonContents: 10, poisonInterval: 3 * time.Second, affinity: 0.7},
+	{name: "ten poison contents", routers: 7, runners: 18, poisonContents: 10, poisonInterval: 3 * time.Second, affinity: 0.7},
 	{name: "few runners", routers: 3, runners: 5, poisonContents: 2, poisonInterval: time.Second, affinity: 0.7},
 	{name: "two runners", routers: 3, runners: 2, poisonContents: 1, poisonInterval: 2 * time.Second, affinity: 1},
 	{name: "one runner", routers: 3, runners: 1, poisonContents: 1, poisonInterval: 3 * time.Second, affinity: 1},
@@ -346,13 +346,14 @@
 	}
 }
 
-// TestComparePolicies prints the figures for docs/design/poison-requests.md.
+// TestComparePolicies prints the figures of the policies that were considered, for
+// docs/design/poison-requests.md.
 func TestComparePolicies(t *testing.T) {
 	if testing.Short() || !testing.Verbose() {
 		t.Skip("prints figures only, in verbose mode")
 	}
 	policies := map[string]policy{
-		"current": implemented, "3 crashes": {threshold: 3, isolate: true, colocate: true, countOnly: true}, "local only": {localOnly: true, threshold: 3, isolate: true, colocate: true}, "threshold 2": {threshold: 2, isolate: true, colocate: true},
+		"current": implemented, "3 crashes": {threshold: 3, isolate: true, colocate: true, countOnly: true}, "local only": {localOnly: true, threshold: 3, isolate: true, colocate: true}, "2 crashes": {threshold: 2, isolate: true, colocate: true},
 		"4 crashes": {threshold: 4, isolate: true, colocate: true}, "any runner": {threshold: 3}, "isolated": {threshold: 3, isolate: true}, "colocated": {threshold: 3, colocate: true},
 	}
 	for _, sc := range scenarios {
