--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -32,7 +32,7 @@
 	cases := []struct {
 		name       string
 		assignment uint64
-		issued     time.Time
+		issuedAt   time.Time
 		want       Verdict
 	}{
 		{"current issue time", 2, start, Granted},
@@ -45,7 +45,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(newServingHolder().Claim(start, c.assignment, "key", c.issued, "a")).To(Equal(c.want))
+			g.Expect(newServingHolder().Claim(start, c.assignment, "key", c.issuedAt, "a")).To(Equal(c.want))
 		})
 	}
 }
@@ -120,7 +120,7 @@
 	cases := []struct {
 		name     string
 		verdicts []Verdict
-		silent   int
+		timeouts int
 		want     Decision
 	}{
 		{"two grants win", []Verdict{Granted, Granted}, 0, Won},
@@ -137,7 +137,7 @@
 			for _, verdict := range c.verdicts {
 				round.AddVerdict(verdict)
 			}
-			for range c.silent {
+			for range c.timeouts {
 				round.AddTimeout()
 			}
 			NewWithT(t).Expect(round.Decide()).To(Equal(c.want))
