--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -41,7 +41,7 @@
 
 mutant "1 every claim wins" internal/node/claims.go 's/return round.Decide\(\), round.Reason\(\), nil/return claim.Won, round.Reason(), nil/' ./test/prove -ginkgo.focus "duplicates sent to all routers"
 mutant "1 unrepeatable requests are tried again" internal/attempt/attempt.go 's/if !r.repeatable \{/if !r.repeatable \&\& r.limits.MaxAttempts < 0 {/' ./internal/attempt
-mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.doubtful = true/r.doubtful = false/g' ./internal/attempt
+mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.uncertain = true/r.uncertain = false/g' ./internal/attempt
 mutant "1 lost memories keep the old horizon" internal/claim/handover.go 's/handover.Horizon = now/handover.Horizon = time.Time{}/' ./test/prove -ginkgo.focus "when all routers restart"
 mutant "2 frames of any attempt and offset pass" internal/attempt/attempt.go 's/attempt != r.attempts \|\| offset != r.offset \|\| //' ./test/prove -ginkgo.focus "passes on only the frames"
 mutant "2 frames of any request pass" internal/node/relay.go 's/string\(frame.Request\) != x.call.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
@@ -58,18 +58,18 @@
 mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
 mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeover/now.Sub(c.changedAt) >= 0/' ./internal/lease
 mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!empty && serving-1 < floor\)/loading > 999 || floor < 0/' ./test/prove -ginkgo.focus "within the pool"
-mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Verdict\(now, content\)/return quarantine.Verdict{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
+mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
 mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
 mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
 mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
-mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/end.Began.After\(ends\[0\].At\)/true/' ./internal/quarantine
+mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
 mutant "9 suspensions do not count" internal/clock/clock.go 's/return steady.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return steady/' ./internal/clock
-mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.signalState.Limits\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'SignalsAreRespected|PermitAllows'
-mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.parts, p.fewer, p.from = parts, 0, now.Add\(handoverTime\)/p.parts, p.fewer = parts, 0/' ./internal/backpressure
-mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(handoverTime\)\n\t\}/now\n\t}/' ./internal/backpressure
-mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LiftedAt.Before\(r.NamedAt.Add\(liftMargin\)\)/!r.LiftedAt.After(r.NamedAt)/' ./internal/backpressure
-mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.signalState.Leaves\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
-mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.signalState.Resting\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
+mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.signalState.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'SignalsAreRespected|PermitAllows'
+mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add\(shareChangeDelay\)/p.schedulers, p.pendingSchedulers = count, 0/' ./internal/backpressure
+mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(shareChangeDelay\)\n\t\}/now\n\t}/' ./internal/backpressure
+mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
+mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.signalState.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
+mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
 mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
 mutant "11 eras do not count" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
 mutant "11 watches of another era are taken" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -136,7 +136,7 @@
 			ExtraTokens:     cost + s.runnerCost(now, e, zone) + prefill.tokensIn(slowness),
 			Pauses:          e.streamPauses(fromPeers),
 			ApartTokens:     split.cost(e) + e.suspectCost(query, fromPeers),
-			First:           e.signalState.Limits() && query.SuspectContent == 0 && s.permits.Unused(now, e.signalKey()),
+			First:           e.signalState.IsLimited() && query.SuspectContent == 0 && s.permits.HasUnusedPermit(now, e.signalKey()),
 		})
 	}
 	if query.MaxEventGap > 0 {
@@ -156,7 +156,7 @@
 	ids, otherIDs := make([]string, 0, len(entries)), []string(nil)
 	for _, e := range entries {
 		switch {
-		case e.isLeaving() || now.Before(e.avoidUntil) || e.signalState.Limits() || query.restRemaining(e.ID) > 0:
+		case e.isLeaving() || now.Before(e.avoidUntil) || e.signalState.IsLimited() || query.restRemaining(e.ID) > 0:
 		case split.prefers(e):
 			ids = append(ids, e.ID)
 		default:
--- a/internal/backend/runner.go
+++ b/internal/backend/runner.go
@@ -116,7 +116,7 @@
 	// newer than those in the directory.
 	learnedVersions map[string]uint64
 	// signalState is what the runner reported about itself in responses, nil if nothing.
-	signalState *backpressure.State
+	signalState *backpressure.RunnerState
 	// updating is true while an order of this router to update the runner's weights is in
 	// progress.
 	updating bool
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -94,7 +94,7 @@
 		// Routers that count its load are told that none is left.
 		s.changedLoads[runner.ID] = true
 	}
-	created := &entry{Runner: runner, learnedVersions: map[string]uint64{}, signalState: s.signals.Of(runner.signalKey())}
+	created := &entry{Runner: runner, learnedVersions: map[string]uint64{}, signalState: s.signals.Get(runner.signalKey())}
 	s.entries[runner.ID] = created
 	list := append(s.byService[runner.Service], created)
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
@@ -221,10 +221,10 @@
 			ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, State: e.state(now).String(),
 			InFlight: e.inFlight, FailureShare: e.decayedFailureShare(now),
 		}
-		if e.signalState.Resting(now) {
-			summary.RestMillis = e.signalState.RestUntil.Sub(now).Milliseconds()
+		if e.signalState.InBackoff(now) {
+			summary.RestMillis = e.signalState.BackoffUntil.Sub(now).Milliseconds()
 		}
-		if e.signalState.Limits() {
+		if e.signalState.IsLimited() {
 			rate := e.signalState.Rate
 			summary.Limit, summary.Share = &rate, s.permits.Share(now, rate)
 		}
@@ -250,7 +250,7 @@
 		return Updating
 	case now.Before(e.avoidUntil):
 		return Avoided
-	case e.signalState.Limits():
+	case e.signalState.IsLimited():
 		return Limited
 	}
 	return Serving
--- a/internal/backend/signals.go
+++ b/internal/backend/signals.go
@@ -15,8 +15,8 @@
 // RecordSignals records what the runner reported about itself in the response to a request
 // sent at the given time, and returns what is new. success is set for a complete successful
 // response.
-func (s *Set) RecordSignals(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Heard {
-	heard := s.signals.Hear(now, sent, runner.signalKey(), signals, success)
+func (s *Set) RecordSignals(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Changes {
+	heard := s.signals.Observe(now, sent, runner.signalKey(), signals, success)
 	s.attachSignals(runner.signalKey())
 	return heard
 }
@@ -24,7 +24,7 @@
 // attachSignals points the runner's entry to its signal state.
 func (s *Set) attachSignals(runner backpressure.Runner) {
 	if e := s.entries[runner.ID]; e != nil && e.Incarnation == runner.Incarnation {
-		e.signalState = s.signals.Of(runner)
+		e.signalState = s.signals.Get(runner)
 	}
 }
 
@@ -34,7 +34,7 @@
 		e := s.entries[runner.ID]
 		return e != nil && e.Incarnation == runner.Incarnation
 	}
-	for _, runner := range s.signals.Sweep(now, listed) {
+	for _, runner := range s.signals.Prune(now, listed) {
 		s.permits.Forget(runner)
 	}
 }
@@ -42,7 +42,7 @@
 // isLeaving reports whether the runner is shutting down, by its directory entry or by its
 // own signal in a response. The entry may be late, or missing while the store is
 // unavailable. The signal is final for the incarnation.
-func (e *entry) isLeaving() bool { return e.Draining || e.signalState.Leaves() }
+func (e *entry) isLeaving() bool { return e.Draining || e.signalState.IsLeaving() }
 
 // Permits returns this router's part of the rate limits that runners set.
 func (s *Set) Permits() *backpressure.Permits { return s.permits }
@@ -58,7 +58,7 @@
 		held.AddResting(rest)
 		return true
 	}
-	if !e.signalState.Limits() {
+	if !e.signalState.IsLimited() {
 		return false
 	}
 	wait := s.permits.Wait(now, e.signalKey(), e.signalState.Rate)
@@ -71,15 +71,15 @@
 // accepts reports whether the runner accepts a request of this router under the permit,
 // which may be the zero value if the runner sets no limit.
 func (e *entry) accepts(now time.Time, permit backpressure.Permit) bool {
-	return !e.signalState.Resting(now) && (!e.signalState.Limits() || permit.Valid(now))
+	return !e.signalState.InBackoff(now) && (!e.signalState.IsLimited() || permit.Valid(now))
 }
 
 // Resting returns the runners that asked this router to send no requests for a while.
 func (s *Set) Resting(now time.Time) (resting []RestingRunner) {
-	for _, state := range s.signals.Resting(now) {
+	for _, state := range s.signals.BackingOff(now) {
 		// A runner that has restarted since did not ask for the rest.
 		if e := s.entries[state.ID]; e != nil && e.signalState == state {
-			resting = append(resting, RestingRunner{Runner: state.ID, Remaining: state.RestUntil.Sub(now)})
+			resting = append(resting, RestingRunner{Runner: state.ID, Remaining: state.BackoffUntil.Sub(now)})
 		}
 	}
 	return resting
@@ -105,7 +105,7 @@
 // runners, which need none.
 func (s *Set) TakePermit(now time.Time, id string) backpressure.Permit {
 	e := s.entries[id]
-	if e == nil || !e.signalState.Limits() {
+	if e == nil || !e.signalState.IsLimited() {
 		return backpressure.Permit{}
 	}
 	return s.permits.Take(now, e.signalKey(), e.signalState.Rate)
@@ -113,7 +113,7 @@
 
 // SignalState returns what the runner reported about itself, nil if it is not listed or
 // reported nothing.
-func (s *Set) SignalState(id string) *backpressure.State {
+func (s *Set) SignalState(id string) *backpressure.RunnerState {
 	if e := s.entries[id]; e != nil {
 		return e.signalState
 	}
@@ -121,7 +121,7 @@
 }
 
 // IsLimited reports whether the runner sets a rate limit.
-func (s *Set) IsLimited(id string) bool { return s.SignalState(id).Limits() }
+func (s *Set) IsLimited(id string) bool { return s.SignalState(id).IsLimited() }
 
 // MergeSignals merges records that another router reports, and returns those to be passed
 // on to other routers.
--- a/internal/backend/signals_test.go
+++ b/internal/backend/signals_test.go
@@ -14,7 +14,7 @@
 // signals.
 func newSetWithSignals(signals backpressure.Signals) (*Set, Query) {
 	set, query := NewSet("z"), Query{Service: "s", Model: "m", Family: 7, SharedTokens: 100, PromptTokens: 150}
-	set.Permits().SetAlone()
+	set.Permits().SetStandalone()
 	for _, id := range []string{"a", "b"} {
 		set.Put(Runner{ID: id, Incarnation: 1, Service: "s", Zone: "z", Slots: 8, Models: []ModelVersion{{Name: "m", Version: 1}}})
 	}
@@ -39,7 +39,7 @@
 func TestRunnerSignalsAreRespected(t *testing.T) {
 	for name, signals := range map[string]backpressure.Signals{
 		"leaving": {Leaving: true},
-		"rest":    {Rest: time.Second},
+		"rest":    {Backoff: time.Second},
 		"limit":   {Limited: true, Rate: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 
 func TestRestAppliesOnlyToRequestingRouter(t *testing.T) {
 	g := NewWithT(t)
-	set, query := newSetWithSignals(backpressure.Signals{Rest: time.Second})
+	set, query := newSetWithSignals(backpressure.Signals{Backoff: time.Second})
 	g.Expect(query.Resting).To(Equal([]RestingRunner{{Runner: "a", Remaining: time.Second}}))
 	_, held := eligibleRunners(set, query)
 	g.Expect(held).To(Equal(placement.HeldBack{Resting: 1, RestWait: time.Second}))
@@ -108,7 +108,7 @@
 // Clients must not be told to retry later for a runner that is leaving.
 func TestLeavingRunnerIsNotHeldBack(t *testing.T) {
 	g := NewWithT(t)
-	set, query := newSetWithSignals(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Rest: time.Second})
+	set, query := newSetWithSignals(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Backoff: time.Second})
 	set.TakePermit(start, "a")
 	_, held := eligibleRunners(set, query)
 	g.Expect(held.Any()).To(BeFalse())
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -40,18 +40,18 @@
 
 // passOn reads a whole answer and passes it on. A failure of a repeatable
 // request is kept while another runner is tried.
-func (c *call) passOn(response *httpconn.Response) attempt.Next {
+func (c *call) passOn(response *httpconn.Response) attempt.Action {
 	c.firstAnswer()
 	body, more, err := response.Body.ReadAll(wholeAnswer)
 	if err != nil {
-		return c.spoilt(quarantine.Broken, "answer broke off: "+err.Error())
+		return c.spoilt(quarantine.ConnectionLost, "answer broke off: "+err.Error())
 	}
 	answer := &heldAnswer{status: response.Status, header: response.Header, body: body}
 	if response.Status >= http.StatusInternalServerError || isPromise(response.Status) {
 		return c.runnerFailed(answer)
 	}
-	c.end(backend.Succeeded, quarantine.Outlived, "", response.Status)
-	c.request.Accept()
+	c.end(backend.Succeeded, quarantine.Survived, "", response.Status)
+	c.request.MarkAccepted()
 	c.request.Finish(c.request.Attempt(), 0)
 	if more {
 		c.passOnLong(answer, response)
@@ -68,12 +68,12 @@
 }
 
 // runnerFailed takes a runner's own failure.
-func (c *call) runnerFailed(answer *heldAnswer) attempt.Next {
-	c.end(backend.Failed, quarantine.Unclear, "runner's failure", answer.status)
+func (c *call) runnerFailed(answer *heldAnswer) attempt.Action {
+	c.end(backend.Failed, quarantine.Indeterminate, "runner's failure", answer.status)
 	if answer.status != http.StatusServiceUnavailable && !isPromise(answer.status) {
 		c.failure = answer
 	}
-	return c.request.FailedAnswer()
+	return c.request.RunnerFailed()
 }
 
 // passOnLong relays the rest of a long answer; a break must look like one.
