--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -231,7 +231,7 @@
 	}
 	target.open[p.id] = p
 	target.model.Submit(enginemodel.Job{
-		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.Tokens(len(p.text)),
+		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.EstimateTokens(len(p.text)),
 		TotalTokens: p.request.MaxTokens, Priority: p.tier,
 	})
 	r.step(target)
@@ -266,10 +266,10 @@
 func (r *run) query(p *pending, family uint64) placement.Query {
 	query := placement.Query{
 		Request: placement.Request{
-			Model: r.settings.Deployment.Model, WeightVersion: p.version, PromptTokens: prefix.Tokens(len(p.text)),
+			Model: r.settings.Deployment.Model, WeightVersion: p.version, PromptTokens: prefix.EstimateTokens(len(p.text)),
 			MaxTokens: p.request.MaxTokens, Priority: p.tier, MaxWait: r.settings.MaxWait[p.tier],
 		},
-		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.Ticket(p.salt, p.text),
+		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.PromptDigest(p.salt, p.text),
 		Weights: placement.Weights{Hit: r.settings.Deployment.HitWeight},
 	}
 	for _, one := range r.runners {
--- a/internal/lab/engineserver/publisher.go
+++ b/internal/lab/engineserver/publisher.go
@@ -150,4 +150,4 @@
 	}
 }
 
-func promptTokens(entry *stream) int { return prefix.Tokens(len(entry.request.Prompt)) }
+func promptTokens(entry *stream) int { return prefix.EstimateTokens(len(entry.request.Prompt)) }
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -373,7 +373,7 @@
 		ID:           id,
 		Chain:        prefix.NewChain(prefix.Salt(body.CacheSalt), body.Prompt, body.BlockBytes),
 		BlockTokens:  body.BlockBytes / prefix.BytesPerToken,
-		PromptTokens: max(prefix.Tokens(len(body.Prompt))+body.GeneratedTokens, 1),
+		PromptTokens: max(prefix.EstimateTokens(len(body.Prompt))+body.GeneratedTokens, 1),
 		FirstToken:   body.GeneratedTokens,
 		TotalTokens:  total,
 		Priority:     body.Priority,
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -198,7 +198,7 @@
 func (x *execution) placeRequest() *wire.PlaceRequest {
 	return &wire.PlaceRequest{
 		Request: x.call.id, Pool: x.call.pool, Model: x.call.model, Adapter: x.call.adapter, WeightVersion: x.version,
-		Family: x.family, Anchors: x.anchors, Ticket: prefix.Ticket(x.salt, x.call.prompt),
+		Family: x.family, Anchors: x.anchors, Ticket: prefix.PromptDigest(x.salt, x.call.prompt),
 		PromptTokens: uint32(x.call.promptTokens + x.request.Offset()), MaxTokens: uint32(x.call.maxTokens),
 		Priority: uint32(x.call.tenant.Tier.Priority), MaxWaitMillis: uint32(x.node.maxWait(x.call).Milliseconds()),
 		Excluded: x.excluded(),
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -184,7 +184,7 @@
 	if c.prompt == "" {
 		return badRequest("prompt", "the prompt is empty")
 	}
-	c.promptTokens = prefix.Tokens(len(c.prompt))
+	c.promptTokens = prefix.EstimateTokens(len(c.prompt))
 	return nil
 }
 
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,9 +1,9 @@
-// Package prefix computes the chain of block hashes of a prompt.
+// Package prefix computes the hash chain of a prompt's cache blocks.
 //
-// Block i's hash covers the salt and all prompt bytes up to the end of block i,
-// so equal hashes mean equal prefixes under equal tenant, model, adapter and
-// weight version. The hashes are placement hints: the engine itself compares
-// the salt and the text, so a collision costs a hit and never correctness.
+// The hash of block i covers the salt and all prompt bytes up to the end of block i, so equal
+// hashes mean equal prefixes for the same tenant, model, adapter and weight version. The hashes
+// are only placement hints: the engine compares the salt and the text itself, so a collision can
+// cause a cache miss but never a wrong answer.
 package prefix
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is the assumed mean length of a token in bytes of prompt text.
-// The routers have no tokenizer; limits and costs are in these units.
+// BytesPerToken is the assumed mean number of prompt bytes per token. Routers have no tokenizer,
+// so limits and costs are expressed in tokens estimated this way.
 const BytesPerToken = 4
 
-// Scope is everything that must be equal for two prompts to share cache blocks.
+// Scope lists the properties that must match for two prompts to share cache blocks.
 type Scope struct {
 	Tenant        string
 	Model         string
@@ -26,41 +26,42 @@
 	WeightVersion string
 }
 
-// Salt is the digest of a Scope, in hex, as sent to engines.
+// Salt is the SHA-256 digest of a Scope in hex, as sent to engines.
 type Salt string
 
-// Salt returns the digest of the scope. Each field is length-prefixed so that
-// no two scopes share an encoding.
+// Salt returns the digest of the scope. Each field is length-prefixed, so that different scopes
+// never have the same encoding.
 func (s Scope) Salt() Salt {
 	digest := sha256.New()
-	var length [8]byte
+	var lengthPrefix [8]byte
 	for _, field := range []string{s.Tenant, s.Model, s.Adapter, s.WeightVersion} {
-		binary.LittleEndian.PutUint64(length[:], uint64(len(field)))
-		digest.Write(length[:])
+		binary.LittleEndian.PutUint64(lengthPrefix[:], uint64(len(field)))
+		digest.Write(lengthPrefix[:])
 		digest.Write([]byte(field))
 	}
 	return Salt(hex.EncodeToString(digest.Sum(nil)))
 }
 
-// Chain holds the hashes of the full blocks of a prompt, first block first.
+// Chain holds the hashes of a prompt's full blocks, starting with the first block.
 type Chain []uint64
 
-// NewChain hashes the full blocks of prompt; a trailing part block is left out.
+// NewChain hashes the full blocks of prompt. A trailing partial block is ignored.
 func NewChain(salt Salt, prompt string, blockBytes int) Chain {
 	chain := make(Chain, 0, len(prompt)/blockBytes)
 	parent := xxhash.Sum64String(string(salt))
-	buffer := make([]byte, 8+blockBytes)
+	input := make([]byte, 8+blockBytes)
 	for start := 0; start+blockBytes <= len(prompt); start += blockBytes {
-		binary.LittleEndian.PutUint64(buffer, parent)
-		copy(buffer[8:], prompt[start:start+blockBytes])
-		parent = xxhash.Sum64(buffer)
+		binary.LittleEndian.PutUint64(input, parent)
+		copy(input[8:], prompt[start:start+blockBytes])
+		parent = xxhash.Sum64(input)
 		chain = append(chain, parent)
 	}
 	return chain
 }
 
-// Family returns the hash that assigns the prompt to an index shard: that of
-// its first block, or of the salt when the prompt has no full block.
+// Family returns the hash that selects the index shard of the prompt. It is the hash of the first
+// block, or the hash of the salt if the prompt has no full block. Prompts of the same salt that
+// start with the same block belong to the same family.
 func (c Chain) Family(salt Salt) uint64 {
 	if len(c) == 0 {
 		return xxhash.Sum64String(string(salt))
@@ -68,20 +69,21 @@
 	return c[0]
 }
 
-// Ticket names a whole prompt under its salt.
-func Ticket(salt Salt, prompt string) uint64 {
+// PromptDigest returns a hash of the salt and the whole prompt. It identifies a refused request
+// when the client retries it.
+func PromptDigest(salt Salt, prompt string) uint64 {
 	digest := xxhash.New()
-	// Writes to a digest do not fail.
+	// Writes to an xxhash digest never fail.
 	_, _ = digest.WriteString(string(salt))
 	_, _ = digest.WriteString(prompt)
 	return digest.Sum64()
 }
 
-// IsAnchor tells whether the block at depth (1 for the first) is indexed at the stride.
-// The first block is always an anchor, so that every family can be found.
+// IsAnchor reports whether the block at depth, counted from 1, is indexed at the given stride. The
+// first block is always an anchor, so that the index can find every family.
 func IsAnchor(depth, stride int) bool { return depth == 1 || depth%stride == 0 }
 
-// Anchors returns the hashes of the indexed blocks with their depths.
+// Anchors returns the indexed blocks of the chain with their depths.
 func (c Chain) Anchors(stride int) []Anchor {
 	anchors := make([]Anchor, 0, len(c)/stride+1)
 	for i, hash := range c {
@@ -95,9 +97,9 @@
 // Anchor is one indexed block of a chain.
 type Anchor struct {
 	Hash uint64
-	// Depth is the number of blocks from the start of the prompt to the end of this one.
+	// Depth is the number of blocks from the start of the prompt up to and including this one.
 	Depth int
 }
 
-// Tokens returns the number of tokens that a text of the given length in bytes counts as.
-func Tokens(bytes int) int { return (bytes + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens returns the assumed number of tokens in a text of byteCount bytes, rounded up.
+func EstimateTokens(byteCount int) int { return (byteCount + BytesPerToken - 1) / BytesPerToken }
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -7,18 +7,18 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestChainsShareExactlyTheSharedPrefix(t *testing.T) {
+func TestChainsShareHashesOfCommonPrefixOnly(t *testing.T) {
 	g := NewWithT(t)
 	shared := strings.Repeat("a", 256)
-	one := NewChain("salt", shared+strings.Repeat("b", 128), 64)
-	two := NewChain("salt", shared+strings.Repeat("c", 128), 64)
-	g.Expect(one).To(HaveLen(6))
-	g.Expect(one[:4]).To(Equal(two[:4]))
-	g.Expect(one[4]).NotTo(Equal(two[4]))
-	g.Expect(one[5]).NotTo(Equal(two[5]))
+	first := NewChain("salt", shared+strings.Repeat("b", 128), 64)
+	second := NewChain("salt", shared+strings.Repeat("c", 128), 64)
+	g.Expect(first).To(HaveLen(6))
+	g.Expect(first[:4]).To(Equal(second[:4]))
+	g.Expect(first[4]).NotTo(Equal(second[4]))
+	g.Expect(first[5]).NotTo(Equal(second[5]))
 }
 
-func TestEveryFieldOfTheScopeChangesTheSalt(t *testing.T) {
+func TestSaltDependsOnEveryScopeField(t *testing.T) {
 	g := NewWithT(t)
 	base := Scope{"t", "m", "a", "v"}
 	for _, other := range []Scope{{"x", "m", "a", "v"}, {"t", "x", "a", "v"}, {"t", "m", "x", "v"}, {"t", "m", "a", "x"}, {"tm", "", "a", "v"}, {"t", "ma", "", "v"}} {
@@ -27,7 +27,7 @@
 	g.Expect(NewChain(base.Salt(), strings.Repeat("a", 64), 64)).NotTo(Equal(NewChain(Scope{"x", "m", "a", "v"}.Salt(), strings.Repeat("a", 64), 64)))
 }
 
-func TestAnchorsKeepTheFirstBlock(t *testing.T) {
+func TestAnchorsIncludeFirstBlock(t *testing.T) {
 	g := NewWithT(t)
 	chain := NewChain("s", strings.Repeat("a", 64*10), 64)
 	var depths []int
