--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -116,14 +116,14 @@
 		cached := cachedTokens(query, e.ID == home, depth)
 		candidates = append(candidates, placement.Candidate{
 			Name: e.ID, Leaving: e.leaves(), Report: s.report(now, e, query.Model, speed),
-			CachedTokens:    cached,
-			FetchableTokens: max(deepest-cached, 0),
-			PendingTokens:   e.pendingTokens + other.Tokens + speed.tokensIn(queue),
-			PendingRequests: e.inFlight + other.Requests,
-			ExtraTokens:     cost + s.evidenceCost(now, e, zone) + speed.tokensIn(slowness),
-			Pauses:          e.pauses(other),
-			ApartTokens:     split.cost(e) + e.suspectCost(query, other),
-			First:           e.said.Limits() && query.Suspect == 0 && s.permits.Unused(now, e.start()),
+			CachedTokens:            cached,
+			FetchableTokens:         max(deepest-cached, 0),
+			PendingTokens:           e.pendingTokens + other.Tokens + speed.tokensIn(queue),
+			PendingRequests:         e.inFlight + other.Requests,
+			PenaltyTokens:           cost + s.evidenceCost(now, e, zone) + speed.tokensIn(slowness),
+			StreamLoad:              e.pauses(other),
+			SeparationPenaltyTokens: split.cost(e) + e.suspectCost(query, other),
+			PickFirst:               e.said.Limits() && query.Suspect == 0 && s.permits.Unused(now, e.start()),
 		})
 	}
 	if query.EventGap > 0 {
--- a/internal/backend/nextupdates_test.go
+++ b/internal/backend/nextupdates_test.go
@@ -18,7 +18,7 @@
 	avoided := func(now time.Time) (ids []string) {
 		_, candidates := set.Candidates(now, Query{Service: "s", Model: "m", PromptTokens: 10})
 		for _, candidate := range candidates {
-			if candidate.ExtraTokens >= updatingCost {
+			if candidate.PenaltyTokens >= updatingCost {
 				ids = append(ids, candidate.Name)
 			}
 		}
--- a/internal/backend/pauses.go
+++ b/internal/backend/pauses.go
@@ -31,14 +31,14 @@
 
 // pauses returns the streams at the runner and what is read there, those of other
 // routers included. Requests that wait for slots are read one by one as slots come free.
-func (e *entry) pauses(other Load) placement.Pauses {
+func (e *entry) pauses(other Load) placement.StreamLoad {
 	count := e.streams.count + other.Streams
 	if count <= 0 {
-		return placement.Pauses{}
+		return placement.StreamLoad{}
 	}
-	pauses := placement.Pauses{Streams: count, Gap: (e.streams.gaps + other.Gaps) / time.Duration(count)}
+	pauses := placement.StreamLoad{Streams: count, AllowedPause: (e.streams.gaps + other.Gaps) / time.Duration(count)}
 	if e.inFlight+other.Requests < e.Slots {
-		pauses.Reading = e.pendingTokens + other.Tokens
+		pauses.PrefillTokens = e.pendingTokens + other.Tokens
 	}
 	return pauses
 }
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -89,7 +89,7 @@
 	set.Weights().Name("m", 2, Deadlines{Old: start.Add(time.Second), Expired: start.Add(time.Minute)})
 	cost := func(now time.Time) int {
 		_, candidates := set.Candidates(now, Query{Service: "s", Model: "m"})
-		return candidates[2].ExtraTokens // of c, as a is the next to be updated
+		return candidates[2].PenaltyTokens // of c, as a is the next to be updated
 	}
 	g.Expect(cost(start)).To(BeZero())
 	g.Expect(cost(start.Add(time.Second))).To(Equal(oldWeightsCost))
@@ -144,8 +144,8 @@
 	set.End(start, set.Begin(start, "a", 0), Failed)
 	_, before := set.Candidates(start, Query{Service: "s"})
 	_, after := set.Candidates(start.Add(10*failureHalfLife), Query{Service: "s"})
-	g.Expect(before[0].ExtraTokens).To(BeNumerically(">", 5000))
-	g.Expect(after[0].ExtraTokens).To(BeNumerically("<", 20))
+	g.Expect(before[0].PenaltyTokens).To(BeNumerically(">", 5000))
+	g.Expect(after[0].PenaltyTokens).To(BeNumerically("<", 20))
 }
 
 // Whatever is reported about runners, a service whose directory lists a runner
@@ -170,7 +170,7 @@
 			}
 			set.End(now, send, outcome)
 			request, candidates := set.Candidates(now, Query{Service: "s", Model: "m", PromptTokens: 500})
-			pick := placement.Choose(request, candidates, placement.Weights{Hit: 1}, testRandom())
+			pick := placement.Choose(request, candidates, placement.ScoreWeights{Hit: 1}, testRandom())
 			if pick.Status != placement.Picked {
 				t.Fatalf("no runner is picked: %v", pick.Status)
 			}
--- a/internal/backend/split_test.go
+++ b/internal/backend/split_test.go
@@ -78,7 +78,7 @@
 		for _, c := range candidates {
 			if c.CachedTokens == query.SharedTokens {
 				homes++
-				g.Expect(c.ApartTokens).To(BeZero())
+				g.Expect(c.SeparationPenaltyTokens).To(BeZero())
 				g.Expect(split.suits(set.entries[c.Name])).To(BeTrue())
 			}
 		}
@@ -95,8 +95,8 @@
 	g.Expect(forLong).To(HaveLen(splitRunners))
 	dear := 0
 	for i := range forLong {
-		g.Expect(forLong[i].ApartTokens == 0).NotTo(Equal(forShort[i].ApartTokens == 0))
-		if forLong[i].ApartTokens > 0 {
+		g.Expect(forLong[i].SeparationPenaltyTokens == 0).NotTo(Equal(forShort[i].SeparationPenaltyTokens == 0))
+		if forLong[i].SeparationPenaltyTokens > 0 {
 			dear++
 		}
 	}
@@ -118,7 +118,7 @@
 	set, other := splitSet(), splitSet()
 	pauses := func(s *Set) (streams int, gap time.Duration) {
 		_, candidates := s.Candidates(start, shortQuery())
-		return candidates[0].Pauses.Streams, candidates[0].Pauses.Gap
+		return candidates[0].StreamLoad.Streams, candidates[0].StreamLoad.AllowedPause
 	}
 	for _, outcome := range []Outcome{Answered, Failed, Abandoned, NotConfirmed} {
 		send := set.BeginQuery(start, "i-00", 800, shortQuery())
@@ -150,7 +150,7 @@
 		set.Candidates(now, shortQuery()) // counts the slots for the next choice
 		_, candidates := set.Candidates(now, shortQuery())
 		for _, c := range candidates {
-			most = max(most, c.ApartTokens)
+			most = max(most, c.SeparationPenaltyTokens)
 		}
 		return most
 	}
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -39,9 +39,9 @@
 		return chosen, limit, false
 	}
 	refused := chosen.Status == placement.Overloaded
-	forShare = refused && chosen.Queueing <= limit.Unshared
+	forShare = refused && chosen.QueueWait <= limit.Unshared
 	g.shares.noteChoice(now, query, chosen, forShare)
-	after := g.order.Decided(now, demand, chosen.Queueing, refused, max(chosen.RetryAfter, busyRetryAfter))
+	after := g.order.Decided(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case forShare:
 		// A caller that comes back before its tenant's use has faded is refused again.
@@ -74,7 +74,7 @@
 
 // noteLimit keeps and counts what was decided about the call's queueing.
 func (c *call) noteLimit(chosen placement.Pick) {
-	c.queueing = chosen.Queueing
+	c.queueing = chosen.QueueWait
 	if c.query.MaxQueue > 0 {
 		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.limit)
 	}
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -203,7 +203,7 @@
 	g.shares.hear(now, c.query, choice.limit.Excess)
 	c.limit, c.forShare = choice.limit, choice.forShare
 	if choice.refused {
-		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, Queueing: choice.queueing}, true
+		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueing}, true
 	}
 	if choice.heldBack {
 		return placement.Pick{Status: placement.AllHeldBack, RetryAfter: choice.retryAfter}, true
@@ -217,7 +217,7 @@
 		return placement.Pick{}, false
 	}
 	c.placed = choice
-	return placement.Pick{Status: placement.Picked, Wait: choice.wait, Queueing: choice.queueing, Candidate: placement.Candidate{
+	return placement.Pick{Status: placement.Picked, Wait: choice.wait, QueueWait: choice.queueing, Candidate: placement.Candidate{
 		Name: choice.runner, CachedTokens: choice.cachedTokens, PendingRequests: choice.pendingRequests,
 	}}, true
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -27,7 +27,7 @@
 const runnerSilence = time.Second
 
 // placementWeights are the weights of all choices of a runner.
-var placementWeights = placement.Weights{Hit: 1, Fetch: fetchCost}
+var placementWeights = placement.ScoreWeights{Hit: 1, Fetch: fetchCost}
 
 // pick chooses the runner of the next attempt, or says why there is none.
 func (c *call) pick() (backend.Runner, *refusal) {
@@ -73,7 +73,7 @@
 	c.note(events.RequestSent, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "attempt": c.request.Attempt() + 1, "weights": c.weights,
 		"expected_wait_ms": chosen.Wait.Milliseconds(), "cached_tokens": chosen.Candidate.CachedTokens, "prompt_tokens": query.PromptTokens,
-		"placed_by": placedBy, "in_flight": chosen.Candidate.PendingRequests, "streams": chosen.Candidate.Streams, "queue_ms": chosen.Queueing.Milliseconds(), "excess": c.limit.Excess,
+		"placed_by": placedBy, "in_flight": chosen.Candidate.PendingRequests, "streams": chosen.Candidate.Streams, "queue_ms": chosen.QueueWait.Milliseconds(), "excess": c.limit.Excess,
 		"permitted": c.permit.Valid(now), "content": c.content.String(), "directory": storerev.Revision(g.directoryRevision.Load()).Number(), "directory_age_ms": g.copies.ageMillis(now, RunnerObjects), "weights_age_ms": g.copies.ageMillis(now, WeightObjects),
 	})
 	c.beginSend(now, runner, max(query.PromptTokens-chosen.Candidate.CachedTokens, 0))
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -280,7 +280,7 @@
 func (x *execution) eject() {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	x.node.ejector.Fail(time.Now(), x.request.Runner(), x.incarnation)
+	x.node.ejector.RecordFailure(time.Now(), x.request.Runner(), x.incarnation)
 }
 
 func (x *execution) reportRejection(draining bool) {
@@ -323,7 +323,7 @@
 		x.cached = start.CachedTokens
 	}
 	x.node.admissionMutex.Lock()
-	x.node.ejector.Succeed(x.request.Runner())
+	x.node.ejector.RecordSuccess(x.request.Runner())
 	x.node.admissionMutex.Unlock()
 	x.node.metrics.prompt(x.call.promptTokens, start.CachedTokens)
 	x.node.sendPlaceResult(&wire.PlaceResult{
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -7,19 +7,19 @@
 	"github.com/clovertiller/clovertiller/internal/fleet"
 )
 
-// Choose picks the runner with the lowest score; near ties are drawn by random,
-// so that several nodes with the same lagging reports do not all choose one runner.
-func Choose(request Request, candidates []Candidate, weights Weights, random *rand.Rand) Pick {
-	if first := slices.IndexFunc(candidates, func(c Candidate) bool { return c.First }); first >= 0 {
-		if pick := chooseAmong(request, candidates[first:first+1], weights, random); pick.Status == Picked {
+// Choose picks the runner with the lowest score. Near ties are broken at random, so that several
+// routers that see the same outdated reports do not all choose the same runner.
+func Choose(request Request, candidates []Candidate, weights ScoreWeights, random *rand.Rand) Pick {
+	if preferred := slices.IndexFunc(candidates, func(c Candidate) bool { return c.PickFirst }); preferred >= 0 {
+		if pick := chooseWithinMaxWait(request, candidates[preferred:preferred+1], weights, random); pick.Status == Picked {
 			return pick
 		}
 	}
-	pick := chooseAmong(request, candidates, weights, random)
+	pick := chooseWithinMaxWait(request, candidates, weights, random)
 	if pick.Status == NoRunner && len(request.Excluded) > 0 {
 		// A runner that failed before is better than none.
 		request.Excluded = nil
-		pick = chooseAmong(request, candidates, weights, random)
+		pick = chooseWithinMaxWait(request, candidates, weights, random)
 	}
 	if pick.Status == NoRunner && request.HeldBack.Any() {
 		return Pick{Status: AllHeldBack}
@@ -27,67 +27,68 @@
 	return pick
 }
 
-// chooseAmong picks the best runner. The request is refused only when it would queue
-// for too long at all of them, not where a better one has the longer queue.
-func chooseAmong(request Request, candidates []Candidate, weights Weights, random *rand.Rand) Pick {
+// chooseWithinMaxWait picks the best runner. If the request would queue for too long there, it
+// picks the best one whose queue is short enough, so that the request is refused only if all
+// queues are too long.
+func chooseWithinMaxWait(request Request, candidates []Candidate, weights ScoreWeights, random *rand.Rand) Pick {
 	pick := pickBest(request, candidates, weights, random, admissible)
 	if pick.Status != Overloaded {
 		return pick
 	}
-	if inTime := pickBest(request, candidates, weights, random, admissibleInTime); inTime.Status == Picked {
-		return inTime
+	if withinMaxWait := pickBest(request, candidates, weights, random, admissibleWithinMaxWait); withinMaxWait.Status == Picked {
+		return withinMaxWait
 	}
 	return pick
 }
 
-// admissibleInTime tells whether the runner may serve the request after a queue that is
-// not too long.
-func admissibleInTime(request Request, candidate Candidate) bool {
-	queue := queueCost(request, candidate, Weights{}) + sequenceCost(request, candidate, Weights{})
-	return queue <= request.MaxWait.Seconds()*float64(rateOf(candidate.Report.Load)) && admissible(request, candidate)
+// admissibleWithinMaxWait reports whether the runner may serve the request and its expected
+// queueing time is at most the request's MaxWait.
+func admissibleWithinMaxWait(request Request, candidate Candidate) bool {
+	queue := queueCost(request, candidate, ScoreWeights{}) + sequenceCost(request, candidate, ScoreWeights{})
+	return queue <= request.MaxWait.Seconds()*float64(prefillRate(candidate.Report.Load)) && admissible(request, candidate)
 }
 
-func pickBest(request Request, candidates []Candidate, weights Weights, random *rand.Rand, usable Filter) Pick {
-	best := -1.0
+func pickBest(request Request, candidates []Candidate, weights ScoreWeights, random *rand.Rand, eligible Filter) Pick {
+	lowest := -1.0
 	scores := make([]float64, len(candidates))
 	for i, candidate := range candidates {
 		scores[i] = -1
-		if !usable(request, candidate) {
+		if !eligible(request, candidate) {
 			continue
 		}
 		scores[i] = score(request, candidate, weights)
-		if best < 0 || scores[i] < best {
-			best = scores[i]
+		if lowest < 0 || scores[i] < lowest {
+			lowest = scores[i]
 		}
 	}
-	if best < 0 {
-		return Pick{Status: NoRunner, RetryAfter: noRunnerRetry}
+	if lowest < 0 {
+		return Pick{Status: NoRunner, RetryAfter: noRunnerRetryAfter}
 	}
-	chosen, near := -1, 0
-	for i, value := range scores {
-		if value < 0 || value > best*(1+tieShare) {
+	chosen, ties := -1, 0
+	for i, candidateScore := range scores {
+		if candidateScore < 0 || candidateScore > lowest*(1+tieTolerance) {
 			continue
 		}
-		near++
-		if random.IntN(near) == 0 {
+		ties++
+		if random.IntN(ties) == 0 {
 			chosen = i
 		}
 	}
-	return admit(request, candidates[chosen])
+	return enforceMaxWait(request, candidates[chosen])
 }
 
-// admit refuses at once what would wait longer than its tier allows. The
-// prompt's own computing is not counted: no other runner would save it.
-func admit(request Request, candidate Candidate) Pick {
-	pick := Pick{Status: Picked, Candidate: candidate, Wait: waitOf(request, candidate)}
+// enforceMaxWait refuses a request whose expected queueing time exceeds the limit of its tier. The
+// time to compute the prompt itself is not counted, because no other runner would save it.
+func enforceMaxWait(request Request, candidate Candidate) Pick {
+	pick := Pick{Status: Picked, Candidate: candidate, Wait: expectedWait(request, candidate)}
 	idle := candidate
 	idle.PendingTokens, idle.PendingRequests = 0, 0
 	idle.Report.Load = fleet.Load{PrefillRate: candidate.Report.Load.PrefillRate, MaxRunning: candidate.Report.Load.MaxRunning}
-	queueing := pick.Wait - waitOf(request, idle)
-	pick.Queueing = queueing
-	if request.MaxWait > 0 && queueing > request.MaxWait {
+	queueWait := pick.Wait - expectedWait(request, idle)
+	pick.QueueWait = queueWait
+	if request.MaxWait > 0 && queueWait > request.MaxWait {
 		pick.Status = Overloaded
-		pick.RetryAfter = queueing - request.MaxWait/2
+		pick.RetryAfter = queueWait - request.MaxWait/2
 	}
 	return pick
 }
--- a/internal/placement/ejector.go
+++ b/internal/placement/ejector.go
@@ -4,49 +4,49 @@
 	"time"
 )
 
-// Times of ejection.
+// Bounds of an ejection's duration.
 const (
-	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
 )
 
-// ejection is the evidence against one runner process.
+// ejection records the consecutive failures of one runner process.
 type ejection struct {
-	incarnation uint64
-	failures    int
-	until       time.Time
+	incarnation  uint64
+	failures     int
+	ejectedUntil time.Time
 }
 
-// Ejector keeps runners that failed this node's own requests out of placement
-// for a while: longer each time, and until one success. A new incarnation
-// starts clean. It is not safe for concurrent use.
+// Ejector excludes runners that failed this router's own requests from placement for a while. The
+// duration doubles with each failure up to maxEjection and is reset by one success. A new
+// incarnation of a runner starts without failures. It is not safe for concurrent use.
 type Ejector struct {
 	runners map[string]*ejection
 }
 
-// NewEjector returns an ejector without evidence.
+// NewEjector returns an Ejector without recorded failures.
 func NewEjector() *Ejector { return &Ejector{runners: map[string]*ejection{}} }
 
-// Fail notes a lost or refused connection.
-func (e *Ejector) Fail(now time.Time, runner string, incarnation uint64) {
-	known := e.runners[runner]
-	if known == nil || known.incarnation != incarnation {
-		known = &ejection{incarnation: incarnation}
-		e.runners[runner] = known
+// RecordFailure records a lost or refused connection to the runner and ejects it.
+func (e *Ejector) RecordFailure(now time.Time, runner string, incarnation uint64) {
+	current := e.runners[runner]
+	if current == nil || current.incarnation != incarnation {
+		current = &ejection{incarnation: incarnation}
+		e.runners[runner] = current
 	}
-	pause := min(firstEjection<<min(known.failures, 10), maxEjection)
-	known.failures++
-	known.until = now.Add(pause)
+	duration := min(minEjection<<min(current.failures, 10), maxEjection)
+	current.failures++
+	current.ejectedUntil = now.Add(duration)
 }
 
-// Succeed clears the evidence against a runner.
-func (e *Ejector) Succeed(runner string) { delete(e.runners, runner) }
+// RecordSuccess clears the failures of the runner.
+func (e *Ejector) RecordSuccess(runner string) { delete(e.runners, runner) }
 
-// Ejected returns the runners to leave out now.
+// Ejected returns the names of the runners that are ejected at now.
 func (e *Ejector) Ejected(now time.Time) []string {
 	var names []string
-	for name, known := range e.runners {
-		if now.Before(known.until) {
+	for name, ejected := range e.runners {
+		if now.Before(ejected.ejectedUntil) {
 			names = append(names, name)
 		}
 	}
--- a/internal/placement/interference.go
+++ b/internal/placement/interference.go
@@ -2,37 +2,40 @@
 
 import "time"
 
-// interference is what a choice does to others and others to it beyond its wait, in
-// prompt tokens: the pause that its reading puts on the streams that run at the runner,
-// and what the caller of Choose holds against mixing it with the work there. It is no
-// part of the expected wait, and nobody is refused for it.
+// interferenceCost returns the cost, in prompt tokens, of the mutual effects of the request and
+// the other work on the runner beyond the expected wait: the pauses that the request's prefill
+// causes in running streams, and the caller's penalty for mixing kinds of requests. It is not part
+// of the expected wait, and no request is refused because of it.
 //
-// An engine reads a prompt in pieces between the steps of all its streams. A stream is
-// late once a pause is longer than it allows, whatever comes after, so that little
-// reading harms nobody and the harm of each further piece is larger.
-func interference(r Request, c Candidate, w Weights) float64 {
-	cost := float64(c.ApartTokens)
-	if c.Streams <= 0 || c.Pauses.Gap <= 0 {
+// An engine prefills a prompt in chunks between the decoding steps of its streams. A stream is
+// late as soon as one pause exceeds what it allows, so a small prefill does no harm and the harm
+// of each further chunk grows.
+func interferenceCost(r Request, c Candidate, w ScoreWeights) float64 {
+	cost := float64(c.SeparationPenaltyTokens)
+	if c.Streams <= 0 || c.StreamLoad.AllowedPause <= 0 {
 		return cost
 	}
-	allowed := c.Pauses.Gap.Seconds() * float64(rateOf(c.Report.Load))
-	before := float64(c.Reading)
-	after := before + uncachedCost(r, c, Weights{Hit: 1, Fetch: w.Fetch})
-	return cost + float64(c.Streams)*allowed*(pauseHarm(after/allowed)-pauseHarm(before/allowed))
+	allowedTokens := c.StreamLoad.AllowedPause.Seconds() * float64(prefillRate(c.Report.Load))
+	before := float64(c.PrefillTokens)
+	after := before + uncachedCost(r, c, ScoreWeights{Hit: 1, Fetch: w.Fetch})
+	return cost + float64(c.Streams)*allowedTokens*(pausePenalty(after/allowedTokens)-pausePenalty(before/allowedTokens))
 }
 
-// pauseHarm is the expected share of a stream that is lost to a pause, by the share of
-// the allowed pause that reading takes: all of it when nothing is left for the steps.
-func pauseHarm(share float64) float64 {
+// pausePenalty returns the expected share of a stream that is lost to a pause. The argument is the
+// share of the allowed pause that prefill takes; the whole stream counts as lost when no time is
+// left for decoding steps.
+func pausePenalty(share float64) float64 {
 	share = min(max(share, 0), 1)
 	return share * share * share * share
 }
 
-// Pauses is the streams that run at a runner and bear its reading.
-type Pauses struct {
-	// Streams counts those that have begun, and Gap is the mean pause that they allow.
-	Streams int
-	Gap     time.Duration
-	// Reading is the prompt tokens that are read there beside the request's own ones.
-	Reading int
+// StreamLoad describes the streams running on a runner and the prefill that pauses them.
+type StreamLoad struct {
+	// Streams is the number of streams that have begun. AllowedPause is the mean pause that they
+	// tolerate.
+	Streams      int
+	AllowedPause time.Duration
+	// PrefillTokens is the number of prompt tokens being prefilled on the runner, without those of
+	// the request to be placed.
+	PrefillTokens int
 }
--- a/internal/placement/interference_test.go
+++ b/internal/placement/interference_test.go
@@ -7,76 +7,78 @@
 	. "github.com/onsi/gomega"
 )
 
-// Pattern: long prompts and streams of short ones share a pool; each step of a stream
-// waits for the pieces that are read. Callers allow pauses of 300 ms.
+// allowedPause is the pause that clients tolerate. The tests place long prompts on a pool that
+// also serves streams with short prompts, where each decoding step waits for the prompt chunks
+// prefilled before it.
 const allowedPause = 300 * time.Millisecond
 
 func longRequest() Request {
 	long := request
-	long.PromptTokens, long.MaxWait = 2500, 0 // a quarter of a second at 10,000 tokens a second
+	long.PromptTokens, long.MaxWait = 2500, 0 // 250 ms of prefill at 10,000 tokens per second
 	return long
 }
 
-func TestLongReadGoesWhereFewStreamsWaitForIt(t *testing.T) {
+func TestLongPromptAvoidsRunnerWithManyStreams(t *testing.T) {
 	g := NewWithT(t)
-	streaming, waiting := candidate("streaming"), candidate("waiting")
-	streaming.Pauses = Pauses{Streams: 4, Gap: allowedPause}
-	waiting.Report.Load.QueuedTokens[0] = 2000
-	g.Expect(choose(longRequest(), streaming, waiting).Candidate.Name).To(Equal("waiting"))
-	streaming.Pauses.Streams = 0
-	g.Expect(choose(longRequest(), streaming, waiting).Candidate.Name).To(Equal("streaming"))
+	streaming, queued := candidate("streaming"), candidate("queued")
+	streaming.StreamLoad = StreamLoad{Streams: 4, AllowedPause: allowedPause}
+	queued.Report.Load.QueuedTokens[0] = 2000
+	g.Expect(choose(longRequest(), streaming, queued).Candidate.Name).To(Equal("queued"))
+	streaming.StreamLoad.Streams = 0
+	g.Expect(choose(longRequest(), streaming, queued).Candidate.Name).To(Equal("streaming"))
 }
 
-func TestShortReadHardlyMindsStreams(t *testing.T) {
+func TestShortPromptIsHardlyAffectedByStreams(t *testing.T) {
 	g := NewWithT(t)
-	streaming, waiting := candidate("streaming"), candidate("waiting")
-	streaming.Pauses = Pauses{Streams: 4, Gap: allowedPause}
-	waiting.Report.Load.QueuedTokens[0] = 200
+	streaming, queued := candidate("streaming"), candidate("queued")
+	streaming.StreamLoad = StreamLoad{Streams: 4, AllowedPause: allowedPause}
+	queued.Report.Load.QueuedTokens[0] = 200
 	short := request
 	short.PromptTokens = 100
-	g.Expect(choose(short, streaming, waiting).Candidate.Name).To(Equal("streaming"))
+	g.Expect(choose(short, streaming, queued).Candidate.Name).To(Equal("streaming"))
 }
 
-func TestHarmOfReadingGrowsWithWhatIsReadThere(t *testing.T) {
+func TestInterferenceGrowsWithConcurrentPrefill(t *testing.T) {
 	g := NewWithT(t)
 	idle, reading := candidate("idle"), candidate("reading")
 	for _, c := range []*Candidate{&idle, &reading} {
-		c.Pauses = Pauses{Streams: 1, Gap: allowedPause}
+		c.StreamLoad = StreamLoad{Streams: 1, AllowedPause: allowedPause}
 	}
-	reading.Pauses.Reading = 1000
+	reading.StreamLoad.PrefillTokens = 1000
 	r := longRequest()
 	r.PromptTokens = 1000
-	g.Expect(interference(r, reading, Weights{Hit: 1})).To(BeNumerically(">", 2*interference(r, idle, Weights{Hit: 1})))
+	g.Expect(interferenceCost(r, reading, ScoreWeights{Hit: 1})).To(BeNumerically(">", 2*interferenceCost(r, idle, ScoreWeights{Hit: 1})))
 }
 
-func TestPausesArePartOfTheChoiceAndNotOfTheWait(t *testing.T) {
+func TestInterferenceAffectsScoreButNotExpectedWait(t *testing.T) {
 	g := NewWithT(t)
 	r := longRequest()
 	r.MaxWait = 10 * time.Millisecond
 	alone, shared := candidate("alone"), candidate("shared")
-	shared.Pauses, shared.ApartTokens = Pauses{Streams: 30, Gap: allowedPause}, 50000
+	shared.StreamLoad, shared.SeparationPenaltyTokens = StreamLoad{Streams: 30, AllowedPause: allowedPause}, 50000
 	pick := choose(r, shared)
-	g.Expect(pick.Status).To(Equal(Picked), "nobody is refused for the pauses of others")
+	g.Expect(pick.Status).To(Equal(Picked), "interference never causes a refusal")
 	g.Expect(pick.Wait).To(Equal(choose(r, alone).Wait))
 }
 
-func TestWithoutStreamsOrAllowedPauseNothingIsWeighed(t *testing.T) {
+func TestInterferenceIsZeroWithoutStreamsOrAllowedPause(t *testing.T) {
 	g := NewWithT(t)
 	unbounded, none := candidate("unbounded"), candidate("none")
-	unbounded.Pauses = Pauses{Streams: 30}
-	none.Pauses = Pauses{Gap: allowedPause}
-	g.Expect(interference(longRequest(), unbounded, Weights{Hit: 1})).To(BeZero())
-	g.Expect(interference(longRequest(), none, Weights{Hit: 1})).To(BeZero())
+	unbounded.StreamLoad = StreamLoad{Streams: 30}
+	none.StreamLoad = StreamLoad{AllowedPause: allowedPause}
+	g.Expect(interferenceCost(longRequest(), unbounded, ScoreWeights{Hit: 1})).To(BeZero())
+	g.Expect(interferenceCost(longRequest(), none, ScoreWeights{Hit: 1})).To(BeZero())
 }
 
-func TestRefusedOnlyWhenTheQueueIsTooLongEverywhere(t *testing.T) {
+func TestRequestIsRefusedOnlyWhenAllQueuesAreTooLong(t *testing.T) {
 	g := NewWithT(t)
 	r := longRequest()
 	r.MaxWait = 100 * time.Millisecond
-	// The one keeps the whole prompt behind a queue of 150 ms, the other has none of it.
+	// The holder has the whole prompt cached behind a queue of 150 ms. The other runner has none
+	// of it cached.
 	holder, streaming := candidate("holder"), candidate("streaming")
 	holder.CachedTokens, holder.PendingTokens = r.PromptTokens, 1500
-	streaming.Pauses = Pauses{Streams: 8, Gap: allowedPause}
+	streaming.StreamLoad = StreamLoad{Streams: 8, AllowedPause: allowedPause}
 	pick := choose(r, holder, streaming)
 	g.Expect(pick.Status).To(Equal(Picked))
 	g.Expect(pick.Candidate.Name).To(Equal("streaming"))
--- a/internal/placement/pending.go
+++ b/internal/placement/pending.go
@@ -6,61 +6,61 @@
 	"github.com/clovertiller/clovertiller/internal/fleet"
 )
 
-// pendingEntry is one placement that the load report does not show yet.
-type pendingEntry struct {
-	placed time.Time
-	class  int
-	tokens int
+// pendingPlacement is one placement that the runner's load report does not include yet.
+type pendingPlacement struct {
+	placedAt time.Time
+	class    int
+	tokens   int
 }
 
-// maxPendingAge bounds how long a placement is remembered for a runner whose
-// load is not heard of.
+// maxPendingAge bounds how long a placement is kept for a runner that sends no load reports.
 const maxPendingAge = 2 * time.Second
 
-// Pending remembers recent placements until the runners' lagging load reports
-// show them. It is not safe for concurrent use.
-type Pending struct {
-	// transit is how long a placed request is on its way to the engine.
-	transit time.Duration
-	entries map[string][]pendingEntry
+// PendingPlacements keeps recent placements until the runners' delayed load reports include them.
+// It is not safe for concurrent use.
+type PendingPlacements struct {
+	// transitTime is how long a placed request takes to reach the engine.
+	transitTime time.Duration
+	entries     map[string][]pendingPlacement
 }
 
-// NewPending returns an empty memory. A load as of some moment shows the
-// placements made up to the transit time before it.
-func NewPending(transit time.Duration) *Pending {
-	return &Pending{transit: transit, entries: map[string][]pendingEntry{}}
+// NewPendingPlacements returns an empty PendingPlacements. A load report is taken to include the
+// placements made up to transitTime before it.
+func NewPendingPlacements(transitTime time.Duration) *PendingPlacements {
+	return &PendingPlacements{transitTime: transitTime, entries: map[string][]pendingPlacement{}}
 }
 
-// Add notes a placement of uncached prompt tokens on a runner.
-func (p *Pending) Add(now time.Time, runner string, priority, tokens int) {
-	entry := pendingEntry{placed: now, class: fleet.PriorityClass(priority), tokens: tokens}
+// Add records that uncached prompt tokens were placed on a runner.
+func (p *PendingPlacements) Add(now time.Time, runner string, priority, tokens int) {
+	entry := pendingPlacement{placedAt: now, class: fleet.PriorityClass(priority), tokens: tokens}
 	p.entries[runner] = append(p.entries[runner], entry)
 }
 
-// Of returns the tokens, at the priority or before it, and the requests placed
-// on the runner that its load as of the given moment cannot show.
-func (p *Pending) Of(now time.Time, runner string, priority int, asOf time.Time) (tokens, requests int) {
-	shown := asOf.Add(-p.transit)
-	if oldest := now.Add(-maxPendingAge); shown.Before(oldest) {
-		shown = oldest
+// Unreported returns the tokens and the requests that were placed on the runner and that its load
+// report taken at asOf cannot include. The tokens cover only requests of the given or a higher
+// priority; the requests cover all priorities.
+func (p *PendingPlacements) Unreported(now time.Time, runner string, priority int, asOf time.Time) (tokens, requests int) {
+	reportedUntil := asOf.Add(-p.transitTime)
+	if oldest := now.Add(-maxPendingAge); reportedUntil.Before(oldest) {
+		reportedUntil = oldest
 	}
 	entries := p.entries[runner]
-	kept := entries[:0]
+	unreported := entries[:0]
 	for _, entry := range entries {
-		if entry.placed.After(shown) {
-			kept = append(kept, entry)
+		if entry.placedAt.After(reportedUntil) {
+			unreported = append(unreported, entry)
 		}
 	}
-	if len(kept) == 0 {
+	if len(unreported) == 0 {
 		delete(p.entries, runner)
 		return 0, 0
 	}
-	p.entries[runner] = kept
+	p.entries[runner] = unreported
 	class := fleet.PriorityClass(priority)
-	for _, entry := range kept {
+	for _, entry := range unreported {
 		if entry.class <= class {
 			tokens += entry.tokens
 		}
 	}
-	return tokens, len(kept)
+	return tokens, len(unreported)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement chooses the runner of a request: filter, score, pick. It is
-// the only place where a runner is chosen.
+// Package placement chooses the runner that serves a request: it filters the candidates, scores
+// the rest and picks the one with the lowest score. No other package chooses runners.
 //
-// A score is the expected time to the first token, work already queued ahead
-// of the request plus the prompt tokens that the runner has not cached, and the
-// pauses that the choice puts on the streams at the runner. The
-// package has no I/O, clock or random source of its own.
+// A score estimates, in prompt tokens, the time to the first token plus the pauses that the choice
+// causes in streams already running on the runner. The time to the first token covers the work
+// queued ahead of the request and the prompt tokens that the runner has not cached. The package
+// has no I/O, clock or random source of its own.
 package placement
 
 import (
@@ -13,37 +13,39 @@
 	"github.com/clovertiller/clovertiller/internal/fleet"
 )
 
-// Request is what placement needs to know of a request.
+// Request describes a request to be placed.
 type Request struct {
 	Model         string
 	Adapter       string
 	WeightVersion string
 	PromptTokens  int
 	MaxTokens     int
-	// Priority is the tier's priority, 0 first.
+	// Priority is the priority of the tenant's tier; 0 is the highest.
 	Priority int
-	// MaxWait is the longest expected wait at which the request is accepted.
+	// MaxWait is the longest expected queueing time at which the request is accepted.
 	MaxWait time.Duration
-	// Excluded names runners that refused or failed this request, or failed
-	// others of late. They are used only when no other runner can serve.
+	// Excluded names runners that refused or failed this request, or recently failed others. They
+	// are used only if no other runner can serve the request.
 	Excluded []string
-	// HeldBack are the runners that are left out of the candidates as they take no request
-	// now.
+	// HeldBack summarizes the runners that were left out of the candidates because they currently
+	// accept no requests.
 	HeldBack HeldBack
 }
 
-// HeldBack sums up runners that take no request now, by their own word.
+// HeldBack summarizes the runners that have themselves announced that they currently accept no
+// requests.
 type HeldBack struct {
-	// Resting and Limited count them by what they have said.
+	// Resting counts runners that asked for no requests for a while. Limited counts runners that
+	// have received as many requests as their announced rate limit allows.
 	Resting, Limited int
-	// RestWait is when the first rest ends, and LimitWait when the first limit allows a
-	// request again.
+	// RestWait is the time until the first resting runner accepts requests again. LimitWait is the
+	// time until the first limited runner does.
 	RestWait, LimitWait time.Duration
-	// Rate is how many requests a second the limits allow together.
+	// Rate is the sum of the limits in requests per second.
 	Rate float64
 }
 
-// AddResting takes a runner that rests into the sum.
+// AddResting adds a runner that accepts no requests for the duration wait.
 func (h *HeldBack) AddResting(wait time.Duration) {
 	if h.Resting == 0 || wait < h.RestWait {
 		h.RestWait = wait
@@ -51,7 +53,8 @@
 	h.Resting++
 }
 
-// AddLimited takes a runner that has got what its limit allows.
+// AddLimited adds a runner whose limit of rate requests per second allows the next request after
+// wait.
 func (h *HeldBack) AddLimited(wait time.Duration, rate float64) {
 	if h.Limited == 0 || wait < h.LimitWait {
 		h.LimitWait = wait
@@ -60,67 +63,71 @@
 	h.Rate += rate
 }
 
-// Any tells whether there is any such runner.
+// Any reports whether any runner is resting or limited.
 func (h HeldBack) Any() bool { return h.Resting+h.Limited > 0 }
 
-// Candidate is a runner of the request's pool.
+// Candidate is a runner of the request's pool with its state and costs.
 type Candidate struct {
 	Name string
-	// Leaving is the machine list's word that the runner's machine leaves.
+	// Leaving is set if the machine list marks the runner's machine as leaving.
 	Leaving bool
-	// Standby keeps the runner out of placement.
+	// Standby excludes the runner from placement.
 	Standby bool
 	Report  fleet.Report
-	// CachedTokens is how many tokens of the prompt the index says it holds.
+	// CachedTokens is the number of prompt tokens that the runner has cached according to the
+	// index.
 	CachedTokens int
-	// FetchableTokens is how many further tokens of the prompt it can fetch from a
-	// runner or store that keeps them.
+	// FetchableTokens is the number of further prompt tokens that the runner can fetch from
+	// another runner or a store.
 	FetchableTokens int
-	// PendingTokens counts uncached prompt tokens placed on the runner that its
-	// lagging load report cannot show yet, at the request's priority or before it.
+	// PendingTokens is the number of uncached prompt tokens that were placed on the runner too
+	// recently for its load report to include them. Only requests of the same or a higher priority
+	// are counted.
 	PendingTokens int
-	// PendingRequests counts requests placed that the report cannot show yet.
+	// PendingRequests is the number of requests that were placed too recently for the load report
+	// to include them.
 	PendingRequests int
-	// DrainedTokens is what the engine can have computed since its report.
-	DrainedTokens int
-	// ExtraTokens is the cost, in prompt tokens, of what the caller of Choose
-	// knows against the runner: distance, failures, weights to be replaced.
-	ExtraTokens int
-	// Pauses is who bears the reading of the prompt at the runner.
-	Pauses
-	// First is set for a runner that is to get the next request that it can serve, whatever
-	// it costs.
-	First bool
-	// ApartTokens is the cost, in prompt tokens, of a runner that is better left to
-	// requests of another kind. It is no part of the wait.
-	ApartTokens int
+	// ComputedTokens estimates how many prompt tokens the engine has computed since its load
+	// report.
+	ComputedTokens int
+	// PenaltyTokens is a cost, in prompt tokens, that the caller of Choose adds for properties
+	// such as distance, failures or weights about to be replaced.
+	PenaltyTokens int
+	// StreamLoad describes the streams that a prefill on the runner would interrupt.
+	StreamLoad
+	// PickFirst is set for a runner that receives the next request it can serve, whatever its
+	// score.
+	PickFirst bool
+	// SeparationPenaltyTokens is the cost, in prompt tokens, of using a runner that should be left
+	// to requests of another kind. It is not part of the expected wait.
+	SeparationPenaltyTokens int
 }
 
-// Weights tune the score.
-type Weights struct {
+// ScoreWeights are the factors that a score applies to parts of the prompt.
+type ScoreWeights struct {
 	// Hit is the cost of an uncached prompt token relative to a queued one.
 	Hit float64
-	// Fetch is the cost of a fetched prompt token relative to one that is computed.
+	// Fetch is the cost of a fetched prompt token relative to a computed one.
 	Fetch float64
 }
 
-// Status explains a pick.
+// Status is the result code of a Pick.
 type Status int
 
-// The statuses of a pick.
+// The status values.
 const (
 	// Picked means that a runner was chosen.
 	Picked Status = iota
-	// NoRunner means that no runner of the pool can serve the request now.
+	// NoRunner means that no runner of the pool can currently serve the request.
 	NoRunner
-	// Overloaded means that every runner's expected wait is above the tier's.
+	// Overloaded means that every runner's expected queueing time exceeds the limit of the tier.
 	Overloaded
-	// AllHeldBack means that every runner that could serve the request takes none now, by its
-	// own word.
+	// AllHeldBack means that every runner that could serve the request has announced that it
+	// currently accepts none.
 	AllHeldBack
 )
 
-// String returns the status as used in messages to callers.
+// String returns the status text that is sent to clients.
 func (s Status) String() string {
 	switch s {
 	case Picked:
@@ -135,42 +142,43 @@
 	return "unknown"
 }
 
-// Pick is the outcome of a choice.
+// Pick is the result of Choose.
 type Pick struct {
 	Status    Status
 	Candidate Candidate
 	// Wait is the expected time to the first token on the candidate.
 	Wait time.Duration
-	// Queueing is the part of Wait that the request would not have on an idle candidate.
-	Queueing time.Duration
-	// RetryAfter says when a refused caller may expect to be served.
+	// QueueWait is the part of Wait that is caused by other requests on the candidate.
+	QueueWait time.Duration
+	// RetryAfter is the time after which a refused client should retry.
 	RetryAfter time.Duration
 }
 
-// Costs used where a runner has not reported its own rates.
+// Score parameters. The first two apply to runners that have not reported their own values.
 const (
 	defaultPrefillRate = 20000
 	defaultMaxRunning  = 16
-	// sequenceCostTokens is what a running sequence costs a new one, in prompt
-	// tokens: it takes a slot of every step.
-	sequenceCostTokens = 4
-	// slotCostTokens is what a waiting sequence without a free slot costs.
-	slotCostTokens = 400
-	// tieShare is how near to the best score counts as equal.
-	tieShare = 0.02
-	// noRunnerRetry is the wait told to callers when no runner serves the model.
-	noRunnerRetry = time.Second
+	// runningSequenceCostTokens is the cost that each running sequence adds for a new one, in
+	// prompt tokens, because it takes a slot of every step.
+	runningSequenceCostTokens = 4
+	// missingSlotCostTokens is the cost of each sequence that waits because no slot is free.
+	missingSlotCostTokens = 400
+	// tieTolerance is the relative distance from the best score within which scores count as
+	// equal.
+	tieTolerance = 0.02
+	// noRunnerRetryAfter is the retry time sent to clients when no runner serves the model.
+	noRunnerRetryAfter = time.Second
 )
 
-// Filter says whether a runner may serve a request at all.
+// Filter reports whether a runner is eligible for a request.
 type Filter func(Request, Candidate) bool
 
-// Scorer gives the cost of a runner for a request, in prompt tokens.
-type Scorer func(Request, Candidate, Weights) float64
+// Scorer returns one part of a runner's cost for a request, in prompt tokens.
+type Scorer func(Request, Candidate, ScoreWeights) float64
 
-var filters = []Filter{connected, serving, staying, hasWeights, hasAdapter, notExcluded}
+var filters = []Filter{connected, serving, notLeaving, hasWeights, hasAdapter, notExcluded}
 
-var scorers = []Scorer{uncachedCost, queueCost, sequenceCost, extraCost}
+var scorers = []Scorer{uncachedCost, queueCost, sequenceCost, penaltyCost}
 
 func connected(_ Request, c Candidate) bool { return c.Report.Connected }
 
@@ -178,7 +186,7 @@
 	return c.Report.State == fleet.Serving && !c.Standby
 }
 
-func staying(_ Request, c Candidate) bool { return !c.Leaving }
+func notLeaving(_ Request, c Candidate) bool { return !c.Leaving }
 
 func hasWeights(r Request, c Candidate) bool {
 	return c.Report.Model == r.Model && c.Report.WeightVersion == r.WeightVersion
@@ -205,37 +213,37 @@
 	return true
 }
 
-// uncachedCost is the prompt tokens that the runner would have to compute or fetch.
-func uncachedCost(r Request, c Candidate, w Weights) float64 {
+// uncachedCost returns the cost of the prompt tokens that the runner has to compute or fetch.
+func uncachedCost(r Request, c Candidate, w ScoreWeights) float64 {
 	missing := max(r.PromptTokens-c.CachedTokens, 0)
 	fetched := min(c.FetchableTokens, missing)
 	return w.Hit * (float64(missing-fetched) + w.Fetch*float64(fetched))
 }
 
-// queueCost is the prompt work ahead of the request: what the engine reported
-// at this priority or before it, and what was placed since.
-func queueCost(r Request, c Candidate, _ Weights) float64 {
+// queueCost returns the prompt tokens queued ahead of the request: those that the engine reported
+// at the same or a higher priority, plus those placed since, minus the estimated progress.
+func queueCost(r Request, c Candidate, _ ScoreWeights) float64 {
 	tokens := c.PendingTokens
 	for class := 0; class <= fleet.PriorityClass(r.Priority); class++ {
 		tokens += c.Report.Load.QueuedTokens[class]
 	}
-	return float64(max(tokens-c.DrainedTokens, 0))
+	return float64(max(tokens-c.ComputedTokens, 0))
 }
 
-// sequenceCost is the share of the running sequences, and the wait for a slot
-// when all are taken.
-func sequenceCost(_ Request, c Candidate, _ Weights) float64 {
+// sequenceCost returns the cost of sharing the engine's steps with other sequences and, if all
+// slots are taken, of waiting for a slot.
+func sequenceCost(_ Request, c Candidate, _ ScoreWeights) float64 {
 	load := c.Report.Load
 	slots := load.MaxRunning
 	if slots == 0 {
 		slots = defaultMaxRunning
 	}
-	open := load.Running + load.Waiting + c.PendingRequests
-	return float64(open*sequenceCostTokens + max(open-slots+1, 0)*slotCostTokens)
+	requests := load.Running + load.Waiting + c.PendingRequests
+	return float64(requests*runningSequenceCostTokens + max(requests-slots+1, 0)*missingSlotCostTokens)
 }
 
-// extraCost is what the caller of Choose holds against the runner.
-func extraCost(_ Request, c Candidate, _ Weights) float64 { return float64(c.ExtraTokens) }
+// penaltyCost returns the penalty set by the caller of Choose.
+func penaltyCost(_ Request, c Candidate, _ ScoreWeights) float64 { return float64(c.PenaltyTokens) }
 
 func admissible(request Request, candidate Candidate) bool {
 	for _, filter := range filters {
@@ -246,13 +254,14 @@
 	return true
 }
 
-// score is the cost of a choice for the request and for those at the runner.
-func score(request Request, candidate Candidate, weights Weights) float64 {
-	return delay(request, candidate, weights) + interference(request, candidate, weights)
+// score returns the cost of a choice for the request itself and for the streams on the runner.
+func score(request Request, candidate Candidate, weights ScoreWeights) float64 {
+	return firstTokenCost(request, candidate, weights) + interferenceCost(request, candidate, weights)
 }
 
-// delay is the part of the score that is the request's own time to the first token.
-func delay(request Request, candidate Candidate, weights Weights) float64 {
+// firstTokenCost returns the part of the score that covers the request's own time to the first
+// token.
+func firstTokenCost(request Request, candidate Candidate, weights ScoreWeights) float64 {
 	total := 0.0
 	for _, scorer := range scorers {
 		total += scorer(request, candidate, weights)
@@ -260,14 +269,15 @@
 	return total
 }
 
-func rateOf(load fleet.Load) int {
+func prefillRate(load fleet.Load) int {
 	if load.PrefillRate == 0 {
 		return defaultPrefillRate
 	}
 	return load.PrefillRate
 }
 
-// waitOf turns the work ahead and the uncached prompt into a time.
-func waitOf(request Request, candidate Candidate) time.Duration {
-	return time.Duration(delay(request, candidate, Weights{Hit: 1}) / float64(rateOf(candidate.Report.Load)) * float64(time.Second))
+// expectedWait converts the queued work and the uncached prompt into an expected time to the first
+// token.
+func expectedWait(request Request, candidate Candidate) time.Duration {
+	return time.Duration(firstTokenCost(request, candidate, ScoreWeights{Hit: 1}) / float64(prefillRate(candidate.Report.Load)) * float64(time.Second))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,10 +20,10 @@
 var request = Request{Model: "m", WeightVersion: "v1", PromptTokens: 1000, MaxWait: time.Second}
 
 func choose(r Request, candidates ...Candidate) Pick {
-	return Choose(r, candidates, Weights{Hit: 1}, rand.New(rand.NewPCG(1, 1)))
+	return Choose(r, candidates, ScoreWeights{Hit: 1}, rand.New(rand.NewPCG(1, 1)))
 }
 
-func TestFiltersKeepOutWhatMustNotServe(t *testing.T) {
+func TestFiltersRejectIneligibleRunners(t *testing.T) {
 	cases := map[string]func(*Candidate, *Request){
 		"not connected":   func(c *Candidate, _ *Request) { c.Report.Connected = false },
 		"draining":        func(c *Candidate, _ *Request) { c.Report.State = fleet.Draining },
@@ -34,32 +34,32 @@
 		"other model":     func(c *Candidate, _ *Request) { c.Report.Model = "x" },
 		"adapter missing": func(_ *Candidate, r *Request) { r.Adapter = "b" },
 	}
-	for name, spoil := range cases {
+	for name, modify := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			g.Expect(choose(request, candidate("a")).Status).To(Equal(Picked))
-			spoilt, wanted := candidate("a"), request
-			spoil(&spoilt, &wanted)
-			pick := choose(wanted, spoilt)
+			modified, modifiedRequest := candidate("a"), request
+			modify(&modified, &modifiedRequest)
+			pick := choose(modifiedRequest, modified)
 			g.Expect(pick.Status).To(Equal(NoRunner))
 			g.Expect(pick.RetryAfter).To(BeNumerically(">", 0))
 		})
 	}
 }
 
-func TestExcludedRunnerServesOnlyWhenNoOtherCan(t *testing.T) {
+func TestExcludedRunnerIsLastResort(t *testing.T) {
 	g := NewWithT(t)
 	failed, slow := candidate("failed"), candidate("slow")
 	slow.Report.Load.QueuedTokens[0] = 9000
-	wanted := request
-	wanted.Excluded = []string{"failed"}
-	g.Expect(choose(wanted, failed, slow).Candidate.Name).To(Equal("slow"))
-	g.Expect(choose(wanted, failed).Candidate.Name).To(Equal("failed"))
+	excluding := request
+	excluding.Excluded = []string{"failed"}
+	g.Expect(choose(excluding, failed, slow).Candidate.Name).To(Equal("slow"))
+	g.Expect(choose(excluding, failed).Candidate.Name).To(Equal("failed"))
 	failed.Report.State = fleet.Draining
-	g.Expect(choose(wanted, failed).Status).To(Equal(NoRunner))
+	g.Expect(choose(excluding, failed).Status).To(Equal(NoRunner))
 }
 
-func TestCachedPrefixWinsUntilItsQueueCostsMore(t *testing.T) {
+func TestCachedPrefixWinsUntilQueueCostsMore(t *testing.T) {
 	g := NewWithT(t)
 	holder, idle := candidate("holder"), candidate("idle")
 	holder.CachedTokens = 900
@@ -69,79 +69,79 @@
 	g.Expect(choose(request, holder, idle).Candidate.Name).To(Equal("idle"))
 }
 
-func TestHigherPriorityDoesNotCountLowerQueues(t *testing.T) {
+func TestHigherPriorityIgnoresLowerPriorityQueues(t *testing.T) {
 	g := NewWithT(t)
 	busy := candidate("busy")
 	busy.Report.Load.QueuedTokens[2] = 50000
-	urgent := request
-	urgent.Priority = 0
-	g.Expect(choose(urgent, busy).Status).To(Equal(Picked))
-	late := request
-	late.Priority = 2
-	pick := choose(late, busy)
+	highPriority := request
+	highPriority.Priority = 0
+	g.Expect(choose(highPriority, busy).Status).To(Equal(Picked))
+	lowPriority := request
+	lowPriority.Priority = 2
+	pick := choose(lowPriority, busy)
 	g.Expect(pick.Status).To(Equal(Overloaded))
 	g.Expect(pick.RetryAfter).To(BeNumerically("~", 4500*time.Millisecond, 100*time.Millisecond))
 }
 
-func TestPendingEndsWhenTheLoadShowsIt(t *testing.T) {
+func TestPendingPlacementIsDroppedOnceLoadReportCoversIt(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(100, 0)
-	pending := NewPending(10 * time.Millisecond)
+	pending := NewPendingPlacements(10 * time.Millisecond)
 	pending.Add(start, "a", 0, 100)
 	pending.Add(start, "a", 3, 50)
-	tokens, requests := pending.Of(start, "a", 0, start.Add(-time.Second))
+	tokens, requests := pending.Unreported(start, "a", 0, start.Add(-time.Second))
 	g.Expect(tokens).To(Equal(100))
 	g.Expect(requests).To(Equal(2))
-	_, requests = pending.Of(start.Add(time.Millisecond), "a", 3, start.Add(time.Millisecond))
-	g.Expect(requests).To(Equal(2), "still on its way to the engine")
-	tokens, requests = pending.Of(start.Add(time.Second), "a", 3, start.Add(10*time.Millisecond))
+	_, requests = pending.Unreported(start.Add(time.Millisecond), "a", 3, start.Add(time.Millisecond))
+	g.Expect(requests).To(Equal(2), "the request is still in transit to the engine")
+	tokens, requests = pending.Unreported(start.Add(time.Second), "a", 3, start.Add(10*time.Millisecond))
 	g.Expect(tokens + requests).To(BeZero())
 }
 
-func TestPendingOfARunnerNotHeardOfEnds(t *testing.T) {
+func TestPendingPlacementExpiresWithoutLoadReport(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(100, 0)
-	pending := NewPending(time.Millisecond)
+	pending := NewPendingPlacements(time.Millisecond)
 	pending.Add(start, "a", 0, 100)
-	tokens, _ := pending.Of(start.Add(maxPendingAge), "a", 0, time.Time{})
+	tokens, _ := pending.Unreported(start.Add(maxPendingAge), "a", 0, time.Time{})
 	g.Expect(tokens).To(BeZero())
 }
 
-func TestProgressSinceTheReportIsCounted(t *testing.T) {
+func TestTokensComputedSinceReportReduceQueue(t *testing.T) {
 	g := NewWithT(t)
 	busy, idle := candidate("busy"), candidate("idle")
 	busy.CachedTokens = 900
 	busy.Report.Load.QueuedTokens[0] = 2000
 	g.Expect(choose(request, busy, idle).Candidate.Name).To(Equal("idle"))
-	busy.DrainedTokens = 1500
+	busy.ComputedTokens = 1500
 	g.Expect(choose(request, busy, idle).Candidate.Name).To(Equal("busy"))
 }
 
-func TestEjectedRunnerReturns(t *testing.T) {
+func TestEjectionExpiresAndIsClearedBySuccess(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1, 0)
 	ejector := NewEjector()
-	ejector.Fail(start, "a", 1)
+	ejector.RecordFailure(start, "a", 1)
 	g.Expect(ejector.Ejected(start)).To(ConsistOf("a"))
-	g.Expect(ejector.Ejected(start.Add(firstEjection))).To(BeEmpty())
-	ejector.Fail(start, "a", 1)
-	g.Expect(ejector.Ejected(start.Add(firstEjection))).To(ConsistOf("a"), "longer the second time")
-	ejector.Succeed("a")
+	g.Expect(ejector.Ejected(start.Add(minEjection))).To(BeEmpty())
+	ejector.RecordFailure(start, "a", 1)
+	g.Expect(ejector.Ejected(start.Add(minEjection))).To(ConsistOf("a"), "the second ejection lasts longer")
+	ejector.RecordSuccess("a")
 	g.Expect(ejector.Ejected(start)).To(BeEmpty())
 }
 
-// A runner that can fetch what it lacks of a prompt is preferred to a longer queue
-// at the one that keeps it, but not to an idle one.
-func TestFetchingIsCheaperThanWaitingAndDearerThanKeeping(t *testing.T) {
+// A runner that can fetch its missing part of a prompt is preferred to the runner that has the
+// part cached if that one has a longer queue, but not if it is idle.
+func TestFetchCostsLessThanLongQueueAndMoreThanCachedPrefix(t *testing.T) {
 	g := NewWithT(t)
-	keeps, fetches := candidate("keeps"), candidate("fetches")
-	keeps.CachedTokens, fetches.FetchableTokens = 800, 800
-	pick := func() string {
-		return Choose(request, []Candidate{keeps, fetches}, Weights{Hit: 1, Fetch: 0.25}, rand.New(rand.NewPCG(1, 1))).Candidate.Name
+	holder, fetcher := candidate("keeps"), candidate("fetches")
+	holder.CachedTokens, fetcher.FetchableTokens = 800, 800
+	chosen := func() string {
+		return Choose(request, []Candidate{holder, fetcher}, ScoreWeights{Hit: 1, Fetch: 0.25}, rand.New(rand.NewPCG(1, 1))).Candidate.Name
 	}
-	g.Expect(pick()).To(Equal("keeps"))
-	keeps.PendingTokens = 150
-	g.Expect(pick()).To(Equal("keeps"), "a short queue costs less than the fetch of 800 tokens")
-	keeps.PendingTokens = 400
-	g.Expect(pick()).To(Equal("fetches"), "and a long one more")
+	g.Expect(chosen()).To(Equal("keeps"))
+	holder.PendingTokens = 150
+	g.Expect(chosen()).To(Equal("keeps"), "a short queue costs less than fetching 800 tokens")
+	holder.PendingTokens = 400
+	g.Expect(chosen()).To(Equal("fetches"), "a long queue costs more than fetching 800 tokens")
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -11,55 +11,56 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// Runner is one runner of a pool, as configured.
+// Runner is a configured runner of a pool.
 type Runner struct {
 	Name string
-	// Leaving is the machine list's word that the runner's machine leaves.
+	// Leaving is set if the machine list marks the runner's machine as leaving.
 	Leaving bool
 	Standby bool
 }
 
-// Query is a request with what a Placer needs to find its runner.
+// Query is a request together with the data that a Placer needs to choose its runner.
 type Query struct {
 	Request Request
-	// Family assigns the prompt to an index shard.
+	// Family selects the index shard of the prompt.
 	Family uint64
-	// Anchors are the indexed blocks of the prompt, shallowest first.
+	// Anchors are the indexed blocks of the prompt in order of increasing depth.
 	Anchors     []prefix.Anchor
 	BlockTokens int
-	// Ticket names the request when it is refused and comes back: a digest of
-	// its whole prompt under its salt.
+	// Ticket identifies the request if it is refused and retried. It is the digest of the salt and
+	// the whole prompt.
 	Ticket  uint64
 	Runners []Runner
-	Weights Weights
+	Weights ScoreWeights
 }
 
-// Placer places requests by one index shard and one table of reports. The
-// routers and the emulator use the same one. It is not safe for concurrent use.
+// Placer places requests using one index shard and one table of runner reports. The routers and
+// the emulator share this implementation. It is not safe for concurrent use.
 type Placer struct {
 	Index    *cacheindex.Shard
-	Pending  *Pending
+	Pending  *PendingPlacements
 	Fleet    *fleet.Table
 	Promises *admission.Promises
 	Random   *rand.Rand
 }
 
-// Factors of the longest accepted wait while promises are open.
+// Factors applied to a request's MaxWait because of retry reservations.
 const (
-	// promisedWait is for a request that comes back when it was told to.
-	promisedWait = 4
-	// freshWait is for a new request while others have a promise.
-	freshWait = 0.5
+	// returningWaitFactor applies to a request that is retried at its reserved time.
+	returningWaitFactor = 4
+	// newRequestWaitFactor applies to a new request while others of its priority class hold a
+	// reservation.
+	newRequestWaitFactor = 0.5
 )
 
-// admit places a request under the wait that its promises allow, and promises
-// a time to come back when it is refused.
-func (p *Placer) admit(now time.Time, query Query, place func(Query) Pick) Pick {
+// placeWithReservations places a request after adjusting its MaxWait for outstanding retry
+// reservations. If the request is refused as overloaded, it reserves a retry time for it.
+func (p *Placer) placeWithReservations(now time.Time, query Query, place func(Query) Pick) Pick {
 	class := fleet.PriorityClass(query.Request.Priority)
 	if p.Promises.Redeem(now, query.Ticket) {
-		query.Request.MaxWait *= promisedWait
+		query.Request.MaxWait *= returningWaitFactor
 	} else if p.Promises.Outstanding(now, class) {
-		query.Request.MaxWait = time.Duration(float64(query.Request.MaxWait) * freshWait)
+		query.Request.MaxWait = time.Duration(float64(query.Request.MaxWait) * newRequestWaitFactor)
 	}
 	pick := place(query)
 	switch pick.Status {
@@ -71,10 +72,10 @@
 	return pick
 }
 
-// Place chooses a runner by the index and notes the choice at once, so that
-// requests with the same prefix follow it before the engine's events arrive.
+// Place chooses a runner using the index and records the choice in the index at once, so that
+// requests with the same prefix go to the same runner before the engine's cache events arrive.
 func (p *Placer) Place(now time.Time, query Query) Pick {
-	return p.admit(now, query, func(query Query) Pick { return p.placeByIndex(now, query) })
+	return p.placeWithReservations(now, query, func(query Query) Pick { return p.placeByIndex(now, query) })
 }
 
 func (p *Placer) placeByIndex(now time.Time, query Query) Pick {
@@ -90,20 +91,20 @@
 	return pick
 }
 
-// PlaceWithoutIndex chooses when the index's owner cannot be asked: the
-// family's first runner by rendezvous is taken to hold half of the prompt, so
-// that nodes that cannot ask still agree on where a family goes.
+// PlaceWithoutIndex chooses a runner when the index owner cannot be reached. It assumes that the
+// family's first runner by rendezvous hashing has cached half of the prompt, so that routers
+// without access to the index still agree on the runner of a family.
 func (p *Placer) PlaceWithoutIndex(now time.Time, query Query) Pick {
 	names := make([]string, len(query.Runners))
 	for i, runner := range query.Runners {
 		names[i] = runner.Name
 	}
-	first := rendezvous.Owner(names, query.Family)
+	preferred := rendezvous.Owner(names, query.Family)
 	cached := map[cacheindex.Holder]int{}
-	if report, found := p.Fleet.Get(first); found {
-		cached[cacheindex.Holder{Runner: first, Incarnation: report.Incarnation}] = query.Request.PromptTokens / 2
+	if report, found := p.Fleet.Get(preferred); found {
+		cached[cacheindex.Holder{Runner: preferred, Incarnation: report.Incarnation}] = query.Request.PromptTokens / 2
 	}
-	return p.admit(now, query, func(query Query) Pick { return p.choose(now, query, cached) })
+	return p.placeWithReservations(now, query, func(query Query) Pick { return p.choose(now, query, cached) })
 }
 
 func (p *Placer) choose(now time.Time, query Query, cached map[cacheindex.Holder]int) Pick {
@@ -117,8 +118,8 @@
 			Name: runner.Name, Leaving: runner.Leaving, Standby: runner.Standby, Report: report,
 			CachedTokens: cached[cacheindex.Holder{Runner: runner.Name, Incarnation: report.Incarnation}],
 		}
-		candidate.PendingTokens, candidate.PendingRequests = p.Pending.Of(now, runner.Name, query.Request.Priority, report.Load.AsOf)
-		candidate.DrainedTokens = drained(now, report.Load)
+		candidate.PendingTokens, candidate.PendingRequests = p.Pending.Unreported(now, runner.Name, query.Request.Priority, report.Load.AsOf)
+		candidate.ComputedTokens = computedTokens(now, report.Load)
 		candidates = append(candidates, candidate)
 	}
 	pick := Choose(query.Request, candidates, query.Weights, p.Random)
@@ -129,11 +130,12 @@
 	return pick
 }
 
-// maxDrainAge bounds the age of a report from which progress is still inferred.
-const maxDrainAge = time.Second
+// maxExtrapolationAge bounds the report age for which progress is extrapolated.
+const maxExtrapolationAge = time.Second
 
-// drained estimates what an engine has computed since its load was taken.
-func drained(now time.Time, load fleet.Load) int {
-	age := min(max(now.Sub(load.AsOf), 0), maxDrainAge)
-	return int(age.Seconds() * float64(rateOf(load)))
+// computedTokens estimates how many prompt tokens an engine has computed since its load was
+// reported.
+func computedTokens(now time.Time, load fleet.Load) int {
+	age := min(max(now.Sub(load.AsOf), 0), maxExtrapolationAge)
+	return int(age.Seconds() * float64(prefillRate(load)))
 }
