--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -7,56 +7,55 @@
 	. "github.com/onsi/gomega"
 )
 
-// told refuses the demand and returns when its caller is told to come back.
-func told(o *Order, now time.Time, demand Demand, earliest time.Duration) time.Duration {
-	return o.Decided(now, demand, 2*demand.Target, true, earliest)
+// refuse records a refusal of the request and returns its retry time.
+func refuse(shedder *LoadShedder, now time.Time, request Request, earliest time.Duration) time.Duration {
+	return shedder.RecordDecision(now, request, 2*request.TargetLatency, true, earliest)
 }
 
-func named(ticket uint64) Demand {
-	demand := bulk
-	demand.Ticket = ticket
-	return demand
+func bulkRequest(ticket uint64) Request {
+	request := bulk
+	request.Ticket = ticket
+	return request
 }
 
-// Callers that say how long they wait, that do not, and that wait for minutes are told a
-// time that is of use to them.
-func TestRetryAfterIsNeitherMissingNorEndless(t *testing.T) {
+// Clients with a short, a long and an unknown remaining time are all given a usable retry time.
+func TestRetryAfterIsWithinBounds(t *testing.T) {
 	g := NewWithT(t)
 	const earliest = 250 * time.Millisecond
 	for _, left := range []time.Duration{0, time.Second, 5 * time.Second, 5 * time.Minute} {
-		o := newTestOrder()
+		shedder := newTestShedder()
 		for i := range 100 {
-			demand := named(uint64(i + 1))
-			demand.Left = left
-			g.Expect(told(o, began, demand, earliest)).To(And(BeNumerically(">=", earliest), BeNumerically("<=", longestReturn)), "left %v", left)
+			request := bulkRequest(uint64(i + 1))
+			request.TimeLeft = left
+			g.Expect(refuse(shedder, epoch, request, earliest)).To(And(BeNumerically(">=", earliest), BeNumerically("<=", maxRetryAfter)), "time left %v", left)
 		}
 	}
 }
 
-// A caller that does not wait as it was told keeps its moment: it neither loses it nor
-// takes another one.
-func TestCallerThatRepeatsEarlyKeepsItsMoment(t *testing.T) {
+// A client that retries before its reserved time neither loses its reservation nor takes another
+// one.
+func TestEarlyRetryKeepsItsReservation(t *testing.T) {
 	g := NewWithT(t)
-	o := newTestOrder()
+	shedder := newTestShedder()
 	for i := range 300 {
-		o.Decided(began.Add(time.Duration(i)*10*time.Millisecond), bulk, 0, false, 0)
+		shedder.RecordDecision(epoch.Add(time.Duration(i)*10*time.Millisecond), bulk, 0, false, 0)
 	}
-	now := began.Add(3 * time.Second)
-	first := told(o, now, named(1), 250*time.Millisecond)
+	now := epoch.Add(3 * time.Second)
+	first := refuse(shedder, now, bulkRequest(1), 250*time.Millisecond)
 	for i := range 100 {
-		told(o, now, named(uint64(i+2)), 250*time.Millisecond)
+		refuse(shedder, now, bulkRequest(uint64(i+2)), 250*time.Millisecond)
 	}
-	g.Expect(told(o, now.Add(time.Millisecond), named(1), 250*time.Millisecond)).To(Equal(first - time.Millisecond))
+	g.Expect(refuse(shedder, now.Add(time.Millisecond), bulkRequest(1), 250*time.Millisecond)).To(Equal(first - time.Millisecond))
 }
 
-// Requests of a tenant beyond its share take no moments from those within theirs.
-func TestTenantBeyondItsShareIsPromisedNothing(t *testing.T) {
+// Requests of a tenant above its fair share take no reservations from tenants within theirs.
+func TestTenantAboveFairShareGetsNoReservation(t *testing.T) {
 	g := NewWithT(t)
-	o := newTestOrder()
-	greedy := named(1)
-	greedy.Excess = 4
-	told(o, began, greedy, 250*time.Millisecond)
-	g.Expect(o.TakePromises()).To(BeEmpty())
-	told(o, began, named(2), 250*time.Millisecond)
-	g.Expect(o.TakePromises()).To(HaveLen(1))
+	shedder := newTestShedder()
+	excessive := bulkRequest(1)
+	excessive.Excess = 4
+	refuse(shedder, epoch, excessive, 250*time.Millisecond)
+	g.Expect(shedder.TakeReservations()).To(BeEmpty())
+	refuse(shedder, epoch, bulkRequest(2), 250*time.Millisecond)
+	g.Expect(shedder.TakeReservations()).To(HaveLen(1))
 }
--- a/internal/fairshare/load_test.go
+++ b/internal/fairshare/load_test.go
@@ -173,11 +173,11 @@
 		if counted && !again {
 			result.asked[tenant] += cost
 		}
-		longest := admission.LongestQueue(target, admission.Rank{}, random)
+		longest := admission.DrawMaxQueue(target, admission.Rank{}, random)
 		bound := longest
 		if l.fair {
 			divided := time.Duration(float64(longest) / tracker.Excess(now, shared, tenantName(tenant)))
-			bound = max(divided, admission.ShortestQueue(target, admission.Rank{}))
+			bound = max(divided, admission.LowestMaxQueue(target, admission.Rank{}))
 		}
 		if free.Before(now) {
 			if counted {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -65,7 +65,7 @@
 	maxQueue time.Duration
 	// limit is the bound that held for the call at the last choice, and queueing the
 	// time that it was expected to queue.
-	limit    admission.Limit
+	limit    admission.QueueLimit
 	queueing time.Duration
 	// placing is a question to a scheduler under way, and placed its choice while a
 	// runner works on the call; nil when this router chose itself.
@@ -218,7 +218,7 @@
 	}
 	c.gateway.mutex.Lock()
 	c.service = c.gateway.splitter.Pick(c.route)
-	c.maxQueue = admission.LongestQueue(c.route.Target, c.rank(), c.gateway.random)
+	c.maxQueue = admission.DrawMaxQueue(c.route.Target, c.rank(), c.gateway.random)
 	c.gateway.mutex.Unlock()
 	c.setDeadline()
 	c.request = attempt.NewRequest(c.route.Repeatable(), attempt.Limits{MaxAttempts: max(c.route.MaxAttempts, 1), MaxRefusals: maxRefusals, MaxUnsent: maxUnsent})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,7 +95,7 @@
 	retries map[string]*admission.RetryBudget
 	random  *rand.Rand
 	// order decides which requests for the same runners are refused.
-	order *admission.Order
+	order *admission.LoadShedder
 	// routers is how many routers there seem to be, 0 when unknown.
 	routers atomic.Int64
 	// leaseToken is the fencing token while this router orders runners, or 0.
@@ -159,7 +159,7 @@
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		named:    make(chan struct{}, 1),
 	}
-	g.order = admission.NewOrder(g.random)
+	g.order = admission.NewLoadShedder(g.random)
 	g.runners.SetRolloutTime(time.Duration(rolloutShare * float64(settings.WeightDeadline)))
 	g.metrics = newMetrics(g)
 	ports.RunnerPool.Opened, ports.RunnerPool.Silent = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -301,8 +301,8 @@
 var yieldBuckets = []float64{.05, .1, .2, .3, .5, .7, .9, .999}
 
 // limited notes the bound of a call's queueing and whether it was refused by it.
-func (m *metrics) limited(route string, refused bool, limit admission.Limit) {
-	m.yields.WithLabelValues(route).Observe(limit.Yield)
+func (m *metrics) limited(route string, refused bool, limit admission.QueueLimit) {
+	m.yields.WithLabelValues(route).Observe(limit.PriorityFactor)
 	if limit.Returned {
 		outcome := "let in"
 		if refused {
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -18,18 +18,18 @@
 // refuses it. Schedulers decide so for others, and routers that choose themselves for
 // their own calls. It also returns the bound that held, and whether the request was refused
 // only as its tenant is beyond its fair share. The gateway's mutex is held.
-func (g *Gateway) decide(now time.Time, query backend.Query, left time.Duration) (chosen placement.Pick, limit admission.Limit, forShare bool) {
+func (g *Gateway) decide(now time.Time, query backend.Query, left time.Duration) (chosen placement.Pick, limit admission.QueueLimit, forShare bool) {
 	return g.decideWith(now, query, left, g.shares.excess(now, query))
 }
 
 // decideWith decides about a request of a tenant with the excess.
-func (g *Gateway) decideWith(now time.Time, query backend.Query, left time.Duration, excess float64) (chosen placement.Pick, limit admission.Limit, forShare bool) {
+func (g *Gateway) decideWith(now time.Time, query backend.Query, left time.Duration, excess float64) (chosen placement.Pick, limit admission.QueueLimit, forShare bool) {
 	request, candidates := g.runners.Candidates(now, query)
-	demand := admission.Demand{
-		Service: query.Service, Rank: query.Rank, Target: query.Target, MaxQueue: query.MaxQueue, Left: left,
+	demand := admission.Request{
+		Service: query.Service, Rank: query.Rank, TargetLatency: query.Target, MaxQueue: query.MaxQueue, TimeLeft: left,
 		Excess: excess, Ticket: query.Ticket,
 	}
-	limit = g.order.Limit(now, demand, loadOf(candidates))
+	limit = g.order.QueueLimit(now, demand, loadOf(candidates))
 	request.MaxWait = limit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
@@ -39,9 +39,9 @@
 		return chosen, limit, false
 	}
 	refused := chosen.Status == placement.Overloaded
-	forShare = refused && chosen.QueueWait <= limit.Unshared
+	forShare = refused && chosen.QueueWait <= limit.MaxQueueAtFairShare
 	g.shares.noteChoice(now, query, chosen, forShare)
-	after := g.order.Decided(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
+	after := g.order.RecordDecision(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case forShare:
 		// A caller that comes back before its tenant's use has faded is refused again.
@@ -57,7 +57,7 @@
 	load := admission.Load{}
 	for _, candidate := range candidates {
 		if !candidate.Leaving {
-			load.Open += candidate.PendingRequests
+			load.OpenRequests += candidate.PendingRequests
 			load.Slots += candidate.Report.Load.MaxRunning
 		}
 	}
@@ -65,10 +65,10 @@
 }
 
 // limitOf is the bound that a scheduler tells of.
-func limitOf(answer *wire.RunnerAnswer) admission.Limit {
-	return admission.Limit{
-		MaxQueue: time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
-		Yield:    float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: excessOf(answer),
+func limitOf(answer *wire.RunnerAnswer) admission.QueueLimit {
+	return admission.QueueLimit{
+		MaxQueue:       time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
+		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: excessOf(answer),
 	}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // promiseMessages tells other schedulers of promises to refused callers.
-func promiseMessages(promises []admission.Promise) []*wire.ReturnPromise {
+func promiseMessages(promises []admission.Reservation) []*wire.ReturnPromise {
 	var messages []*wire.ReturnPromise
 	for _, promise := range promises {
 		messages = append(messages, &wire.ReturnPromise{
@@ -103,8 +103,8 @@
 	return messages
 }
 
-func promiseOf(message *wire.ReturnPromise) admission.Promise {
-	return admission.Promise{
+func promiseOf(message *wire.ReturnPromise) admission.Reservation {
+	return admission.Reservation{
 		Service: message.GetService(), Rank: admission.Rank{Tier: int(message.GetTier()), Route: int(message.GetRouteRank())},
 		Ticket: message.GetTicket(), After: time.Duration(message.GetAfterMillis()) * time.Millisecond,
 	}
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -29,7 +29,7 @@
 	// queueing is the time that the request is expected to queue, and limit the bound
 	// that held for it. forShare is set when it was refused only for its tenant's share.
 	queueing time.Duration
-	limit    admission.Limit
+	limit    admission.QueueLimit
 	forShare bool
 	// heldBack is set in place of a runner when all of them take no request now, and
 	// permitted when the choice is one that the limit of its runner allows; asked is when the
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -53,7 +53,7 @@
 	}
 	if r.limited {
 		fields["queue_ms"], fields["max_queue_ms"] = c.queueing.Milliseconds(), c.limit.MaxQueue.Milliseconds()
-		fields["yield_percent"], fields["returned"], fields["excess"] = int(percent*c.limit.Yield), c.limit.Returned, c.limit.Excess
+		fields["yield_percent"], fields["returned"], fields["excess"] = int(percent*c.limit.PriorityFactor), c.limit.Returned, c.limit.Excess
 		fields["service"] = c.service
 	}
 	if r.retryAfter > 0 {
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -30,6 +30,6 @@
 		budget = admission.NewRetryBudget(g.settings.RetryShare*retryShareUsed, reserve)
 		g.retries[service] = budget
 	}
-	budget.SetReserve(reserve)
+	budget.SetCapacity(reserve)
 	return budget
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -78,7 +78,7 @@
 	chosen, limit, forShare := g.decide(now, query, left)
 	answer := &wire.RunnerAnswer{
 		Zone: g.settings.Zone, QueueMillis: uint32(max(chosen.QueueWait.Milliseconds(), 0)),
-		MaxQueueMillis: uint32(limit.MaxQueue.Milliseconds()), YieldPercent: uint32(percent * limit.Yield), Returned: limit.Returned,
+		MaxQueueMillis: uint32(limit.MaxQueue.Milliseconds()), YieldPercent: uint32(percent * limit.PriorityFactor), Returned: limit.Returned,
 		ExcessPercent: excessMessage(limit.Excess), ForShare: forShare,
 	}
 	if chosen.Status == placement.Overloaded {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -44,7 +44,7 @@
 	now := c.gateway.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if again && !c.paid && !g.budget(c.service).Spend() {
+	if again && !c.paid && !g.budget(c.service).TryWithdraw() {
 		g.schedulers.release(choice)
 		g.metrics.retries.WithLabelValues(c.service, retryNoBudget).Inc()
 		return backend.Runner{}, unavailable("the budget for further attempts is used up", busyRetryAfter)
@@ -64,7 +64,7 @@
 		c.paid = true
 		g.metrics.retries.WithLabelValues(c.service, retrySent).Inc()
 	case c.request.Attempt() == 0:
-		g.budget(c.service).Earn()
+		g.budget(c.service).Deposit()
 	}
 	runner, _ := g.runners.Get(chosen.Candidate.Name)
 	c.takePermit(now, runner.ID)
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -29,7 +29,7 @@
 	g.settings.Zone = "z"
 	g.metrics = newMetrics(g)
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
-	g.order = admission.NewOrder(g.random)
+	g.order = admission.NewLoadShedder(g.random)
 	config := &routing.Config{Version: 1}
 	for _, tenant := range tenants {
 		config.Tenants = append(config.Tenants, routing.Tenant{Name: tenant, Keys: []string{tenant}})
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -147,11 +147,11 @@
 	r.routers = nil
 	for range r.settings.Routers {
 		r.routers = append(r.routers, &router{placer: &placement.Placer{
-			Index:    cacheindex.NewShard(10 * time.Second),
-			Pending:  placement.NewPendingPlacements(time.Millisecond),
-			Fleet:    fleet.NewTable(),
-			Promises: admission.NewPromises(),
-			Random:   r.random,
+			Index:         cacheindex.NewShard(10 * time.Second),
+			Pending:       placement.NewPendingPlacements(time.Millisecond),
+			Fleet:         fleet.NewTable(),
+			RetrySchedule: admission.NewRetrySchedule(),
+			Random:        r.random,
 		}})
 	}
 }
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -134,7 +134,7 @@
 func (x *execution) mayRetry() bool {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	return x.node.retries.Spend()
+	return x.node.retries.TryWithdraw()
 }
 
 // giveUp ends a request whose caller has gone or whose deadline has passed.
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -127,7 +127,7 @@
 	n.mutex.Lock()
 	nodes := len(n.control.UsableNodes())
 	n.mutex.Unlock()
-	limits := admission.NodeShare(c.tenant.Spec.RequestsPerSecond, c.tenant.Spec.MaxConcurrent, nodes)
+	limits := admission.PerNodeLimits(c.tenant.Spec.RequestsPerSecond, c.tenant.Spec.MaxConcurrent, nodes)
 	now := time.Now()
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
@@ -135,8 +135,8 @@
 	if decision.Reason != admission.Admitted {
 		return &apiError{status: http.StatusTooManyRequests, code: codeRateLimited, message: string(decision.Reason), runState: attempt.NotRun, retryAfter: decision.RetryAfter}
 	}
-	n.limiter.Use(now, c.tenant.Name, c.promptTokens)
-	n.retries.Earn()
+	n.limiter.RecordUsage(now, c.tenant.Name, c.promptTokens)
+	n.retries.Deposit()
 	return nil
 }
 
@@ -150,7 +150,7 @@
 func (n *Node) maxWait(c *call) time.Duration {
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
-	share := n.limiter.WaitShare(time.Now(), c.tenant.Name)
+	share := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
 	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * share * float64(time.Millisecond))
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -116,7 +116,7 @@
 		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		homes:       map[string]*home{},
 		limiter:     admission.NewLimiter(),
-		retries:     admission.NewRetryBudget(admission.DefaultRetryShare, admission.DefaultRetryReserve),
+		retries:     admission.NewRetryBudget(admission.DefaultRetryRatio, admission.DefaultRetryCapacity),
 		ejector:     placement.NewEjector(),
 		ctx:         ctx,
 		cancel:      cancel,
@@ -127,7 +127,7 @@
 		PeerAddress: listeners.Peer.Addr().String(), Incarnation: n.incarnation,
 	}
 	n.control = control.New(self, settings.Seeds, control.DefaultSettings(), n.random)
-	n.placer = &placement.Placer{Index: n.shard, Pending: placement.NewPendingPlacements(dispatchTransit), Fleet: n.control.Fleet(), Promises: admission.NewPromises(), Random: n.random}
+	n.placer = &placement.Placer{Index: n.shard, Pending: placement.NewPendingPlacements(dispatchTransit), Fleet: n.control.Fleet(), RetrySchedule: admission.NewRetrySchedule(), Random: n.random}
 	n.snapshot.Store(config.NewSnapshot(n.control.Store()))
 	n.metrics = newMetrics(n)
 	n.transport = wire.NewTransport(wire.Identity{Node: settings.Node, Incarnation: n.incarnation}, listeners.Peer, n.handlePeer)
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -37,11 +37,11 @@
 // Placer places requests using one index shard and one table of runner reports. The routers and
 // the emulator share this implementation. It is not safe for concurrent use.
 type Placer struct {
-	Index    *cacheindex.Shard
-	Pending  *PendingPlacements
-	Fleet    *fleet.Table
-	Promises *admission.Promises
-	Random   *rand.Rand
+	Index         *cacheindex.Shard
+	Pending       *PendingPlacements
+	Fleet         *fleet.Table
+	RetrySchedule *admission.RetrySchedule
+	Random        *rand.Rand
 }
 
 // Factors applied to a request's MaxWait because of retry reservations.
@@ -57,17 +57,17 @@
 // reservations. If the request is refused as overloaded, it reserves a retry time for it.
 func (p *Placer) placeWithReservations(now time.Time, query Query, place func(Query) Pick) Pick {
 	class := fleet.PriorityClass(query.Request.Priority)
-	if p.Promises.Redeem(now, query.Ticket) {
+	if p.RetrySchedule.Redeem(now, query.Ticket) {
 		query.Request.MaxWait *= returningWaitFactor
-	} else if p.Promises.Outstanding(now, class) {
+	} else if p.RetrySchedule.HasOutstanding(now, class) {
 		query.Request.MaxWait = time.Duration(float64(query.Request.MaxWait) * newRequestWaitFactor)
 	}
 	pick := place(query)
 	switch pick.Status {
 	case Picked:
-		p.Promises.Admitted(now, class)
+		p.RetrySchedule.RecordAdmission(now, class)
 	case Overloaded:
-		pick.RetryAfter = p.Promises.Refuse(now, query.Ticket, class, pick.RetryAfter)
+		pick.RetryAfter = p.RetrySchedule.ReserveForTicket(now, query.Ticket, class, pick.RetryAfter)
 	}
 	return pick
 }
