--- a/internal/fairshare/bench_test.go
+++ b/internal/fairshare/bench_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A choice of a runner waits for the shares of as many tenants as a scheduler may know,
-// measured anew each time here and once in levelTime in use.
+// BenchmarkExcessOfManyTenants measures Excess with as many tenants as a scheduler may know. Each
+// call computes the shares anew, which happens once per measureInterval in production.
 func BenchmarkExcessOfManyTenants(b *testing.B) {
-	for _, tenants := range []int{16, 74, 22000} {
-		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
+	for _, tenantCount := range []int{16, 74, 22000} {
+		b.Run(fmt.Sprint(tenantCount), func(b *testing.B) {
 			tracker := New(Config{})
-			for i := range tenants {
-				tracker.Charge(start, shared, fmt.Sprint(i), float64(1000*i))
-				tracker.Refuse(start, shared, fmt.Sprint(i), 1000)
+			for i := range tenantCount {
+				tracker.Charge(startTime, testPool, fmt.Sprint(i), float64(1000*i))
+				tracker.RecordRefusal(startTime, testPool, fmt.Sprint(i), 1000)
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				tracker.Excess(start.Add(time.Duration(i)*levelTime), shared, "1")
+				tracker.Excess(startTime.Add(time.Duration(i)*measureInterval), testPool, "1")
 			}
 		})
 	}
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,19 +1,18 @@
-// Package fairshare finds the tenants that use more of a short service than their fair
-// share, so that they are refused before others.
+// Package fairshare finds the tenants that use more than their fair share of an overloaded
+// service, so that their requests are refused first.
 //
-// A service is short while requests to it are refused because they would queue for too
-// long. Its tenants of one tier then have, for requests of one rank of routes,
-// max-min fair shares of what it serves: tenants
-// that want less than an equal share get all that they want, and those that want more
-// share the rest. What a tenant wants is what was placed for it and what was
-// refused; what the service serves is what was placed for all. Both are decaying sums in
-// prompt tokens (see Cost). While nothing is refused there is no share to be beyond.
-// Shares are weighted: tenants with higher limits have paid for more.
+// A service is overloaded while requests to it are refused because they would queue for too long.
+// The tenants of one tier then have, for the requests of one route rank, max-min fair shares of
+// the service's throughput: tenants whose demand is below an equal share get their whole demand,
+// and the others share the rest. A tenant's demand is what was placed for it plus what was
+// refused, and the throughput is what was placed for all tenants. Both are exponentially decaying
+// sums in prompt tokens (see Cost). While nothing is refused, no tenant exceeds its share. Shares
+// are weighted, because tenants with higher limits have paid for more.
 //
-// Each scheduler counts what it places and tells the others its sums. A scheduler that
-// falls silent counts for nothing after a while, so that shares follow what the others
-// place; one that restarts begins with nothing and limits nobody until something is
-// refused.
+// Each scheduler counts the requests that it places and reports its sums to the other schedulers.
+// The sums of a scheduler that stops reporting expire, so that shares follow what the remaining
+// schedulers place. A restarted scheduler starts without usage and limits nobody until requests
+// are refused.
 //
 // The package has no I/O and no clock.
 package fairshare
@@ -23,68 +22,70 @@
 	"time"
 )
 
-// Pool is what is shared: a service, among the tenants of one tier with requests of one rank.
+// Pool identifies a resource whose fair shares are computed: the throughput of a service for the
+// tenants of one tier and the requests of one route rank. It is unrelated to pools of runners.
 type Pool struct {
 	Service string
-	// Tier counts the tiers of tenants before this one, and Route the ranks of routes.
+	// Tier is the number of higher tenant tiers. Route is the number of higher route ranks.
 	Tier, Route int
 }
 
-// Config sets how shares are measured. The zero value takes the defaults.
+// Config configures a Tracker. Zero fields are replaced by defaults.
 type Config struct {
-	// HalfLife is the time after which half of a use still counts.
+	// HalfLife is the half-life of recorded usage.
 	HalfLife time.Duration
-	// Burst is the use in prompt tokens that is never held against a tenant, so that one
-	// long request does not look like a habit.
+	// Burst is the usage in prompt tokens that is always allowed, so that one long request does
+	// not count as sustained usage.
 	Burst float64
-	// Most is the largest excess.
-	Most float64
+	// MaxExcess is the upper bound of Excess.
+	MaxExcess float64
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	// defaultHalfLife is some times the time that a request takes, so that shares are
-	// steady, and short enough that a tenant whose burst is over is soon as welcome as
-	// others.
+	// defaultHalfLife is several times the duration of a request, so that shares are steady, and
+	// short enough that a tenant recovers soon after a burst.
 	defaultHalfLife = 2 * time.Second
-	// defaultBurst is a few long prompts, in prompt tokens.
+	// defaultBurst is a few long prompts.
 	defaultBurst = 20000
-	// defaultMost is a little above the threefold range of queueing times in which requests
-	// are refused: a tenant beyond that is refused all that some others are.
-	defaultMost = 4
+	// defaultMaxExcess is slightly above the ratio of 3 between the queueing times at which all
+	// and no requests are refused. A tenant at this excess has all of its requests refused as soon
+	// as some requests of other tenants are.
+	defaultMaxExcess = 4
 )
 
-// steepness is the power of the use beyond Burst, over the share, that makes the excess. Requests are refused
-// with a chance that grows with their queue over a threefold range. For a tenant that
-// wants several times its share to be refused most of the time where others are not
-// refused at all its excess has to reach that, and at this power it does once its use is
-// a third beyond its share.
-const steepness = 4
+// excessExponent is the exponent applied to the ratio of the usage above Burst to the fair share.
+// The chance of a refusal grows with the queueing time over a range of ratio 3. A tenant with a
+// demand of several times its share must therefore reach an excess of that ratio to be refused
+// most of the time while others are not refused at all. With this exponent it does so when its
+// usage is a third above its share.
+const excessExponent = 4
 
-// sum is what was placed for a tenant and what was refused, in prompt tokens.
-type sum struct{ used, refused float64 }
+// usage is what was placed for a tenant and what was refused, in prompt tokens.
+type usage struct{ used, refused float64 }
 
-func (s sum) wanted() float64 { return s.used + s.refused }
+func (u usage) demand() float64 { return u.used + u.refused }
 
-func (s sum) plus(other sum) sum { return sum{s.used + other.used, s.refused + other.refused} }
+func (u usage) plus(other usage) usage { return usage{u.used + other.used, u.refused + other.refused} }
 
-func (s sum) times(factor float64) sum { return sum{s.used * factor, s.refused * factor} }
+func (u usage) scaled(factor float64) usage { return usage{u.used * factor, u.refused * factor} }
 
-// use is a tenant's sum, written as of its pool's epoch, with the tenant's weight.
-type use struct {
-	sum
+// weightedUsage is a tenant's usage, normalized to the epoch of its pool, with the tenant's
+// weight.
+type weightedUsage struct {
+	usage
 	weight float64
 }
 
-// Tracker holds the recent use of services by tenants. It is not safe for concurrent use.
+// Tracker records the recent usage of services by tenants. It is not safe for concurrent use.
 type Tracker struct {
-	config  Config
-	pools   map[Pool]*pool
-	weights map[string]float64
-	sweepAt time.Time
+	config     Config
+	poolStates map[Pool]*poolState
+	weights    map[string]float64
+	nextSweep  time.Time
 }
 
-// New returns a tracker that knows of no use.
+// New returns a Tracker without recorded usage.
 func New(config Config) *Tracker {
 	if config.HalfLife <= 0 {
 		config.HalfLife = defaultHalfLife
@@ -92,27 +93,27 @@
 	if config.Burst <= 0 {
 		config.Burst = defaultBurst
 	}
-	if config.Most < 1 {
-		config.Most = defaultMost
+	if config.MaxExcess < 1 {
+		config.MaxExcess = defaultMaxExcess
 	}
-	return &Tracker{config: config, pools: map[Pool]*pool{}}
+	return &Tracker{config: config, poolStates: map[Pool]*poolState{}}
 }
 
-// SetWeights takes over the weights of tenants, of any unit; nil weighs all alike. A tenant
-// that is not among them weighs as much as the others in the mean.
+// SetWeights replaces the weights of the tenants. The unit does not matter, and nil gives all
+// tenants equal weights. A tenant without a weight gets the mean weight.
 func (t *Tracker) SetWeights(weights map[string]float64) {
-	sum := 0.0
+	total := 0.0
 	for _, weight := range weights {
-		sum += weight
+		total += weight
 	}
 	t.weights = make(map[string]float64, len(weights))
 	for tenant, weight := range weights {
 		if weight > 0 {
-			t.weights[tenant] = weight / sum * float64(len(weights))
+			t.weights[tenant] = weight / total * float64(len(weights))
 		}
 	}
-	for _, p := range t.pools {
-		for tenant, u := range p.own {
+	for _, p := range t.poolStates {
+		for tenant, u := range p.local {
 			u.weight = t.weight(tenant)
 		}
 	}
@@ -125,117 +126,117 @@
 	return 1
 }
 
-// pool is the use of one service by the tenants of one tier.
-type pool struct {
-	// own is what this scheduler placed and refused, by tenant, and refused what it
-	// refused of all. They are written as of the epoch: what is added later is multiplied
-	// by what the earlier sums have lost since, so that nothing has to be decayed.
-	own     map[string]*use
-	refused float64
-	epoch   time.Time
-	// told is what other schedulers told, by scheduler.
-	told map[string]*toldSums
-	// excess holds the tenants that were beyond their share at levelAt.
-	excess  map[string]float64
-	levelAt time.Time
+// poolState is the usage of one pool.
+type poolState struct {
+	// local is what this scheduler placed and refused, by tenant, and localRefused is the total
+	// that it refused. Both are normalized to the epoch: later amounts are scaled up by the decay
+	// since the epoch, so that the stored sums need not be decayed.
+	local        map[string]*weightedUsage
+	localRefused float64
+	epoch        time.Time
+	// remote is the usage reported by other schedulers, by scheduler.
+	remote map[string]*remoteUsage
+	// excess holds the tenants that were above their share at measuredAt.
+	excess     map[string]float64
+	measuredAt time.Time
 }
 
-// Charge counts a request placed for the tenant.
-func (t *Tracker) Charge(now time.Time, of Pool, tenant string, cost float64) {
-	t.add(now, of, tenant, sum{used: cost})
+// Charge records the cost of a request placed for the tenant.
+func (t *Tracker) Charge(now time.Time, key Pool, tenant string, cost float64) {
+	t.add(now, key, tenant, usage{used: cost})
 }
 
-// Refuse counts a request of the tenant that was refused as the service is short: one that
-// any other tenant would have been refused as well. What is refused only for the tenant's
-// share does not show that the service is short.
-func (t *Tracker) Refuse(now time.Time, of Pool, tenant string, cost float64) {
-	t.add(now, of, tenant, sum{refused: cost})
+// RecordRefusal records the cost of a request that was refused because the service is overloaded,
+// so that any other tenant's request would have been refused as well. A request that was refused
+// only because of the tenant's excess must not be recorded, as it does not show an overload.
+func (t *Tracker) RecordRefusal(now time.Time, key Pool, tenant string, cost float64) {
+	t.add(now, key, tenant, usage{refused: cost})
 }
 
-// Refund takes back what is left of what was charged at the moment for a request that no
-// runner has run.
-func (t *Tracker) Refund(now, charged time.Time, of Pool, tenant string, cost float64) {
-	t.add(now, of, tenant, sum{used: -cost * t.left(now, charged)})
+// Refund cancels a charge made at chargedAt for a request that no runner has executed. It
+// subtracts only what remains of the charge after decay.
+func (t *Tracker) Refund(now, chargedAt time.Time, key Pool, tenant string, cost float64) {
+	t.add(now, key, tenant, usage{used: -cost * t.decayFactor(now, chargedAt)})
 }
 
-// add counts an amount for the tenant. Requests without a tenant share with nobody.
-func (t *Tracker) add(now time.Time, of Pool, tenant string, amount sum) {
+// add records usage of the tenant. Requests without a tenant are ignored.
+func (t *Tracker) add(now time.Time, key Pool, tenant string, amount usage) {
 	if tenant == "" {
 		return
 	}
 	t.sweep(now)
-	p := t.pool(now, of)
-	u := p.own[tenant]
+	p := t.state(now, key)
+	u := p.local[tenant]
 	if u == nil {
-		u = &use{weight: t.weight(tenant)}
-		p.own[tenant] = u
+		u = &weightedUsage{weight: t.weight(tenant)}
+		p.local[tenant] = u
 	}
-	amount = amount.times(1 / t.left(now, p.epoch))
-	u.sum = u.plus(amount)
+	amount = amount.scaled(1 / t.decayFactor(now, p.epoch))
+	u.usage = u.plus(amount)
 	u.used = math.Max(u.used, 0)
-	p.refused += amount.refused
+	p.localRefused += amount.refused
 }
 
-func (t *Tracker) pool(now time.Time, of Pool) *pool {
-	p := t.pools[of]
+func (t *Tracker) state(now time.Time, key Pool) *poolState {
+	p := t.poolStates[key]
 	if p == nil {
-		p = &pool{own: map[string]*use{}, epoch: now, told: map[string]*toldSums{}}
-		t.pools[of] = p
+		p = &poolState{local: map[string]*weightedUsage{}, epoch: now, remote: map[string]*remoteUsage{}}
+		t.poolStates[key] = p
 	}
 	return p
 }
 
-// left is the part of a use that still counts.
-func (t *Tracker) left(now, at time.Time) float64 {
-	elapsed := now.Sub(at)
+// decayFactor returns the part of a usage recorded at from that still counts at now.
+func (t *Tracker) decayFactor(now, from time.Time) float64 {
+	elapsed := now.Sub(from)
 	if elapsed <= 0 {
 		return 1
 	}
-	return math.Exp2(-math.Min(elapsed.Seconds()/t.config.HalfLife.Seconds(), mostHalfLives))
+	return math.Exp2(-math.Min(elapsed.Seconds()/t.config.HalfLife.Seconds(), maxHalfLives))
 }
 
 const (
-	// sweepInterval is how often uses that have decayed are forgotten, to bound memory.
+	// sweepInterval is how often decayed usage is removed to bound memory.
 	sweepInterval = 5 * time.Second
-	// leastUse is what is forgotten, in prompt tokens: less than any request.
-	leastUse = 1
-	// mostHalfLives bounds how small a part of a use may count: anything is forgotten
-	// long before.
-	mostHalfLives = 500
+	// minUsage is the usage in prompt tokens below which it is removed. Any request costs more.
+	minUsage = 1
+	// maxHalfLives bounds the exponent of the decay. Usage is removed long before.
+	maxHalfLives = 500
 )
 
-// sweep forgets tenants and pools that have decayed.
+// sweep removes decayed tenants and pools. It runs at most once per sweepInterval.
 func (t *Tracker) sweep(now time.Time) {
-	if now.Before(t.sweepAt) {
+	if now.Before(t.nextSweep) {
 		return
 	}
-	t.sweepAt = now.Add(sweepInterval)
-	for of, p := range t.pools {
-		t.renew(now, p)
-		p.dropStale(now)
-		if len(p.own) == 0 && len(p.told) == 0 {
-			delete(t.pools, of)
+	t.nextSweep = now.Add(sweepInterval)
+	for key, p := range t.poolStates {
+		t.startEpoch(now, p)
+		p.dropExpiredRemote(now)
+		if len(p.local) == 0 && len(p.remote) == 0 {
+			delete(t.poolStates, key)
 		}
 	}
 }
 
-// renew begins a new epoch, and forgets tenants whose use has decayed.
-func (t *Tracker) renew(now time.Time, p *pool) {
-	left := t.left(now, p.epoch)
-	p.epoch, p.refused = now, 0
-	for tenant, u := range p.own {
-		if u.sum = u.times(left); u.wanted() < leastUse {
-			delete(p.own, tenant)
+// startEpoch normalizes the local usage to a new epoch and removes tenants whose usage has
+// decayed.
+func (t *Tracker) startEpoch(now time.Time, p *poolState) {
+	decay := t.decayFactor(now, p.epoch)
+	p.epoch, p.localRefused = now, 0
+	for tenant, u := range p.local {
+		if u.usage = u.scaled(decay); u.demand() < minUsage {
+			delete(p.local, tenant)
 		}
-		p.refused += u.refused
+		p.localRefused += u.refused
 	}
 }
 
-// Tenants counts the tenants whose use is remembered.
-func (t *Tracker) Tenants() int {
+// TenantCount returns the number of tenants with recorded usage, summed over all pools.
+func (t *Tracker) TenantCount() int {
 	count := 0
-	for _, p := range t.pools {
-		count += len(p.own)
+	for _, p := range t.poolStates {
+		count += len(p.local)
 	}
 	return count
 }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -80,7 +80,7 @@
 }
 
 // fades is the time in which the use of a tenant with the excess falls to its share.
-func (s *shares) fades(excess float64) time.Duration { return s.tracker.Fades(excess) }
+func (s *shares) fades(excess float64) time.Duration { return s.tracker.RecoveryTime(excess) }
 
 // noteChoice counts what became of a choice, if this router places requests for all, but for
 // refusals for a share: these do not show that the service is short.
@@ -97,7 +97,7 @@
 	case placement.Picked:
 		s.tracker.Charge(now, poolOf(query), query.Tenant, cost)
 	case placement.Overloaded:
-		s.tracker.Refuse(now, poolOf(query), query.Tenant, cost)
+		s.tracker.RecordRefusal(now, poolOf(query), query.Tenant, cost)
 	}
 }
 
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -87,7 +87,7 @@
 	chosen, _, forShare := g.decideWith(now, query("hot"), time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Overloaded))
 	e.Expect(forShare).To(BeTrue())
-	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.Fades(beyond)), "not before its use has faded")
+	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.RecoveryTime(beyond)), "not before its use has faded")
 	chosen, _, forShare = g.decideWith(now, query("calm"), time.Minute, 1)
 	e.Expect(chosen.Status).To(Equal(placement.Picked))
 	e.Expect(forShare).To(BeFalse())
@@ -108,7 +108,7 @@
 		g.ask(now, "hot")
 	}
 	e.Expect(g.shares.excess(now, query("hot"))).To(Equal(1.0))
-	e.Expect(g.shares.tracker.Tenants()).To(BeZero())
+	e.Expect(g.shares.tracker.TenantCount()).To(BeZero())
 }
 
 func TestWhatNoRunnerRanIsNotCounted(t *testing.T) {
@@ -133,7 +133,7 @@
 			now = now.Add(time.Second)
 			calm := query("calm")
 			g.shares.tracker.Charge(now, poolOf(calm), "calm", 4000)
-			g.shares.tracker.Refuse(now, poolOf(calm), "calm", 1e6)
+			g.shares.tracker.RecordRefusal(now, poolOf(calm), "calm", 1e6)
 			if test.excess {
 				e.Expect(g.shares.excess(now, query("hot"))).To(BeNumerically(">", 1))
 			} else {
@@ -158,7 +158,7 @@
 			q := query(tenant)
 			q.Service = service
 			g.shares.tracker.Charge(now, poolOf(q), tenant, 1e6)
-			g.shares.tracker.Refuse(now, poolOf(q), tenant, 1e6)
+			g.shares.tracker.RecordRefusal(now, poolOf(q), tenant, 1e6)
 		}
 	}
 	share := &wire.LoadShare{Uses: g.shares.uses(now)}
@@ -189,7 +189,7 @@
 		first.ask(now, "hot")
 	}
 	second.shares.tracker.Charge(now, poolOf(query("calm")), "calm", 1e5)
-	second.shares.tracker.Refuse(now, poolOf(query("calm")), "calm", 1e5)
+	second.shares.tracker.RecordRefusal(now, poolOf(query("calm")), "calm", 1e5)
 	e.Expect(second.shares.excess(now, query("hot"))).To(Equal(1.0))
 	second.schedulers.told("first", &wire.LoadShare{Full: true, Uses: first.shares.uses(now)})
 	now = now.Add(time.Second)
--- a/internal/gateway/shareuses.go
+++ b/internal/gateway/shareuses.go
@@ -22,7 +22,7 @@
 // summary returns the tenants beyond their shares for the status.
 func (s *shares) summary(now time.Time) []BeyondShare {
 	var summary []BeyondShare
-	for _, beyond := range s.tracker.Beyond(now, mostBeyond) {
+	for _, beyond := range s.tracker.TopExcesses(now, mostBeyond) {
 		summary = append(summary, BeyondShare{Tenant: beyond.Tenant, Service: beyond.Service, Excess: beyond.Excess})
 	}
 	return summary
@@ -32,13 +32,13 @@
 func (s *shares) tenants() float64 {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	return float64(s.tracker.Tenants())
+	return float64(s.tracker.TenantCount())
 }
 
 // uses returns what other schedulers are to be told of recent use.
 func (s *shares) uses(now time.Time) []*wire.PoolUse {
 	var uses []*wire.PoolUse
-	for _, sums := range s.tracker.Sums(now) {
+	for _, sums := range s.tracker.LocalUsage(now) {
 		use := &wire.PoolUse{Service: sums.Service, Tier: uint32(sums.Tier), RouteRank: uint32(sums.Route)}
 		for _, tenant := range sums.Tenants {
 			use.Tenants = append(use.Tenants, &wire.TenantUse{Tenant: tenant.Tenant, Used: tokens(tenant.Used), Refused: tokens(tenant.Refused)})
@@ -55,11 +55,11 @@
 	if len(share.GetUses()) == 0 {
 		return
 	}
-	var all []fairshare.Sums
+	var all []fairshare.PoolUsage
 	for _, use := range share.GetUses() {
-		sums := fairshare.Sums{Pool: fairshare.Pool{Service: use.GetService(), Tier: int(use.GetTier()), Route: int(use.GetRouteRank())}}
+		sums := fairshare.PoolUsage{Pool: fairshare.Pool{Service: use.GetService(), Tier: int(use.GetTier()), Route: int(use.GetRouteRank())}}
 		for _, tenant := range use.GetTenants() {
-			sums.Tenants = append(sums.Tenants, fairshare.Sum{Tenant: tenant.GetTenant(), Used: float64(tenant.GetUsed()), Refused: float64(tenant.GetRefused())})
+			sums.Tenants = append(sums.Tenants, fairshare.TenantUsage{Tenant: tenant.GetTenant(), Used: float64(tenant.GetUsed()), Refused: float64(tenant.GetRefused())})
 		}
 		all = append(all, sums)
 	}
