--- a/internal/backend/cachedparts.go
+++ b/internal/backend/cachedparts.go
@@ -108,7 +108,7 @@
 // NoteRead notes that the runner has read the prompt and so keeps its shared parts.
 func (s *Set) NoteRead(now time.Time, id string, query Query, weights uint64) {
 	if len(query.Shared) > 0 && s.entries[id] != nil {
-		s.cached.Note(now, cacheindex.Holder{Runner: id}, query.anchors(weights))
+		s.cached.AddProvisional(now, cacheindex.Holder{Runner: id}, query.anchors(weights))
 	}
 }
 
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -94,7 +94,7 @@
 	split := s.split(now, query, len(entries))
 	home := s.home(now, entries, query, split)
 	zone := cmp.Or(query.Zone, s.zone)
-	s.cached.Expire(now)
+	s.cached.ExpireProvisional(now)
 	kept := &keptByWeights{set: s, query: &query, known: map[uint64]keptParts{}}
 	candidates := make([]placement.Candidate, 0, len(entries))
 	var slots slotCount
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -114,8 +114,8 @@
 	}
 	delete(s.entries, id)
 	delete(s.changed, id)
-	s.cached.Forget(id)
-	s.cached.Sweep()
+	s.cached.RemoveRunner(id)
+	s.cached.RemoveStale()
 	for _, other := range s.others {
 		delete(other.loads, id)
 	}
--- a/internal/cacheindex/feed.go
+++ b/internal/cacheindex/feed.go
@@ -5,81 +5,84 @@
 	"slices"
 )
 
-// PartChange says that a holder keeps a prompt part, or no longer does.
+// PartChange reports that a holder has cached a prompt part or, if Removed is set, no longer has
+// it.
 type PartChange struct {
 	Holder  string
 	Part    uint64
 	Removed bool
 }
 
-// FeedDelta is what changed in a feed after one position up to another.
+// FeedDelta contains the changes of a feed between two positions.
 type FeedDelta struct {
-	// Through is the position that the changes lead to.
+	// Through is the position after the changes.
 	Through uint64
-	// Full deltas hold everything; what else was known is dropped.
+	// Full is set if Changes contains the whole state, which replaces what the follower knew
+	// before.
 	Full    bool
 	Changes []PartChange
 }
 
-// Limits of a feed.
+// Limits of a Feed.
 const (
-	// maxFeedLog is how many changes a feed keeps for those that follow it: four
-	// seconds at an estimated 1,000 changes a second of 90 runners. Older ones get everything.
-	maxFeedLog = 4096
-	// maxFeedParts bounds the parts of one feed, each some 20 bytes of a map: four
-	// megabytes. 90 runners keep some 20,000 (estimated). Further ones are not taken.
+	// maxFeedLogLength is the number of changes that a feed keeps for its followers. It covers
+	// four seconds at an estimated 1,000 changes per second from 90 runners. Followers that are
+	// further behind get the whole state.
+	maxFeedLogLength = 4096
+	// maxFeedParts bounds the parts in a feed. Each takes about 20 bytes of a map, so the limit is
+	// about 4 MB. 90 runners hold an estimated 20,000 parts. Further parts are ignored.
 	maxFeedParts = 200_000
 )
 
-// Feed collects which holders keep which prompt parts, as one router reads it
-// from all of them, and publishes it to those that follow.
+// Feed records which holders have cached which prompt parts, as read by one router from all
+// holders, and provides the changes to followers.
 //
 // It has no I/O and no clock, and is not safe for concurrent use.
 type Feed struct {
-	// kept holds the parts of each holder, and size is how many there are in all.
-	kept map[string]map[uint64]bool
-	size int
-	log  []PartChange
-	// through is the position of the newest change.
-	through uint64
+	// partsByHolder holds the parts of each holder. partCount is their total number.
+	partsByHolder map[string]map[uint64]bool
+	partCount     int
+	log           []PartChange
+	// lastPosition is the position of the latest change.
+	lastPosition uint64
 }
 
-// NewFeed returns an empty feed.
+// NewFeed returns an empty Feed.
 func NewFeed() *Feed {
-	return &Feed{kept: map[string]map[uint64]bool{}}
+	return &Feed{partsByHolder: map[string]map[uint64]bool{}}
 }
 
-// Add notes that the holder keeps the part.
+// Add records that the holder has cached the part.
 func (f *Feed) Add(holder string, part uint64) {
-	if f.kept[holder][part] || f.size >= maxFeedParts {
+	if f.partsByHolder[holder][part] || f.partCount >= maxFeedParts {
 		return
 	}
-	if f.kept[holder] == nil {
-		f.kept[holder] = map[uint64]bool{}
+	if f.partsByHolder[holder] == nil {
+		f.partsByHolder[holder] = map[uint64]bool{}
 	}
-	f.kept[holder][part] = true
-	f.size++
-	f.publish(PartChange{Holder: holder, Part: part})
+	f.partsByHolder[holder][part] = true
+	f.partCount++
+	f.appendChange(PartChange{Holder: holder, Part: part})
 }
 
-// Remove notes that the holder no longer keeps the part.
+// Remove records that the holder no longer has the part.
 func (f *Feed) Remove(holder string, part uint64) {
-	if !f.kept[holder][part] {
+	if !f.partsByHolder[holder][part] {
 		return
 	}
-	delete(f.kept[holder], part)
-	f.size--
-	f.publish(PartChange{Holder: holder, Part: part, Removed: true})
+	delete(f.partsByHolder[holder], part)
+	f.partCount--
+	f.appendChange(PartChange{Holder: holder, Part: part, Removed: true})
 }
 
-// Replace takes a whole list of what the holder keeps.
+// Replace replaces all parts of the holder.
 func (f *Feed) Replace(holder string, parts []uint64) {
-	kept := make(map[uint64]bool, len(parts))
+	listed := make(map[uint64]bool, len(parts))
 	for _, part := range parts {
-		kept[part] = true
+		listed[part] = true
 	}
-	for _, part := range slices.Collect(maps.Keys(f.kept[holder])) {
-		if !kept[part] {
+	for _, part := range slices.Collect(maps.Keys(f.partsByHolder[holder])) {
+		if !listed[part] {
 			f.Remove(holder, part)
 		}
 	}
@@ -88,7 +91,7 @@
 	}
 }
 
-// Apply takes what changed in another feed.
+// Apply applies a delta of another feed.
 func (f *Feed) Apply(delta FeedDelta) {
 	if delta.Full {
 		f.replaceAll(delta.Changes)
@@ -103,50 +106,50 @@
 	}
 }
 
-// replaceAll takes everything that all holders keep.
-func (f *Feed) replaceAll(kept []PartChange) {
+// replaceAll replaces the parts of all holders.
+func (f *Feed) replaceAll(entries []PartChange) {
 	parts := map[string][]uint64{}
-	for _, change := range kept {
+	for _, change := range entries {
 		parts[change.Holder] = append(parts[change.Holder], change.Part)
 	}
-	f.Retain(func(holder string) bool { return parts[holder] != nil })
+	f.RetainHolders(func(holder string) bool { return parts[holder] != nil })
 	for holder, list := range parts {
 		f.Replace(holder, list)
 	}
 }
 
-// Retain drops every holder that is not listed.
-func (f *Feed) Retain(listed func(holder string) bool) {
-	for _, holder := range slices.Collect(maps.Keys(f.kept)) {
-		if !listed(holder) {
+// RetainHolders removes all holders for which retain returns false.
+func (f *Feed) RetainHolders(retain func(holder string) bool) {
+	for _, holder := range slices.Collect(maps.Keys(f.partsByHolder)) {
+		if !retain(holder) {
 			f.Replace(holder, nil)
-			delete(f.kept, holder)
+			delete(f.partsByHolder, holder)
 		}
 	}
 }
 
-func (f *Feed) publish(change PartChange) {
-	f.through++
+func (f *Feed) appendChange(change PartChange) {
+	f.lastPosition++
 	f.log = append(f.log, change)
-	if len(f.log) >= 2*maxFeedLog {
-		f.log = append([]PartChange(nil), f.log[len(f.log)-maxFeedLog:]...)
+	if len(f.log) >= 2*maxFeedLogLength {
+		f.log = append([]PartChange(nil), f.log[len(f.log)-maxFeedLogLength:]...)
 	}
 }
 
-// Since returns what changed after the position, or everything when that is no
-// longer known.
+// Since returns the changes after the position, or a snapshot if they are no longer available or
+// the position is not one of this feed.
 func (f *Feed) Since(position uint64) FeedDelta {
-	oldest := f.through - uint64(len(f.log))
-	if position > f.through || position < oldest {
-		return f.Whole()
+	oldest := f.lastPosition - uint64(len(f.log))
+	if position > f.lastPosition || position < oldest {
+		return f.Snapshot()
 	}
-	return FeedDelta{Through: f.through, Changes: slices.Clone(f.log[position-oldest:])}
+	return FeedDelta{Through: f.lastPosition, Changes: slices.Clone(f.log[position-oldest:])}
 }
 
-// Whole returns everything.
-func (f *Feed) Whole() FeedDelta {
-	delta := FeedDelta{Through: f.through, Full: true}
-	for holder, parts := range f.kept {
+// Snapshot returns the whole state as a full delta.
+func (f *Feed) Snapshot() FeedDelta {
+	delta := FeedDelta{Through: f.lastPosition, Full: true}
+	for holder, parts := range f.partsByHolder {
 		for part := range parts {
 			delta.Changes = append(delta.Changes, PartChange{Holder: holder, Part: part})
 		}
--- a/internal/cacheindex/feed_test.go
+++ b/internal/cacheindex/feed_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAFeedTellsEachChangeOnce(t *testing.T) {
+func TestFeedReportsEachChangeOnce(t *testing.T) {
 	g := NewWithT(t)
 	feed := NewFeed()
 	feed.Add("a", 1)
@@ -20,26 +20,25 @@
 	g.Expect(feed.Since(1).Changes).To(Equal([]PartChange{{Holder: "b", Part: 1}, {Holder: "a", Part: 1, Removed: true}}))
 }
 
-func TestAPositionThatIsTooOldGetsEverything(t *testing.T) {
+func TestFeedReturnsSnapshotForUnknownPosition(t *testing.T) {
 	g := NewWithT(t)
 	feed := NewFeed()
-	for part := range uint64(3 * maxFeedLog) {
+	for part := range uint64(3 * maxFeedLogLength) {
 		feed.Add("a", part)
 		feed.Add("b", part)
 		feed.Remove("a", part)
 	}
 	delta := feed.Since(1)
 	g.Expect(delta.Full).To(BeTrue())
-	g.Expect(delta.Changes).To(HaveLen(3 * maxFeedLog))
-	g.Expect(feed.Since(feed.through+1).Full).To(BeTrue(), "a position of another feed")
-	g.Expect(feed.Since(feed.through).Changes).To(BeEmpty())
+	g.Expect(delta.Changes).To(HaveLen(3 * maxFeedLogLength))
+	g.Expect(feed.Since(feed.lastPosition+1).Full).To(BeTrue(), "a position beyond the last one belongs to another feed")
+	g.Expect(feed.Since(feed.lastPosition).Changes).To(BeEmpty())
 }
 
-// Whatever happens, whoever follows a feed knows exactly which parts their
-// holders keep.
-func TestFollowersOfAFeedKnowWhatIsKept(t *testing.T) {
+// After any sequence of updates, a follower of a feed knows exactly which parts the holders have.
+func TestFeedFollowerStaysInSync(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		feed, truth := NewFeed(), map[string]map[uint64]bool{}
+		feed, expected := NewFeed(), map[string]map[uint64]bool{}
 		follower, position := map[PartChange]bool{}, uint64(0)
 		holder := rapid.SampledFrom([]string{"a", "b", "c"})
 		part := rapid.Uint64Range(1, 6)
@@ -57,42 +56,42 @@
 			"add": func(t *rapid.T) {
 				h, p := holder.Draw(t, "holder"), part.Draw(t, "part")
 				feed.Add(h, p)
-				if truth[h] == nil {
-					truth[h] = map[uint64]bool{}
+				if expected[h] == nil {
+					expected[h] = map[uint64]bool{}
 				}
-				truth[h][p] = true
+				expected[h][p] = true
 			},
 			"remove": func(t *rapid.T) {
 				h, p := holder.Draw(t, "holder"), part.Draw(t, "part")
 				feed.Remove(h, p)
-				delete(truth[h], p)
+				delete(expected[h], p)
 			},
 			"list": func(t *rapid.T) {
 				h, parts := holder.Draw(t, "holder"), rapid.SliceOf(part).Draw(t, "parts")
 				feed.Replace(h, parts)
-				truth[h] = map[uint64]bool{}
+				expected[h] = map[uint64]bool{}
 				for _, p := range parts {
-					truth[h][p] = true
+					expected[h][p] = true
 				}
 			},
 			"gone": func(t *rapid.T) {
 				h := holder.Draw(t, "holder")
-				feed.Retain(func(each string) bool { return each != h })
-				delete(truth, h)
+				feed.RetainHolders(func(each string) bool { return each != h })
+				delete(expected, h)
 			},
 			"pull": func(*rapid.T) { pull() },
 			"": func(t *rapid.T) {
 				pull()
-				for h, parts := range truth {
+				for h, parts := range expected {
 					for p := range parts {
 						if !follower[PartChange{Holder: h, Part: p}] {
-							t.Fatalf("the follower does not know that %s keeps %d", h, p)
+							t.Fatalf("the follower does not know that %s has part %d", h, p)
 						}
 					}
 				}
 				for change, kept := range follower {
-					if kept && !truth[change.Holder][change.Part] {
-						t.Fatal(fmt.Sprint("follower believes ", change))
+					if kept && !expected[change.Holder][change.Part] {
+						t.Fatal(fmt.Sprint("the follower has a part that the holder lacks: ", change))
 					}
 				}
 			},
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -1,10 +1,9 @@
-// Package cacheindex is one shard of the index of cached prompt blocks: which
-// runner holds which anchor block.
+// Package cacheindex implements one shard of the index of cached prompt blocks. The index records
+// which runners hold which anchor blocks.
 //
-// The index is a hint. Its entries name the runner's incarnation, and the
-// engine checks incarnation and weight version at dispatch, so a wrong entry
-// costs a hit and never correctness. The shard has no I/O and no clock of its
-// own.
+// The index is only a hint. Its entries name the runner's incarnation, and the engine checks
+// incarnation and weight version at dispatch, so a wrong entry can cause a cache miss but never a
+// wrong answer. The package has no I/O and no clock of its own.
 package cacheindex
 
 import (
@@ -14,253 +13,255 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-// Holder is a runner process that may hold a block.
+// Holder is a runner process that may hold blocks.
 type Holder struct {
 	Runner      string
 	Incarnation uint64
 }
 
-// reference is a small number for a holder; references are never used twice.
-type reference uint32
+// holderID is a compact identifier of a Holder. IDs are never reused.
+type holderID uint32
 
-// Match is how much of a prompt a holder has cached.
+// Match is the length of the prompt prefix that a holder has cached.
 type Match struct {
 	Holder Holder
 	// Depth is the number of blocks from the start of the prompt.
 	Depth int
 }
 
-// provisional is an entry noted ahead of the engine's events.
-type provisional struct {
-	hash      uint64
-	reference reference
+// provisionalEntry identifies an entry that was added before the engine reported the block.
+type provisionalEntry struct {
+	hash   uint64
+	holder holderID
 }
 
 // Shard maps anchor hashes to holders. It is not safe for concurrent use.
 type Shard struct {
-	holders map[reference]Holder
-	byName  map[string]reference
-	next    reference
+	holders    map[holderID]Holder
+	idByRunner map[string]holderID
+	lastID     holderID
 
-	// first holds the only holder of most blocks; more holds the further ones.
-	first map[uint64]reference
-	more  map[uint64][]reference
+	// firstHolder is the first holder of each block, which for most blocks is the only one.
+	// otherHolders lists the further holders.
+	firstHolder  map[uint64]holderID
+	otherHolders map[uint64][]holderID
 
-	unconfirmed map[provisional]time.Time
-	// confirmAfter is how long an entry may wait for the engine's own event.
-	confirmAfter time.Duration
-	nextExpiry   time.Time
+	unconfirmed map[provisionalEntry]time.Time
+	// confirmTimeout is how long a provisional entry is kept without an event of the engine.
+	confirmTimeout  time.Duration
+	nextExpiryCheck time.Time
 }
 
-// NewShard returns an empty shard. Entries noted ahead of events are dropped
-// when no event confirms them within confirmAfter.
-func NewShard(confirmAfter time.Duration) *Shard {
+// NewShard returns an empty Shard. Provisional entries are removed if no event of the engine
+// confirms them within confirmTimeout.
+func NewShard(confirmTimeout time.Duration) *Shard {
 	return &Shard{
-		holders:      map[reference]Holder{},
-		byName:       map[string]reference{},
-		first:        map[uint64]reference{},
-		more:         map[uint64][]reference{},
-		unconfirmed:  map[provisional]time.Time{},
-		confirmAfter: confirmAfter,
+		holders:        map[holderID]Holder{},
+		idByRunner:     map[string]holderID{},
+		firstHolder:    map[uint64]holderID{},
+		otherHolders:   map[uint64][]holderID{},
+		unconfirmed:    map[provisionalEntry]time.Time{},
+		confirmTimeout: confirmTimeout,
 	}
 }
 
-// reference returns the holder's number. A newer incarnation of the runner
-// gets a new number, and all entries of the old one die with the old number;
-// an older incarnation gets none.
-func (s *Shard) reference(holder Holder) (reference, bool) {
-	current, found := s.byName[holder.Runner]
+// idOf returns the ID of the holder. A newer incarnation of the runner gets a new ID, which makes
+// all entries of the old one stale. For an older incarnation it returns false.
+func (s *Shard) idOf(holder Holder) (holderID, bool) {
+	current, found := s.idByRunner[holder.Runner]
 	if found {
-		known := s.holders[current].Incarnation
-		if known == holder.Incarnation {
+		knownIncarnation := s.holders[current].Incarnation
+		if knownIncarnation == holder.Incarnation {
 			return current, true
 		}
-		if known > holder.Incarnation {
+		if knownIncarnation > holder.Incarnation {
 			return 0, false
 		}
 	}
-	return s.renew(holder), true
+	return s.assignID(holder), true
 }
 
-func (s *Shard) renew(holder Holder) reference {
-	if old, found := s.byName[holder.Runner]; found {
+func (s *Shard) assignID(holder Holder) holderID {
+	if old, found := s.idByRunner[holder.Runner]; found {
 		delete(s.holders, old)
 	}
-	s.next++
-	s.byName[holder.Runner] = s.next
-	s.holders[s.next] = holder
-	return s.next
+	s.lastID++
+	s.idByRunner[holder.Runner] = s.lastID
+	s.holders[s.lastID] = holder
+	return s.lastID
 }
 
-// Reset drops every entry of the runner, because a full list of its blocks follows
-// or because its process is another one.
+// Reset drops all entries of the holder's runner, either because a snapshot of its blocks follows
+// or because its process has been replaced.
 func (s *Shard) Reset(holder Holder) {
-	if _, current := s.reference(holder); current {
-		s.renew(holder)
+	if _, current := s.idOf(holder); current {
+		s.assignID(holder)
 	}
 }
 
-// Forget drops every entry of the runner and the runner itself.
-func (s *Shard) Forget(runner string) {
-	if old, found := s.byName[runner]; found {
+// RemoveRunner drops the runner and all of its entries.
+func (s *Shard) RemoveRunner(runner string) {
+	if old, found := s.idByRunner[runner]; found {
 		delete(s.holders, old)
-		delete(s.byName, runner)
+		delete(s.idByRunner, runner)
 	}
 }
 
-// Add records blocks that the engine says it has cached.
+// Add records blocks that the engine reported as cached.
 func (s *Shard) Add(holder Holder, hashes ...uint64) {
-	number, current := s.reference(holder)
+	id, current := s.idOf(holder)
 	if !current {
 		return
 	}
 	for _, hash := range hashes {
-		s.insert(hash, number)
+		s.insertEntry(hash, id)
 		if len(s.unconfirmed) > 0 {
-			delete(s.unconfirmed, provisional{hash, number})
+			delete(s.unconfirmed, provisionalEntry{hash, id})
 		}
 	}
 }
 
-// Remove records blocks that the engine says it has evicted.
+// Remove records blocks that the engine reported as evicted.
 func (s *Shard) Remove(holder Holder, hashes ...uint64) {
-	number, found := s.byName[holder.Runner]
-	if !found || s.holders[number].Incarnation != holder.Incarnation {
+	id, found := s.idByRunner[holder.Runner]
+	if !found || s.holders[id].Incarnation != holder.Incarnation {
 		return
 	}
 	for _, hash := range hashes {
-		s.erase(hash, number)
+		s.removeEntry(hash, id)
 	}
 }
 
-// Note records that a request was just sent to the holder, so that requests
-// with the same prefix follow it before the engine's events arrive.
-func (s *Shard) Note(now time.Time, holder Holder, anchors []prefix.Anchor) {
-	number, current := s.reference(holder)
+// AddProvisional records that a request was just sent to the holder, so that requests with the
+// same prefix go to the same runner before the engine's events arrive.
+func (s *Shard) AddProvisional(now time.Time, holder Holder, anchors []prefix.Anchor) {
+	id, current := s.idOf(holder)
 	if !current {
 		return
 	}
 	for _, anchor := range anchors {
-		if s.insert(anchor.Hash, number) {
-			s.unconfirmed[provisional{anchor.Hash, number}] = now.Add(s.confirmAfter)
+		if s.insertEntry(anchor.Hash, id) {
+			s.unconfirmed[provisionalEntry{anchor.Hash, id}] = now.Add(s.confirmTimeout)
 		}
 	}
 }
 
-// Withdraw undoes Note for a request that the engine refused.
-func (s *Shard) Withdraw(holder Holder, anchors []prefix.Anchor) {
-	number, found := s.byName[holder.Runner]
+// RemoveProvisional undoes AddProvisional for a request that the engine refused. Confirmed entries
+// remain.
+func (s *Shard) RemoveProvisional(holder Holder, anchors []prefix.Anchor) {
+	id, found := s.idByRunner[holder.Runner]
 	if !found {
 		return
 	}
 	for _, anchor := range anchors {
-		key := provisional{anchor.Hash, number}
+		key := provisionalEntry{anchor.Hash, id}
 		if _, pending := s.unconfirmed[key]; pending {
 			delete(s.unconfirmed, key)
-			s.erase(anchor.Hash, number)
+			s.removeEntry(anchor.Hash, id)
 		}
 	}
 }
 
-// Expire drops noted entries that no event has confirmed in time.
-func (s *Shard) Expire(now time.Time) {
-	if now.Before(s.nextExpiry) {
+// ExpireProvisional removes provisional entries that were not confirmed in time.
+func (s *Shard) ExpireProvisional(now time.Time) {
+	if now.Before(s.nextExpiryCheck) {
 		return
 	}
-	s.nextExpiry = now.Add(s.confirmAfter / 4)
+	s.nextExpiryCheck = now.Add(s.confirmTimeout / 4)
 	for key, deadline := range s.unconfirmed {
 		if !now.Before(deadline) {
 			delete(s.unconfirmed, key)
-			s.erase(key.hash, key.reference)
+			s.removeEntry(key.hash, key.holder)
 		}
 	}
 }
 
-// insert returns whether the entry is new. The place of a dead reference is
-// used again.
-func (s *Shard) insert(hash uint64, number reference) bool {
-	head, found := s.first[hash]
+// insertEntry adds an entry and reports whether it is new. It replaces a stale entry of the block
+// if there is one.
+func (s *Shard) insertEntry(hash uint64, id holderID) bool {
+	first, found := s.firstHolder[hash]
 	if !found {
-		s.first[hash] = number
+		s.firstHolder[hash] = id
 		return true
 	}
-	rest := s.more[hash]
-	if head == number || slices.Contains(rest, number) {
+	others := s.otherHolders[hash]
+	if first == id || slices.Contains(others, id) {
 		return false
 	}
-	if s.dead(head) {
-		s.first[hash] = number
+	if s.isStale(first) {
+		s.firstHolder[hash] = id
 		return true
 	}
-	if i := slices.IndexFunc(rest, s.dead); i >= 0 {
-		rest[i] = number
+	if i := slices.IndexFunc(others, s.isStale); i >= 0 {
+		others[i] = id
 		return true
 	}
-	s.more[hash] = append(rest, number)
+	s.otherHolders[hash] = append(others, id)
 	return true
 }
 
-func (s *Shard) dead(number reference) bool {
-	_, alive := s.holders[number]
-	return !alive
+func (s *Shard) isStale(id holderID) bool {
+	_, live := s.holders[id]
+	return !live
 }
 
-func (s *Shard) erase(hash uint64, number reference) {
-	rest := s.more[hash]
-	if s.first[hash] == number {
-		if len(rest) == 0 {
-			delete(s.first, hash)
+func (s *Shard) removeEntry(hash uint64, id holderID) {
+	others := s.otherHolders[hash]
+	if s.firstHolder[hash] == id {
+		if len(others) == 0 {
+			delete(s.firstHolder, hash)
 			return
 		}
-		s.first[hash] = rest[len(rest)-1]
-		s.setMore(hash, rest[:len(rest)-1])
+		s.firstHolder[hash] = others[len(others)-1]
+		s.setOtherHolders(hash, others[:len(others)-1])
 		return
 	}
-	for i, other := range rest {
-		if other == number {
-			rest[i] = rest[len(rest)-1]
-			s.setMore(hash, rest[:len(rest)-1])
+	for i, other := range others {
+		if other == id {
+			others[i] = others[len(others)-1]
+			s.setOtherHolders(hash, others[:len(others)-1])
 			return
 		}
 	}
 }
 
-func (s *Shard) setMore(hash uint64, rest []reference) {
-	if len(rest) == 0 {
-		delete(s.more, hash)
+func (s *Shard) setOtherHolders(hash uint64, others []holderID) {
+	if len(others) == 0 {
+		delete(s.otherHolders, hash)
 		return
 	}
-	s.more[hash] = rest
+	s.otherHolders[hash] = others
 }
 
-// Lookup returns, for each holder of the prompt's first anchor, how many
-// blocks it has from the start without a missing anchor.
+// Lookup returns the holders of the prompt's first anchor. The depth of a match is that of the
+// last anchor up to which the holder has all anchors.
 func (s *Shard) Lookup(anchors []prefix.Anchor) []Match {
 	var matches []Match
 	for i, anchor := range anchors {
-		present := s.holdersOf(anchor.Hash)
+		present := s.liveHolders(anchor.Hash)
 		if i == 0 {
-			for _, number := range present {
-				matches = append(matches, Match{Holder: s.holders[number], Depth: anchor.Depth})
+			for _, id := range present {
+				matches = append(matches, Match{Holder: s.holders[id], Depth: anchor.Depth})
 			}
 			continue
 		}
-		if !s.extend(matches, present, anchors[i-1].Depth, anchor.Depth) {
+		if !s.extendMatches(matches, present, anchors[i-1].Depth, anchor.Depth) {
 			break
 		}
 	}
 	return matches
 }
 
-// extend deepens the matches that reached the previous anchor, and tells whether any did.
-func (s *Shard) extend(matches []Match, present []reference, previous, depth int) bool {
+// extendMatches sets the depth of the matches that reached the previous anchor and whose holder is
+// present. It reports whether there were any.
+func (s *Shard) extendMatches(matches []Match, present []holderID, previousDepth, depth int) bool {
 	extended := false
 	for i := range matches {
-		if matches[i].Depth != previous {
+		if matches[i].Depth != previousDepth {
 			continue
 		}
-		for _, number := range present {
-			if s.holders[number] == matches[i].Holder {
+		for _, id := range present {
+			if s.holders[id] == matches[i].Holder {
 				matches[i].Depth = depth
 				extended = true
 			}
@@ -269,47 +270,47 @@
 	return extended
 }
 
-func (s *Shard) holdersOf(hash uint64) []reference {
-	head, found := s.first[hash]
+func (s *Shard) liveHolders(hash uint64) []holderID {
+	first, found := s.firstHolder[hash]
 	if !found {
 		return nil
 	}
-	var present []reference
-	for _, number := range append([]reference{head}, s.more[hash]...) {
-		if !s.dead(number) {
-			present = append(present, number)
+	var present []holderID
+	for _, id := range append([]holderID{first}, s.otherHolders[hash]...) {
+		if !s.isStale(id) {
+			present = append(present, id)
 		}
 	}
 	return present
 }
 
-// Sweep removes the entries of dead references. It is to be called now and
-// then; lookups do not depend on it.
-func (s *Shard) Sweep() int {
+// RemoveStale removes the entries of stale holder IDs and returns their number. It should be
+// called from time to time to free memory; lookups ignore stale entries anyway.
+func (s *Shard) RemoveStale() int {
 	removed := 0
-	for hash, head := range s.first {
-		rest := s.more[hash]
-		alive := rest[:0:0]
-		for _, number := range append([]reference{head}, rest...) {
-			if s.dead(number) {
+	for hash, first := range s.firstHolder {
+		others := s.otherHolders[hash]
+		live := others[:0:0]
+		for _, id := range append([]holderID{first}, others...) {
+			if s.isStale(id) {
 				removed++
 			} else {
-				alive = append(alive, number)
+				live = append(live, id)
 			}
 		}
-		if len(alive) == len(rest)+1 {
+		if len(live) == len(others)+1 {
 			continue
 		}
-		if len(alive) == 0 {
-			delete(s.first, hash)
-			delete(s.more, hash)
+		if len(live) == 0 {
+			delete(s.firstHolder, hash)
+			delete(s.otherHolders, hash)
 			continue
 		}
-		s.first[hash] = alive[0]
-		s.setMore(hash, alive[1:])
+		s.firstHolder[hash] = live[0]
+		s.setOtherHolders(hash, live[1:])
 	}
 	return removed
 }
 
 // Len returns the number of distinct blocks in the shard.
-func (s *Shard) Len() int { return len(s.first) }
+func (s *Shard) Len() int { return len(s.firstHolder) }
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -12,9 +12,9 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-var now = time.Unix(1_000, 0)
+var startTime = time.Unix(1_000, 0)
 
-func chain(hashes ...uint64) []prefix.Anchor {
+func anchorChain(hashes ...uint64) []prefix.Anchor {
 	anchors := make([]prefix.Anchor, len(hashes))
 	for i, hash := range hashes {
 		anchors[i] = prefix.Anchor{Hash: hash, Depth: i + 1}
@@ -22,52 +22,52 @@
 	return anchors
 }
 
-func TestLookupEndsAtTheFirstMissingBlock(t *testing.T) {
+func TestLookupEndsAtFirstMissingBlock(t *testing.T) {
 	g := NewWithT(t)
 	shard := NewShard(time.Second)
 	a, b := Holder{"a", 1}, Holder{"b", 1}
 	shard.Add(a, 1, 2, 4)
 	shard.Add(b, 1, 2, 3)
-	g.Expect(shard.Lookup(chain(1, 2, 3, 4))).To(ConsistOf(Match{a, 2}, Match{b, 3}))
-	g.Expect(shard.Lookup(chain(9, 1))).To(BeEmpty())
+	g.Expect(shard.Lookup(anchorChain(1, 2, 3, 4))).To(ConsistOf(Match{a, 2}, Match{b, 3}))
+	g.Expect(shard.Lookup(anchorChain(9, 1))).To(BeEmpty())
 }
 
-func TestEntriesOfAnEarlierProcessAreGone(t *testing.T) {
+func TestEntriesOfEarlierIncarnationAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	shard := NewShard(time.Second)
 	shard.Add(Holder{"a", 1}, 1, 2)
 	shard.Reset(Holder{"a", 2})
-	g.Expect(shard.Lookup(chain(1, 2))).To(BeEmpty())
+	g.Expect(shard.Lookup(anchorChain(1, 2))).To(BeEmpty())
 	shard.Add(Holder{"a", 1}, 1)
-	g.Expect(shard.Lookup(chain(1))).To(BeEmpty(), "late news of the earlier process")
+	g.Expect(shard.Lookup(anchorChain(1))).To(BeEmpty(), "a delayed event of the earlier incarnation is ignored")
 	shard.Add(Holder{"a", 2}, 1)
-	g.Expect(shard.Lookup(chain(1, 2))).To(ConsistOf(Match{Holder{"a", 2}, 1}))
+	g.Expect(shard.Lookup(anchorChain(1, 2))).To(ConsistOf(Match{Holder{"a", 2}, 1}))
 }
 
-func TestNotedPlacementIsSeenAtOnceAndExpiresUnconfirmed(t *testing.T) {
+func TestProvisionalEntryExpiresUnlessConfirmed(t *testing.T) {
 	g := NewWithT(t)
 	shard := NewShard(time.Second)
 	a := Holder{"a", 1}
-	shard.Note(now, a, chain(1, 2))
+	shard.AddProvisional(startTime, a, anchorChain(1, 2))
 	shard.Add(a, 1)
-	g.Expect(shard.Lookup(chain(1, 2))).To(ConsistOf(Match{a, 2}))
-	shard.Expire(now.Add(2 * time.Second))
-	g.Expect(shard.Lookup(chain(1, 2))).To(ConsistOf(Match{a, 1}))
+	g.Expect(shard.Lookup(anchorChain(1, 2))).To(ConsistOf(Match{a, 2}))
+	shard.ExpireProvisional(startTime.Add(2 * time.Second))
+	g.Expect(shard.Lookup(anchorChain(1, 2))).To(ConsistOf(Match{a, 1}))
 }
 
-func TestWithdrawnPlacementLeavesConfirmedBlocks(t *testing.T) {
+func TestRemoveProvisionalKeepsConfirmedBlocks(t *testing.T) {
 	g := NewWithT(t)
 	shard := NewShard(time.Second)
 	a := Holder{"a", 1}
 	shard.Add(a, 1)
-	shard.Note(now, a, chain(1, 2))
-	shard.Withdraw(a, chain(1, 2))
-	g.Expect(shard.Lookup(chain(1, 2))).To(ConsistOf(Match{a, 1}))
+	shard.AddProvisional(startTime, a, anchorChain(1, 2))
+	shard.RemoveProvisional(a, anchorChain(1, 2))
+	g.Expect(shard.Lookup(anchorChain(1, 2))).To(ConsistOf(Match{a, 1}))
 }
 
-// TestShardMatchesAPlainModel compares the shard with a plain set of pairs
-// under random changes, restarts and sweeps.
-func TestShardMatchesAPlainModel(t *testing.T) {
+// TestShardMatchesModel compares the shard with a plain set of pairs under random changes,
+// restarts and removals of stale entries.
+func TestShardMatchesModel(t *testing.T) {
 	testkit.Properties(2000)
 	rapid.Check(t, func(t *rapid.T) {
 		shard := NewShard(time.Hour)
@@ -100,7 +100,7 @@
 					delete(model, pair{old, h})
 				}
 			},
-			"late news": func(*rapid.T) {
+			"delayed event": func(*rapid.T) {
 				holder := current(runner())
 				if holder.Incarnation > 0 {
 					holder.Incarnation--
@@ -111,10 +111,10 @@
 					shard.Add(holder, hash())
 				}
 			},
-			"sweep": func(*rapid.T) { shard.Sweep() },
+			"sweep": func(*rapid.T) { shard.RemoveStale() },
 			"": func(t *rapid.T) {
 				for h := uint64(1); h <= 6; h++ {
-					matches := shard.Lookup(chain(h))
+					matches := shard.Lookup(anchorChain(h))
 					count := 0
 					for p := range model {
 						if p.hash == h {
@@ -122,11 +122,11 @@
 						}
 					}
 					if len(matches) != count {
-						t.Fatalf("block %d has %v, want %d holders of %v", h, matches, count, model)
+						t.Fatalf("block %d has matches %v, want %d holders of %v", h, matches, count, model)
 					}
 					for _, match := range matches {
 						if !model[pair{match.Holder, h}] {
-							t.Fatalf("block %d has %v, which the model lacks", h, match)
+							t.Fatalf("block %d has match %v, which the model lacks", h, match)
 						}
 					}
 				}
@@ -135,27 +135,27 @@
 	})
 }
 
-func TestTrackerRepairsGapsByTheDifference(t *testing.T) {
+func TestTrackerRepairsLostEventsFromSnapshot(t *testing.T) {
 	g := NewWithT(t)
 	tracker := NewTracker(1)
 	tracker.Restart(7)
-	tracker.List(10, []Block{{1, 1, 1}, {2, 1, 2}})
-	g.Expect(tracker.Event(11, []Block{{3, 1, 3}}, nil).Added).To(HaveLen(1))
-	g.Expect(tracker.NeedsResync(now)).To(BeFalse())
-	g.Expect(tracker.Event(11, []Block{{9, 9, 1}}, nil).Added).To(BeEmpty(), "a repeat")
-	tracker.Event(13, nil, nil)
-	g.Expect(tracker.NeedsResync(now)).To(BeTrue(), "event 12 was lost")
-	changes := tracker.List(13, []Block{{2, 1, 2}, {3, 1, 3}, {4, 1, 4}})
+	tracker.ApplySnapshot(10, []Block{{1, 1, 1}, {2, 1, 2}})
+	g.Expect(tracker.ApplyEvent(11, []Block{{3, 1, 3}}, nil).Added).To(HaveLen(1))
+	g.Expect(tracker.NeedsResync(startTime)).To(BeFalse())
+	g.Expect(tracker.ApplyEvent(11, []Block{{9, 9, 1}}, nil).Added).To(BeEmpty(), "a repeated event is ignored")
+	tracker.ApplyEvent(13, nil, nil)
+	g.Expect(tracker.NeedsResync(startTime)).To(BeTrue(), "event 12 was lost")
+	changes := tracker.ApplySnapshot(13, []Block{{2, 1, 2}, {3, 1, 3}, {4, 1, 4}})
 	g.Expect(changes.Added).To(ConsistOf(Block{4, 1, 4}))
 	g.Expect(changes.Removed).To(ConsistOf(Block{1, 1, 1}))
 }
 
-func TestTrackerKeepsAnchorsOnly(t *testing.T) {
+func TestTrackerKeepsOnlyAnchors(t *testing.T) {
 	g := NewWithT(t)
 	tracker := NewTracker(4)
 	var blocks []Block
 	for depth := 1; depth <= 16; depth++ {
 		blocks = append(blocks, Block{Hash: uint64(depth), Root: 1, Depth: depth})
 	}
-	g.Expect(tracker.Event(1, blocks, nil).Added).To(HaveLen(5), "depths 1, 4, 8, 12 and 16")
+	g.Expect(tracker.ApplyEvent(1, blocks, nil).Added).To(HaveLen(5), "depths 1, 4, 8, 12 and 16")
 }
--- a/internal/cacheindex/tracker.go
+++ b/internal/cacheindex/tracker.go
@@ -6,77 +6,78 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-// Block is one cached block as an engine names it.
+// Block is a cached block as reported by an engine.
 type Block struct {
 	Hash uint64
-	// Root is the hash of the first block of the chain; it decides the shard.
+	// Root is the hash of the first block of the chain. It selects the shard.
 	Root  uint64
 	Depth int
 }
 
-// Changes are what shards must be told.
+// Changes are the updates to be sent to the shards.
 type Changes struct {
 	Added   []Block
 	Removed []Block
 }
 
-// place is where a block belongs.
-type place struct {
+// blockPosition is the position of a block in its chain.
+type blockPosition struct {
 	root  uint64
 	depth int
 }
 
-// Times of resynchronisation.
+// Bounds of the interval between snapshot requests.
 const (
-	minResync = time.Second
-	maxResync = 30 * time.Second
+	minResyncInterval = time.Second
+	maxResyncInterval = 30 * time.Second
 )
 
-// Tracker is a home's view of one runner's cached anchors, kept up by the
-// runner's lossy event stream and repaired by full lists. It mirrors what the
-// shards were told, so that a repair sends only the difference.
+// Tracker maintains the set of anchors cached by one runner. It is used by the router that follows
+// the runner's event stream, which may lose events, and it is repaired with snapshots. It mirrors
+// what the shards were sent, so that a repair sends only the difference.
 type Tracker struct {
-	stride      int
-	incarnation uint64
-	sequence    uint64
-	anchors     map[uint64]place
-	stale       bool
-	nextResync  time.Time
-	pause       time.Duration
+	stride         int
+	incarnation    uint64
+	lastSequence   uint64
+	anchors        map[uint64]blockPosition
+	needsSnapshot  bool
+	nextResync     time.Time
+	resyncInterval time.Duration
 }
 
-// NewTracker returns a tracker that indexes every stride-th block.
+// NewTracker returns a Tracker that indexes every stride-th block and needs a snapshot.
 func NewTracker(stride int) *Tracker {
-	return &Tracker{stride: stride, anchors: map[uint64]place{}, stale: true, pause: minResync}
+	return &Tracker{stride: stride, anchors: map[uint64]blockPosition{}, needsSnapshot: true, resyncInterval: minResyncInterval}
 }
 
-// Incarnation returns the engine process that the tracker follows.
+// Incarnation returns the incarnation of the engine process that the tracker follows.
 func (t *Tracker) Incarnation() uint64 { return t.incarnation }
 
 // Len returns the number of tracked anchors.
 func (t *Tracker) Len() int { return len(t.anchors) }
 
-// Restart follows another engine process, whose cache starts unknown. The old
-// one's entries die in the shards with its incarnation.
+// Restart starts to follow another engine process, whose cache content is unknown. The entries of
+// the old process become stale in the shards with its incarnation.
 func (t *Tracker) Restart(incarnation uint64) {
 	t.incarnation = incarnation
-	t.sequence = 0
-	t.anchors = map[uint64]place{}
-	t.stale = true
+	t.lastSequence = 0
+	t.anchors = map[uint64]blockPosition{}
+	t.needsSnapshot = true
 	t.nextResync = time.Time{}
-	t.pause = minResync
+	t.resyncInterval = minResyncInterval
 }
 
-// Event takes one event of the stream. A jump of the sequence marks the
-// tracker stale; the event itself is used all the same.
-func (t *Tracker) Event(sequence uint64, added, removed []Block) Changes {
-	if sequence <= t.sequence {
+// ApplyEvent applies one event of the stream and returns the changes. A gap in the sequence
+// numbers is repaired by the next snapshot; the event is applied nevertheless. Events that were
+// already applied are ignored.
+func (t *Tracker) ApplyEvent(sequence uint64, added, removed []Block) Changes {
+	if sequence <= t.lastSequence {
 		return Changes{}
 	}
-	if t.sequence != 0 && sequence != t.sequence+1 {
-		t.stale = true
+	if t.lastSequence != 0 && sequence != t.lastSequence+1 {
+		t.needsSnapshot = true
 	}
-	t.sequence = sequence
+	t.lastSequence = sequence
 	var changes Changes
 	for _, block := range removed {
 		if _, tracked := t.anchors[block.Hash]; tracked {
@@ -86,55 +87,55 @@
 	}
 	for _, block := range added {
 		if prefix.IsAnchor(block.Depth, t.stride) {
-			t.anchors[block.Hash] = place{block.Root, block.Depth}
+			t.anchors[block.Hash] = blockPosition{block.Root, block.Depth}
 			changes.Added = append(changes.Added, block)
 		}
 	}
 	return changes
 }
 
-// NeedsResync tells whether a full list should be read now. Streams that keep
-// losing events are read less and less often.
+// NeedsResync reports whether a snapshot should be read now. The interval between snapshots grows
+// for streams that keep losing events.
 func (t *Tracker) NeedsResync(now time.Time) bool {
-	if !t.stale || now.Before(t.nextResync) {
+	if !t.needsSnapshot || now.Before(t.nextResync) {
 		return false
 	}
-	t.nextResync = now.Add(t.pause)
-	t.pause = min(t.pause*2, maxResync)
+	t.nextResync = now.Add(t.resyncInterval)
+	t.resyncInterval = min(t.resyncInterval*2, maxResyncInterval)
 	return true
 }
 
-// List takes a full list that includes events up to the sequence, and returns
-// the difference to what was tracked.
-func (t *Tracker) List(sequence uint64, blocks []Block) Changes {
+// ApplySnapshot applies a full list of the cached blocks that includes all events up to sequence.
+// It returns the difference to the tracked anchors.
+func (t *Tracker) ApplySnapshot(sequence uint64, blocks []Block) Changes {
 	var changes Changes
-	present := make(map[uint64]place, len(t.anchors))
+	present := make(map[uint64]blockPosition, len(t.anchors))
 	for _, block := range blocks {
 		if !prefix.IsAnchor(block.Depth, t.stride) {
 			continue
 		}
-		present[block.Hash] = place{block.Root, block.Depth}
+		present[block.Hash] = blockPosition{block.Root, block.Depth}
 		if _, tracked := t.anchors[block.Hash]; !tracked {
 			changes.Added = append(changes.Added, block)
 		}
 	}
-	for hash, where := range t.anchors {
+	for hash, position := range t.anchors {
 		if _, still := present[hash]; !still {
-			changes.Removed = append(changes.Removed, Block{hash, where.root, where.depth})
+			changes.Removed = append(changes.Removed, Block{hash, position.root, position.depth})
 		}
 	}
 	t.anchors = present
-	t.sequence = max(t.sequence, sequence)
-	t.stale = false
+	t.lastSequence = max(t.lastSequence, sequence)
+	t.needsSnapshot = false
 	return changes
 }
 
-// Select returns the tracked anchors whose root the filter admits.
-func (t *Tracker) Select(admit func(root uint64) bool) []Block {
+// Select returns the tracked anchors whose root satisfies include.
+func (t *Tracker) Select(include func(root uint64) bool) []Block {
 	var blocks []Block
-	for hash, where := range t.anchors {
-		if admit(where.root) {
-			blocks = append(blocks, Block{hash, where.root, where.depth})
+	for hash, position := range t.anchors {
+		if include(position.root) {
+			blocks = append(blocks, Block{hash, position.root, position.depth})
 		}
 	}
 	return blocks
--- a/internal/gateway/cachefeed.go
+++ b/internal/gateway/cachefeed.go
@@ -82,7 +82,7 @@
 	if id == r.id {
 		delta = r.feed.Since(through)
 	} else {
-		delta = r.feed.Whole()
+		delta = r.feed.Snapshot()
 	}
 	return cacheDeltaToWire(r.id, delta)
 }
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -157,7 +157,7 @@
 			delete(r.holders, holder)
 		}
 	}
-	r.feed.Retain(known)
+	r.feed.RetainHolders(known)
 	r.applyOwn()
 }
 
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -387,7 +387,7 @@
 	}
 	placer := r.shard(p.chain.Family(p.salt)).placer
 	placer.Fleet.UpdateLoad(one.name, one.incarnation, r.report(one).Load)
-	placer.Index.Note(r.now, cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}, p.chain.Anchors(r.settings.Stride))
+	placer.Index.AddProvisional(r.now, cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}, p.chain.Anchors(r.settings.Stride))
 	r.result.Messages++
 }
 
@@ -443,12 +443,12 @@
 	if incarnation != one.incarnation {
 		return
 	}
-	r.apply(one, one.tracker.Event(sequence, added, removed))
+	r.apply(one, one.tracker.ApplyEvent(sequence, added, removed))
 	if one.tracker.NeedsResync(r.now) {
 		r.resync(one)
 	}
 	for _, shard := range r.routers {
-		shard.placer.Index.Expire(r.now)
+		shard.placer.Index.ExpireProvisional(r.now)
 	}
 }
 
@@ -459,7 +459,7 @@
 		list[i] = cacheindex.Block{Hash: block.Hash, Root: block.Root, Depth: block.Depth}
 	}
 	sequence := one.sequence
-	r.after(20*time.Millisecond, func() { r.apply(one, one.tracker.List(sequence, list)) })
+	r.after(20*time.Millisecond, func() { r.apply(one, one.tracker.ApplySnapshot(sequence, list)) })
 }
 
 func (r *run) apply(one *runner, changes cacheindex.Changes) {
--- a/internal/node/home.go
+++ b/internal/node/home.go
@@ -129,7 +129,7 @@
 			Model: status.Model, WeightVersion: status.WeightVersion, Adapters: status.Adapters,
 			Role: status.Role, Connected: true, Load: loadFromEngine(status.Load),
 		})
-		changes := h.tracker.Event(event.Sequence, blocksFromEngine(event.Added), blocksFromEngine(event.Removed))
+		changes := h.tracker.ApplyEvent(event.Sequence, blocksFromEngine(event.Added), blocksFromEngine(event.Removed))
 		sends = n.routeChanges(h, changes)
 		resync = h.tracker.NeedsResync(now)
 	})
@@ -174,7 +174,7 @@
 		if n.homes[h.runner] != h || h.tracker.Incarnation() != list.Incarnation {
 			return
 		}
-		sends = n.routeChanges(h, h.tracker.List(list.Sequence, blocksFromEngine(list.Blocks)))
+		sends = n.routeChanges(h, h.tracker.ApplySnapshot(list.Sequence, blocksFromEngine(list.Blocks)))
 	})
 	n.sendAll(sends)
 	n.log.Log(events.RunnerResync, events.Fields{"runner": h.runner, "blocks": len(list.Blocks)})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,10 +179,10 @@
 func (n *Node) tick() {
 	n.withControl(func(now time.Time) {
 		n.control.Tick(now)
-		n.shard.Expire(now)
+		n.shard.ExpireProvisional(now)
 		if now.After(n.nextSweep) {
 			n.nextSweep = now.Add(sweepInterval)
-			n.shard.Sweep()
+			n.shard.RemoveStale()
 		}
 	})
 }
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -130,7 +130,7 @@
 	}
 	if result.GetRejected() {
 		if owned {
-			n.shard.Withdraw(holder, anchorsFromWire(result.GetAnchors()))
+			n.shard.RemoveProvisional(holder, anchorsFromWire(result.GetAnchors()))
 		}
 		return
 	}
@@ -138,6 +138,6 @@
 	load.AsOf = time.Now()
 	n.control.Fleet().UpdateLoad(holder.Runner, holder.Incarnation, load)
 	if owned {
-		n.shard.Note(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
+		n.shard.AddProvisional(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
 	}
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -86,7 +86,7 @@
 	pick := p.choose(now, query, cached)
 	if pick.Status == Picked {
 		holder := cacheindex.Holder{Runner: pick.Candidate.Name, Incarnation: pick.Candidate.Report.Incarnation}
-		p.Index.Note(now, holder, query.Anchors)
+		p.Index.AddProvisional(now, holder, query.Anchors)
 	}
 	return pick
 }
