--- a/internal/backend/candidates_bench_test.go
+++ b/internal/backend/candidates_bench_test.go
@@ -18,6 +18,6 @@
 	query := Query{Service: "s", Model: "m", PromptTokens: 9000, SharedTokens: 6000, Family: 7, EventGap: 300_000_000}
 	for b.Loop() {
 		request, candidates := set.Candidates(start, query)
-		placement.Choose(request, candidates, placement.ScoreWeights{Hit: 1}, random)
+		placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1}, random)
 	}
 }
--- a/internal/backend/scheduling_test.go
+++ b/internal/backend/scheduling_test.go
@@ -73,7 +73,7 @@
 		tokens := min(random.ExpFloat64()*random.ExpFloat64()*loadTokens, loadMost)
 		request, candidates := router.set.Candidates(now, Query{Service: "s"})
 		request.PromptTokens = int(tokens)
-		chosen := placement.Choose(request, candidates, placement.ScoreWeights{Hit: 1}, random).Candidate.Name
+		chosen := placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1}, random).Candidate.Name
 		send := router.set.Begin(now, chosen, int(tokens))
 		begins := now
 		if free[chosen].After(now) {
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -170,7 +170,7 @@
 			}
 			set.End(now, send, outcome)
 			request, candidates := set.Candidates(now, Query{Service: "s", Model: "m", PromptTokens: 500})
-			pick := placement.Choose(request, candidates, placement.ScoreWeights{Hit: 1}, testRandom())
+			pick := placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1}, testRandom())
 			if pick.Status != placement.Picked {
 				t.Fatalf("no runner is picked: %v", pick.Status)
 			}
--- a/internal/backend/suspects_test.go
+++ b/internal/backend/suspects_test.go
@@ -22,7 +22,7 @@
 		query.Service, query.Model, query.PromptTokens, query.Family = "s", "m", 1000, 7
 		query.SharedTokens = 900
 		request, candidates := set.Candidates(start, query)
-		chosen := placement.Choose(request, candidates, placement.ScoreWeights{Hit: 1, Fetch: 0.25}, random)
+		chosen := placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1, Fetched: 0.25}, random)
 		set.BeginQuery(start, chosen.Candidate.Name, 100, query)
 		return chosen.Candidate.Name
 	}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -27,7 +27,7 @@
 const runnerSilence = time.Second
 
 // placementWeights are the weights of all choices of a runner.
-var placementWeights = placement.ScoreWeights{Hit: 1, Fetch: fetchCost}
+var placementWeights = placement.ScoreWeights{Uncached: 1, Fetched: fetchCost}
 
 // pick chooses the runner of the next attempt, or says why there is none.
 func (c *call) pick() (backend.Runner, *refusal) {
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -270,7 +270,7 @@
 			MaxTokens: p.request.MaxTokens, Priority: p.tier, MaxWait: r.settings.MaxWait[p.tier],
 		},
 		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.PromptDigest(p.salt, p.text),
-		Weights: placement.ScoreWeights{Hit: r.settings.Deployment.HitWeight},
+		Weights: placement.ScoreWeights{Uncached: r.settings.Deployment.HitWeight},
 	}
 	for _, one := range r.runners {
 		query.Runners = append(query.Runners, placement.Runner{Name: one.name})
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -99,7 +99,7 @@
 		Ticket:      request.GetTicket(),
 		Anchors:     anchorsFromWire(request.GetAnchors()),
 		BlockTokens: pool.BlockBytes / prefix.BytesPerToken,
-		Weights:     placement.ScoreWeights{Hit: pool.HitWeight},
+		Weights:     placement.ScoreWeights{Uncached: pool.HitWeight},
 	}
 	for _, runner := range runners {
 		query.Runners = append(query.Runners, placement.Runner{Name: runner.Name, Leaving: runner.Leaving, Standby: runner.Spec.Role == v1.RoleStandby})
--- a/internal/placement/interference.go
+++ b/internal/placement/interference.go
@@ -17,7 +17,7 @@
 	}
 	allowedTokens := c.StreamLoad.AllowedPause.Seconds() * float64(prefillRate(c.Report.Load))
 	before := float64(c.PrefillTokens)
-	after := before + uncachedCost(r, c, ScoreWeights{Hit: 1, Fetch: w.Fetch})
+	after := before + uncachedCost(r, c, ScoreWeights{Uncached: 1, Fetched: w.Fetched})
 	return cost + float64(c.Streams)*allowedTokens*(pausePenalty(after/allowedTokens)-pausePenalty(before/allowedTokens))
 }
 
--- a/internal/placement/interference_test.go
+++ b/internal/placement/interference_test.go
@@ -47,7 +47,7 @@
 	reading.StreamLoad.PrefillTokens = 1000
 	r := longRequest()
 	r.PromptTokens = 1000
-	g.Expect(interferenceCost(r, reading, ScoreWeights{Hit: 1})).To(BeNumerically(">", 2*interferenceCost(r, idle, ScoreWeights{Hit: 1})))
+	g.Expect(interferenceCost(r, reading, ScoreWeights{Uncached: 1})).To(BeNumerically(">", 2*interferenceCost(r, idle, ScoreWeights{Uncached: 1})))
 }
 
 func TestInterferenceAffectsScoreButNotExpectedWait(t *testing.T) {
@@ -66,8 +66,8 @@
 	unbounded, none := candidate("unbounded"), candidate("none")
 	unbounded.StreamLoad = StreamLoad{Streams: 30}
 	none.StreamLoad = StreamLoad{AllowedPause: allowedPause}
-	g.Expect(interferenceCost(longRequest(), unbounded, ScoreWeights{Hit: 1})).To(BeZero())
-	g.Expect(interferenceCost(longRequest(), none, ScoreWeights{Hit: 1})).To(BeZero())
+	g.Expect(interferenceCost(longRequest(), unbounded, ScoreWeights{Uncached: 1})).To(BeZero())
+	g.Expect(interferenceCost(longRequest(), none, ScoreWeights{Uncached: 1})).To(BeZero())
 }
 
 func TestRequestIsRefusedOnlyWhenAllQueuesAreTooLong(t *testing.T) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -105,10 +105,10 @@
 
 // ScoreWeights are the factors that a score applies to parts of the prompt.
 type ScoreWeights struct {
-	// Hit is the cost of an uncached prompt token relative to a queued one.
-	Hit float64
-	// Fetch is the cost of a fetched prompt token relative to a computed one.
-	Fetch float64
+	// Uncached is the cost of an uncached prompt token relative to a queued one.
+	Uncached float64
+	// Fetched is the cost of a fetched prompt token relative to a computed one.
+	Fetched float64
 }
 
 // Status is the result code of a Pick.
@@ -217,7 +217,7 @@
 func uncachedCost(r Request, c Candidate, w ScoreWeights) float64 {
 	missing := max(r.PromptTokens-c.CachedTokens, 0)
 	fetched := min(c.FetchableTokens, missing)
-	return w.Hit * (float64(missing-fetched) + w.Fetch*float64(fetched))
+	return w.Uncached * (float64(missing-fetched) + w.Fetched*float64(fetched))
 }
 
 // queueCost returns the prompt tokens queued ahead of the request: those that the engine reported
@@ -279,5 +279,5 @@
 // expectedWait converts the queued work and the uncached prompt into an expected time to the first
 // token.
 func expectedWait(request Request, candidate Candidate) time.Duration {
-	return time.Duration(firstTokenCost(request, candidate, ScoreWeights{Hit: 1}) / float64(prefillRate(candidate.Report.Load)) * float64(time.Second))
+	return time.Duration(firstTokenCost(request, candidate, ScoreWeights{Uncached: 1}) / float64(prefillRate(candidate.Report.Load)) * float64(time.Second))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,7 +20,7 @@
 var request = Request{Model: "m", WeightVersion: "v1", PromptTokens: 1000, MaxWait: time.Second}
 
 func choose(r Request, candidates ...Candidate) Pick {
-	return Choose(r, candidates, ScoreWeights{Hit: 1}, rand.New(rand.NewPCG(1, 1)))
+	return Choose(r, candidates, ScoreWeights{Uncached: 1}, rand.New(rand.NewPCG(1, 1)))
 }
 
 func TestFiltersRejectIneligibleRunners(t *testing.T) {
@@ -134,14 +134,14 @@
 // part cached if that one has a longer queue, but not if it is idle.
 func TestFetchCostsLessThanLongQueueAndMoreThanCachedPrefix(t *testing.T) {
 	g := NewWithT(t)
-	holder, fetcher := candidate("keeps"), candidate("fetches")
+	holder, fetcher := candidate("holder"), candidate("fetcher")
 	holder.CachedTokens, fetcher.FetchableTokens = 800, 800
 	chosen := func() string {
-		return Choose(request, []Candidate{holder, fetcher}, ScoreWeights{Hit: 1, Fetch: 0.25}, rand.New(rand.NewPCG(1, 1))).Candidate.Name
+		return Choose(request, []Candidate{holder, fetcher}, ScoreWeights{Uncached: 1, Fetched: 0.25}, rand.New(rand.NewPCG(1, 1))).Candidate.Name
 	}
-	g.Expect(chosen()).To(Equal("keeps"))
+	g.Expect(chosen()).To(Equal("holder"))
 	holder.PendingTokens = 150
-	g.Expect(chosen()).To(Equal("keeps"), "a short queue costs less than fetching 800 tokens")
+	g.Expect(chosen()).To(Equal("holder"), "a short queue costs less than fetching 800 tokens")
 	holder.PendingTokens = 400
-	g.Expect(chosen()).To(Equal("fetches"), "a long queue costs more than fetching 800 tokens")
+	g.Expect(chosen()).To(Equal("fetcher"), "a long queue costs more than fetching 800 tokens")
 }
