--- a/internal/admission/loadshedder.go
+++ b/internal/admission/loadshedder.go
@@ -165,7 +165,7 @@
 	return taken
 }
 
-// AddExternal adds a reservation made by another scheduler.
+// AddReservation adds a reservation made by another scheduler.
 func (l *LoadShedder) AddReservation(now time.Time, reservation Reservation) {
 	l.service(reservation.Service).retries.schedule.AddExternal(now, reservation.Ticket, classOf(reservation.Rank), reservation.After)
 }
--- a/internal/admission/rankpressure.go
+++ b/internal/admission/rankpressure.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// updateFactor reduces the factor in proportion to the congestion above the allowed level, or lets it
-// recover if the congestion is below that level.
+// updateFactor reduces the factor in proportion to the congestion above the allowed level, or lets
+// it recover if the congestion is below that level.
 func (p *rankPressure) updateFactor(seconds float64) {
 	aboveAllowed := p.meanCongestion() - allowedCongestion
 	rate := aboveAllowed / tightenTime.Seconds()
--- a/internal/fairshare/bench_test.go
+++ b/internal/fairshare/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkExcessOfManyTenants measures Excess with as many tenants as a scheduler may know. Each
-// call computes the shares anew, which happens once per measureInterval in production.
+// call recomputes the shares, which happens once per measureInterval in production.
 func BenchmarkExcessOfManyTenants(b *testing.B) {
 	for _, tenantCount := range []int{16, 74, 22000} {
 		b.Run(fmt.Sprint(tenantCount), func(b *testing.B) {
