--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -12,6 +12,7 @@
 	return shedder.RecordDecision(now, request, 2*request.TargetLatency, true, earliest)
 }
 
+// bulkRequest returns a bulk request with the ticket.
 func bulkRequest(ticket uint64) Request {
 	request := bulk
 	request.Ticket = ticket
--- a/internal/admission/retryreservations_test.go
+++ b/internal/admission/retryreservations_test.go
@@ -24,7 +24,7 @@
 	return retryTimes
 }
 
-// admitMany admits 50 such requests per second for 30 seconds and returns the time at the end.
+// admitMany admits the request 50 times per second for 30 seconds and returns the time at the end.
 func admitMany(shedder *LoadShedder, request Request) time.Time {
 	now := epoch
 	for range 1500 {
