--- a/internal/backend/cachedparts.go
+++ b/internal/backend/cachedparts.go
@@ -114,7 +114,7 @@
 // shared parts cached, pending confirmation by its cache events.
 func (s *Set) RecordPrefill(now time.Time, id string, query Query, weightVersion uint64) {
 	if len(query.Shared) > 0 && s.entries[id] != nil {
-		s.cacheIndex.Note(now, cacheindex.Holder{Runner: id}, query.anchors(weightVersion))
+		s.cacheIndex.AddProvisional(now, cacheindex.Holder{Runner: id}, query.anchors(weightVersion))
 	}
 }
 
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -107,7 +107,7 @@
 	split := s.split(now, query, len(entries))
 	home := s.homeRunner(now, entries, query, split)
 	zone := cmp.Or(query.Zone, s.zone)
-	s.cacheIndex.Expire(now)
+	s.cacheIndex.ExpireProvisional(now)
 	depths := &depthLookup{set: s, query: &query, byVersion: map[uint64]versionDepths{}}
 	candidates := make([]placement.Candidate, 0, len(entries))
 	var usage slotUsage
@@ -129,14 +129,14 @@
 		cached := cachedTokens(query, e.ID == home, depth)
 		candidates = append(candidates, placement.Candidate{
 			Name: e.ID, Leaving: e.isLeaving(), Report: s.loadReport(now, e, query.Model, prefill),
-			CachedTokens:    cached,
-			FetchableTokens: max(deepest-cached, 0),
-			PendingTokens:   e.pendingTokens + fromPeers.Tokens + prefill.tokensIn(queue),
-			PendingRequests: e.inFlight + fromPeers.Requests,
-			ExtraTokens:     cost + s.runnerCost(now, e, zone) + prefill.tokensIn(slowness),
-			Pauses:          e.streamPauses(fromPeers),
-			ApartTokens:     split.cost(e) + e.suspectCost(query, fromPeers),
-			First:           e.signalState.IsLimited() && query.SuspectContent == 0 && s.permits.HasUnusedPermit(now, e.signalKey()),
+			CachedTokens:            cached,
+			FetchableTokens:         max(deepest-cached, 0),
+			PendingTokens:           e.pendingTokens + fromPeers.Tokens + prefill.tokensIn(queue),
+			PendingRequests:         e.inFlight + fromPeers.Requests,
+			PenaltyTokens:           cost + s.runnerCost(now, e, zone) + prefill.tokensIn(slowness),
+			StreamLoad:              e.streamPauses(fromPeers),
+			SeparationPenaltyTokens: split.cost(e) + e.suspectCost(query, fromPeers),
+			PickFirst:               e.signalState.IsLimited() && query.SuspectContent == 0 && s.permits.HasUnusedPermit(now, e.signalKey()),
 		})
 	}
 	if query.MaxEventGap > 0 {
--- a/internal/backend/loadsharing_test.go
+++ b/internal/backend/loadsharing_test.go
@@ -73,7 +73,7 @@
 		tokens := min(random.ExpFloat64()*random.ExpFloat64()*meanPromptTokens, maxPromptTokens)
 		request, candidates := router.set.Candidates(now, Query{Service: "s"})
 		request.PromptTokens = int(tokens)
-		chosen := placement.Choose(request, candidates, placement.Weights{Hit: 1}, random).Candidate.Name
+		chosen := placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1}, random).Candidate.Name
 		send := router.set.Begin(now, chosen, int(tokens))
 		startsAt := now
 		if freeAt[chosen].After(now) {
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -121,8 +121,8 @@
 	}
 	delete(s.entries, id)
 	delete(s.changedLoads, id)
-	s.cacheIndex.Forget(id)
-	s.cacheIndex.Sweep()
+	s.cacheIndex.RemoveRunner(id)
+	s.cacheIndex.RemoveStale()
 	for _, other := range s.peers {
 		delete(other.byRunner, id)
 	}
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -89,7 +89,7 @@
 	set.WeightTargets().SetTarget("m", 2, Deadlines{StaleAt: start.Add(time.Second), Expiry: start.Add(time.Minute)})
 	cost := func(now time.Time) int {
 		_, candidates := set.Candidates(now, Query{Service: "s", Model: "m"})
-		return candidates[2].ExtraTokens // cost of runner c, as a is next to be updated
+		return candidates[2].PenaltyTokens // cost of runner c, as a is next to be updated
 	}
 	g.Expect(cost(start)).To(BeZero())
 	g.Expect(cost(start.Add(time.Second))).To(Equal(staleWeightsCost))
@@ -144,8 +144,8 @@
 	set.End(start, set.Begin(start, "a", 0), Failed)
 	_, before := set.Candidates(start, Query{Service: "s"})
 	_, after := set.Candidates(start.Add(10*failureHalfLife), Query{Service: "s"})
-	g.Expect(before[0].ExtraTokens).To(BeNumerically(">", 5000))
-	g.Expect(after[0].ExtraTokens).To(BeNumerically("<", 20))
+	g.Expect(before[0].PenaltyTokens).To(BeNumerically(">", 5000))
+	g.Expect(after[0].PenaltyTokens).To(BeNumerically("<", 20))
 }
 
 // Whatever outcomes are reported, placement can pick a runner of every service for which the
@@ -170,7 +170,7 @@
 			}
 			set.End(now, send, outcome)
 			request, candidates := set.Candidates(now, Query{Service: "s", Model: "m", PromptTokens: 500})
-			pick := placement.Choose(request, candidates, placement.Weights{Hit: 1}, testRandom())
+			pick := placement.Choose(request, candidates, placement.ScoreWeights{Uncached: 1}, testRandom())
 			if pick.Status != placement.Picked {
 				t.Fatalf("no runner was picked: status %v", pick.Status)
 			}
--- a/internal/backend/split_test.go
+++ b/internal/backend/split_test.go
@@ -79,7 +79,7 @@
 		for _, c := range candidates {
 			if c.CachedTokens == query.SharedTokens {
 				homes++
-				g.Expect(c.ApartTokens).To(BeZero())
+				g.Expect(c.SeparationPenaltyTokens).To(BeZero())
 				g.Expect(split.prefers(set.entries[c.Name])).To(BeTrue())
 			}
 		}
@@ -96,8 +96,8 @@
 	g.Expect(forLong).To(HaveLen(testRunnerCount))
 	penalized := 0
 	for i := range forLong {
-		g.Expect(forLong[i].ApartTokens == 0).NotTo(Equal(forShort[i].ApartTokens == 0))
-		if forLong[i].ApartTokens > 0 {
+		g.Expect(forLong[i].SeparationPenaltyTokens == 0).NotTo(Equal(forShort[i].SeparationPenaltyTokens == 0))
+		if forLong[i].SeparationPenaltyTokens > 0 {
 			penalized++
 		}
 	}
@@ -119,7 +119,7 @@
 	set, other := newSplitSet(), newSplitSet()
 	pauses := func(s *Set) (streams int, gap time.Duration) {
 		_, candidates := s.Candidates(start, shortQuery())
-		return candidates[0].Pauses.Streams, candidates[0].Pauses.Gap
+		return candidates[0].StreamLoad.Streams, candidates[0].StreamLoad.AllowedPause
 	}
 	for _, outcome := range []Outcome{Succeeded, Failed, Abandoned, NotConfirmed} {
 		send := set.BeginQuery(start, "i-00", 800, shortQuery())
@@ -151,7 +151,7 @@
 		set.Candidates(now, shortQuery()) // counts the slots for the next placement
 		_, candidates := set.Candidates(now, shortQuery())
 		for _, c := range candidates {
-			most = max(most, c.ApartTokens)
+			most = max(most, c.SeparationPenaltyTokens)
 		}
 		return most
 	}
--- a/internal/backend/streams.go
+++ b/internal/backend/streams.go
@@ -32,14 +32,14 @@
 // streamPauses returns the open streams at the runner and the prompt tokens that are
 // prefilled there, including those of other routers. If all slots are in use, no tokens are
 // reported: queued requests are prefilled one at a time as slots are released.
-func (e *entry) streamPauses(fromPeers Load) placement.Pauses {
+func (e *entry) streamPauses(fromPeers Load) placement.StreamLoad {
 	count := e.streams.count + fromPeers.Streams
 	if count <= 0 {
-		return placement.Pauses{}
+		return placement.StreamLoad{}
 	}
-	pauses := placement.Pauses{Streams: count, Gap: (e.streams.totalMaxGap + fromPeers.TotalMaxGap) / time.Duration(count)}
+	pauses := placement.StreamLoad{Streams: count, AllowedPause: (e.streams.totalMaxGap + fromPeers.TotalMaxGap) / time.Duration(count)}
 	if e.inFlight+fromPeers.Requests < e.Slots {
-		pauses.Reading = e.pendingTokens + fromPeers.Tokens
+		pauses.PrefillTokens = e.pendingTokens + fromPeers.Tokens
 	}
 	return pauses
 }
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -29,7 +29,7 @@
 	// queueing is the time that the request is expected to queue, and limit the bound
 	// that held for it. forShare is set when it was refused only for its tenant's share.
 	queueing time.Duration
-	limit    admission.Limit
+	limit    admission.QueueLimit
 	forShare bool
 	// heldBack is set in place of a runner when all of them take no request now, and
 	// permitted when the choice is one that the limit of its runner allows; asked is when the
@@ -203,7 +203,7 @@
 	g.shares.hear(now, c.query, choice.limit.Excess)
 	c.limit, c.forShare = choice.limit, choice.forShare
 	if choice.refused {
-		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, Queueing: choice.queueing}, true
+		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueing}, true
 	}
 	if choice.heldBack {
 		return placement.Pick{Status: placement.AllHeldBack, RetryAfter: choice.retryAfter}, true
@@ -217,7 +217,7 @@
 		return placement.Pick{}, false
 	}
 	c.placed = choice
-	return placement.Pick{Status: placement.Picked, Wait: choice.wait, Queueing: choice.queueing, Candidate: placement.Candidate{
+	return placement.Pick{Status: placement.Picked, Wait: choice.wait, QueueWait: choice.queueing, Candidate: placement.Candidate{
 		Name: choice.runner, CachedTokens: choice.cachedTokens, PendingRequests: choice.pendingRequests,
 	}}, true
 }
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -147,11 +147,11 @@
 	r.routers = nil
 	for range r.settings.Routers {
 		r.routers = append(r.routers, &router{placer: &placement.Placer{
-			Index:    cacheindex.NewShard(10 * time.Second),
-			Pending:  placement.NewPending(time.Millisecond),
-			Fleet:    fleet.NewTable(),
-			Promises: admission.NewPromises(),
-			Random:   r.random,
+			Index:         cacheindex.NewShard(10 * time.Second),
+			Pending:       placement.NewPendingPlacements(time.Millisecond),
+			Fleet:         fleet.NewTable(),
+			RetrySchedule: admission.NewRetrySchedule(),
+			Random:        r.random,
 		}})
 	}
 }
@@ -231,7 +231,7 @@
 	}
 	target.open[p.id] = p
 	target.model.Submit(enginemodel.Job{
-		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.Tokens(len(p.text)),
+		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.EstimateTokens(len(p.text)),
 		TotalTokens: p.request.MaxTokens, Priority: p.tier,
 	})
 	r.step(target)
@@ -266,11 +266,11 @@
 func (r *run) query(p *pending, family uint64) placement.Query {
 	query := placement.Query{
 		Request: placement.Request{
-			Model: r.settings.Deployment.Model, WeightVersion: p.version, PromptTokens: prefix.Tokens(len(p.text)),
+			Model: r.settings.Deployment.Model, WeightVersion: p.version, PromptTokens: prefix.EstimateTokens(len(p.text)),
 			MaxTokens: p.request.MaxTokens, Priority: p.tier, MaxWait: r.settings.MaxWait[p.tier],
 		},
-		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.Ticket(p.salt, p.text),
-		Weights: placement.Weights{Hit: r.settings.Deployment.HitWeight},
+		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.PromptDigest(p.salt, p.text),
+		Weights: placement.ScoreWeights{Uncached: r.settings.Deployment.HitWeight},
 	}
 	for _, one := range r.runners {
 		query.Runners = append(query.Runners, placement.Runner{Name: one.name})
@@ -387,7 +387,7 @@
 	}
 	placer := r.shard(p.chain.Family(p.salt)).placer
 	placer.Fleet.UpdateLoad(one.name, one.incarnation, r.report(one).Load)
-	placer.Index.Note(r.now, cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}, p.chain.Anchors(r.settings.Stride))
+	placer.Index.AddProvisional(r.now, cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}, p.chain.Anchors(r.settings.Stride))
 	r.result.Messages++
 }
 
@@ -443,12 +443,12 @@
 	if incarnation != one.incarnation {
 		return
 	}
-	r.apply(one, one.tracker.Event(sequence, added, removed))
+	r.apply(one, one.tracker.ApplyEvent(sequence, added, removed))
 	if one.tracker.NeedsResync(r.now) {
 		r.resync(one)
 	}
 	for _, shard := range r.routers {
-		shard.placer.Index.Expire(r.now)
+		shard.placer.Index.ExpireProvisional(r.now)
 	}
 }
 
@@ -459,7 +459,7 @@
 		list[i] = cacheindex.Block{Hash: block.Hash, Root: block.Root, Depth: block.Depth}
 	}
 	sequence := one.sequence
-	r.after(20*time.Millisecond, func() { r.apply(one, one.tracker.List(sequence, list)) })
+	r.after(20*time.Millisecond, func() { r.apply(one, one.tracker.ApplySnapshot(sequence, list)) })
 }
 
 func (r *run) apply(one *runner, changes cacheindex.Changes) {
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -134,7 +134,7 @@
 func (x *execution) mayRetry() bool {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	return x.node.retries.Spend()
+	return x.node.retries.TryWithdraw()
 }
 
 // giveUp ends a request whose caller has gone or whose deadline has passed.
@@ -198,7 +198,7 @@
 func (x *execution) placeRequest() *wire.PlaceRequest {
 	return &wire.PlaceRequest{
 		Request: x.call.id, Pool: x.call.pool, Model: x.call.model, Adapter: x.call.adapter, WeightVersion: x.version,
-		Family: x.family, Anchors: x.anchors, Ticket: prefix.Ticket(x.salt, x.call.prompt),
+		Family: x.family, Anchors: x.anchors, Ticket: prefix.PromptDigest(x.salt, x.call.prompt),
 		PromptTokens: uint32(x.call.promptTokens + x.request.Offset()), MaxTokens: uint32(x.call.maxTokens),
 		Priority: uint32(x.call.tenant.Tier.Priority), MaxWaitMillis: uint32(x.node.maxWait(x.call).Milliseconds()),
 		Excluded: x.excluded(),
@@ -280,7 +280,7 @@
 func (x *execution) eject() {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	x.node.ejector.Fail(time.Now(), x.request.Runner(), x.incarnation)
+	x.node.ejector.RecordFailure(time.Now(), x.request.Runner(), x.incarnation)
 }
 
 func (x *execution) reportRejection(draining bool) {
@@ -323,7 +323,7 @@
 		x.cached = start.CachedTokens
 	}
 	x.node.admissionMutex.Lock()
-	x.node.ejector.Succeed(x.request.Runner())
+	x.node.ejector.RecordSuccess(x.request.Runner())
 	x.node.admissionMutex.Unlock()
 	x.node.metrics.prompt(x.call.promptTokens, start.CachedTokens)
 	x.node.sendPlaceResult(&wire.PlaceResult{
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -99,7 +99,7 @@
 		Ticket:      request.GetTicket(),
 		Anchors:     anchorsFromWire(request.GetAnchors()),
 		BlockTokens: pool.BlockBytes / prefix.BytesPerToken,
-		Weights:     placement.Weights{Hit: pool.HitWeight},
+		Weights:     placement.ScoreWeights{Uncached: pool.HitWeight},
 	}
 	for _, runner := range runners {
 		query.Runners = append(query.Runners, placement.Runner{Name: runner.Name, Leaving: runner.Leaving, Standby: runner.Spec.Role == v1.RoleStandby})
@@ -130,7 +130,7 @@
 	}
 	if result.GetRejected() {
 		if owned {
-			n.shard.Withdraw(holder, anchorsFromWire(result.GetAnchors()))
+			n.shard.RemoveProvisional(holder, anchorsFromWire(result.GetAnchors()))
 		}
 		return
 	}
@@ -138,6 +138,6 @@
 	load.AsOf = time.Now()
 	n.control.Fleet().UpdateLoad(holder.Runner, holder.Incarnation, load)
 	if owned {
-		n.shard.Note(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
+		n.shard.AddProvisional(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
 	}
 }
