--- a/internal/events/async_test.go
+++ b/internal/events/async_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// blockedOutput takes nothing until it is released.
+// blockedOutput blocks all writes until release is closed.
 type blockedOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -23,44 +23,44 @@
 	return o.written.Write(line)
 }
 
-func TestFullOutputCostsLinesAndNothingElse(t *testing.T) {
+func TestFullQueueDropsLinesWithoutBlocking(t *testing.T) {
 	g := NewWithT(t)
 	output := &blockedOutput{release: make(chan struct{})}
 	writer := NewAsyncWriter(output)
-	began := time.Now()
-	const lines = 3 * queuedLines
+	start := time.Now()
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		n, err := writer.Write([]byte("line\n"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(n).To(Equal(5))
 	}
-	g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "never blocked")
-	g.Expect(writer.Dropped()).To(BeNumerically("~", lines-queuedLines, 1))
+	g.Expect(time.Since(start)).To(BeNumerically("<", time.Second), "Write must not block")
+	g.Expect(writer.Dropped()).To(BeNumerically("~", lines-maxQueuedLines, 1))
 	writer.Flush()
 	close(output.release)
 	g.Eventually(func() int {
 		output.mutex.Lock()
 		defer output.mutex.Unlock()
 		return output.written.Len() / 5
-	}).Should(BeNumerically("~", queuedLines, 1), "what was queued is written later")
+	}).Should(BeNumerically("~", maxQueuedLines, 1), "queued lines are written once the output is released")
 }
 
-// deadOutput fails always.
-type deadOutput struct{}
+// failingOutput fails on every write.
+type failingOutput struct{}
 
-func (deadOutput) Write([]byte) (int, error) { return 0, bytes.ErrTooLarge }
+func (failingOutput) Write([]byte) (int, error) { return 0, bytes.ErrTooLarge }
 
-func TestDeadOutputIsHarmless(t *testing.T) {
+func TestFailingOutputDoesNotBlockOrReturnErrors(t *testing.T) {
 	g := NewWithT(t)
-	writer := NewAsyncWriter(deadOutput{})
-	for range 10 * queuedLines {
+	writer := NewAsyncWriter(failingOutput{})
+	for range 10 * maxQueuedLines {
 		_, err := writer.Write([]byte("line\n"))
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	writer.Flush()
 }
 
-func TestLinesAreCopied(t *testing.T) {
+func TestWriteCopiesLine(t *testing.T) {
 	g := NewWithT(t)
 	output := &blockedOutput{release: make(chan struct{})}
 	writer := NewAsyncWriter(output)
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestCatalogueIsDocumentedAndNumbersAreUnique(t *testing.T) {
+func TestCatalogueMatchesDocsAndNumbersAreUnique(t *testing.T) {
 	g := NewWithT(t)
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -19,5 +19,5 @@
 		seen[event.Number] = true
 		g.Expect(string(page)).To(ContainSubstring(fmt.Sprintf("| %d | %s | %s |", event.Number, event.Level, event.Text)))
 	}
-	g.Expect(strings.Count(string(page), "\n| ")).To(Equal(len(seen)+2), "one row an event, the head and its rule")
+	g.Expect(strings.Count(string(page), "\n| ")).To(Equal(len(seen)+2), "the table has one row per event, a header and a separator")
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -105,15 +105,15 @@
 
 // beliefEvents are the events that change what a router believes of everything.
 var beliefEvents = numbers(
-	events.GatewayStarted, events.GatewayDraining, events.ConfigInForce, events.ConfigStale, events.ConfigProven, events.StoreLost, events.StoreRegained,
-	events.SourceChanged, events.WeightsNamed, events.CacheStoreChanged, events.LeaseAcquired, events.LeaseLost,
+	events.GatewayStarted, events.GatewayDraining, events.ConfigInForce, events.ConfigStale, events.ConfigProven, events.StoreUnavailable, events.StoreRecovered,
+	events.SourceChanged, events.WeightsNamed, events.CacheStoreAvailabilityChanged, events.LeaseAcquired, events.LeaseLost,
 )
 
 // runnerEvents are the events that change what a router believes of one runner.
 var runnerEvents = numbers(events.RunnerAdded, events.RunnerChanged, events.RunnerRemoved)
 
 // orderEvents concern a runner whichever router they happen at.
-var orderEvents = numbers(events.WeightsLearned, events.OrderSent, events.RunnerSilent)
+var orderEvents = numbers(events.RunnerWeightsChanged, events.OrderSent, events.RunnerReportFailed)
 
 func numbers(list ...events.Event) map[int]bool {
 	set := map[int]bool{}
@@ -194,7 +194,7 @@
 	for _, line := range l.Lines {
 		id := line.Field("request")
 		switch line.Event {
-		case events.RequestAnswerBad.Number:
+		case events.RequestAttemptFailed.Number:
 			lastReason[id] = line.Field("outcome") + ": " + line.Field("cause")
 		case events.StreamCut.Number:
 			lastReason[id] = line.Field("reason") + "; " + lastReason[id]
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -287,6 +287,6 @@
 	reading.failing = true
 	r.mutex.Unlock()
 	if first && r.gateway.ctx.Err() == nil {
-		r.gateway.log.Log(events.CacheUnread, events.Fields{"holder": holder, "error": err.Error()})
+		r.gateway.log.Log(events.CacheReadFailed, events.Fields{"holder": holder, "error": err.Error()})
 	}
 }
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -104,7 +104,7 @@
 	before := w.state.Swap(&state)
 	for i, address := range table.CacheStores() {
 		if before.answers(i) != state.answers(i) {
-			w.gateway.log.Log(events.CacheStoreChanged, events.Fields{"address": address, "answers": state.answers(i), "source": source})
+			w.gateway.log.Log(events.CacheStoreAvailabilityChanged, events.Fields{"address": address, "answers": state.answers(i), "source": source})
 		}
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -268,7 +268,7 @@
 		c.body, err = io.ReadAll(io.LimitReader(c.caller.Body, limit+1))
 	}
 	if err != nil {
-		c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.facts.ID, "while": "sending"})
+		c.gateway.log.Log(events.CallerDisconnected, events.Fields{"request": c.facts.ID, "while": "sending"})
 		return nil, true
 	}
 	if int64(len(c.body)) > limit {
--- a/internal/gateway/callerend.go
+++ b/internal/gateway/callerend.go
@@ -21,7 +21,7 @@
 	if !c.connectionEnded() {
 		return false
 	}
-	c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.facts.ID, "while": "unread"})
+	c.gateway.log.Log(events.CallerDisconnected, events.Fields{"request": c.facts.ID, "while": "unread"})
 	return true
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -166,7 +166,7 @@
 		return
 	}
 	known := g.copies.newestRevision()
-	g.log.Log(events.StoreBehind, events.Fields{
+	g.log.Log(events.StoreStale, events.Fields{
 		"kind": f.kind.String(), "call": call, "revision": answer.revision.Number(), "era": answer.revision.Era(),
 		"known_revision": known.Number(), "known_era": known.Era(), "objects": len(answer.objects),
 	})
@@ -269,7 +269,7 @@
 	g.metrics.storeFailures.WithLabelValues(f.kind.String()).Inc()
 	if !f.lost {
 		f.lost = true
-		g.log.Log(events.StoreLost, events.Fields{"kind": f.kind.String(), "revision": g.copies.revision(f.kind).Number(), "error": err.Error()})
+		g.log.Log(events.StoreUnavailable, events.Fields{"kind": f.kind.String(), "revision": g.copies.revision(f.kind).Number(), "error": err.Error()})
 	}
 	g.backOff(f.failures-1, firstRetry, lastRetry)
 }
@@ -291,7 +291,7 @@
 func (f *follower) succeeded() {
 	if f.lost {
 		f.lost = false
-		f.gateway.log.Log(events.StoreRegained, events.Fields{"kind": f.kind.String(), "revision": f.gateway.copies.revision(f.kind).Number(), "failures": f.failures})
+		f.gateway.log.Log(events.StoreRecovered, events.Fields{"kind": f.kind.String(), "revision": f.gateway.copies.revision(f.kind).Number(), "failures": f.failures})
 	}
 	f.failures = 0
 	f.behind.Store(false)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -220,7 +220,7 @@
 		g.signals.sweep(g.now())
 		g.suspects.sweep(g.now())
 		if dropped := g.droppedLines(); dropped > reported {
-			g.log.Log(events.LinesDropped, events.Fields{"lines": dropped - reported, "total": dropped})
+			g.log.Log(events.LogLinesDropped, events.Fields{"lines": dropped - reported, "total": dropped})
 			reported = dropped
 		}
 	}
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -303,7 +303,7 @@
 		g.metrics.storeFailures.WithLabelValues(quarantineKind).Inc()
 	}
 	if err != nil && failures == 0 {
-		g.log.Log(events.QuarantineCallFailed, events.Fields{"call": call, "error": err.Error()})
+		g.log.Log(events.QuarantineStoreCallFailed, events.Fields{"call": call, "error": err.Error()})
 	}
 	return g.backOff(failures, quarantineRetry, quarantineLongest)
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -43,7 +43,7 @@
 	}
 	listener, err := net.Listen("tcp", g.settings.MetricsAddress)
 	if err != nil {
-		g.log.Log(events.FiguresUnavailable, events.Fields{"address": g.settings.MetricsAddress, "error": err.Error()})
+		g.log.Log(events.MetricsUnavailable, events.Fields{"address": g.settings.MetricsAddress, "error": err.Error()})
 		return
 	}
 	mux := http.NewServeMux()
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -103,7 +103,7 @@
 // runners, each of which would cost a caller's request.
 func (r *relays) connectionsLost(since time.Time) {
 	closed := r.gateway.ports.RunnerPool.CloseIdleSince(since)
-	r.gateway.log.Log(events.ConnectionsLost, events.Fields{"silent_ms": time.Since(since).Milliseconds(), "closed": closed})
+	r.gateway.log.Log(events.PeerConnectionLost, events.Fields{"silent_ms": time.Since(since).Milliseconds(), "closed": closed})
 }
 
 func (r *relays) close() {
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -73,7 +73,7 @@
 	g.metrics.renewals.WithLabelValues(f.kind.String(), renewalOutcome(len(answer.objects) > 0)).Inc()
 	if len(answer.objects) > 0 {
 		f.endWatch()
-		g.log.Log(events.WatchRenewed, events.Fields{"kind": f.kind.String(), "objects": len(answer.objects), "revision": g.copies.revision(f.kind).Number()})
+		g.log.Log(events.WatchStalled, events.Fields{"kind": f.kind.String(), "objects": len(answer.objects), "revision": g.copies.revision(f.kind).Number()})
 	}
 }
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -185,7 +185,7 @@
 	for r.gateway.now().Before(deadline) {
 		report, err := r.report(runner)
 		if err != nil {
-			g.log.Log(events.RunnerSilent, events.Fields{"runner": runner.ID, "address": runner.Address, "error": err.Error()})
+			g.log.Log(events.RunnerReportFailed, events.Fields{"runner": runner.ID, "address": runner.Address, "error": err.Error()})
 			return false
 		}
 		if r.has(runner, report, model, version) {
@@ -238,7 +238,7 @@
 		g.runners.LearnVersion(runner.ID, model, held.Version)
 		g.mutex.Unlock()
 		if held.Version >= version && !report.Busy {
-			g.log.Log(events.WeightsLearned, events.Fields{"runner": runner.ID, "model": model, "version": held.Version})
+			g.log.Log(events.RunnerWeightsChanged, events.Fields{"runner": runner.ID, "model": model, "version": held.Version})
 			return true
 		}
 	}
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -114,7 +114,7 @@
 	runs := e.work.RunnerEnded(now, startOf(runner))
 	e.mutex.Unlock()
 	e.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
-	e.gateway.log.Log(events.RunnerFoundEnded, events.Fields{
+	e.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
 	e.gateway.suspects.runnerEnded(now, runs)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -216,7 +216,7 @@
 		return
 	}
 	c.gateway.metrics.runnerFailures.WithLabelValues(c.service, outcome.String()).Inc()
-	c.note(events.RequestAnswerBad, events.Fields{
+	c.note(events.RequestAttemptFailed, events.Fields{
 		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.request.Attempt(),
 		"outcome": outcome.String(), "cause": cause, "status": status, "after_ms": c.gateway.since(c.sent).Milliseconds(), "content": c.content.String(),
 	})
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -72,7 +72,7 @@
 			counted.WithLabelValues(service, name).Inc()
 		}
 	}
-	s.gateway.log.Log(events.RunnerSignalled, events.Fields{
+	s.gateway.log.Log(events.RunnerSignalReceived, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": service, "request": request,
 		"leaving": said.Leaving, "limited": said.Limited, "rate": said.Rate, "rest_ms": said.Rest.Milliseconds(),
 	})
@@ -99,7 +99,7 @@
 	runners := make([]backpressure.Runner, 0, len(changed))
 	for _, record := range changed {
 		runners = append(runners, record.Runner)
-		g.log.Log(events.RunnerSignalTold, events.Fields{"runner": record.ID, "leaving": record.Leaving(), "limited": record.Limited(), "rate": record.Rate})
+		g.log.Log(events.RunnerSignalForwarded, events.Fields{"runner": record.ID, "leaving": record.Leaving(), "limited": record.Limited(), "rate": record.Rate})
 	}
 	s.out.add(runners, false)
 }
--- a/internal/gateway/weighttold.go
+++ b/internal/gateway/weighttold.go
@@ -40,7 +40,7 @@
 		return
 	}
 	g.countOlder(model, known)
-	g.log.Log(events.WeightsBounded, events.Fields{"model": model, "version": known.Named(), "told": version, "older_until_ms": g.until(known.OlderUntil(g.settings.namingTimes())).Milliseconds()})
+	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": known.Named(), "told": version, "older_until_ms": g.until(known.OlderUntil(g.settings.namingTimes())).Milliseconds()})
 }
 
 // countOlder puts the deadlines of the model's older weights in force. The mutex is held.
--- a/internal/node/home.go
+++ b/internal/node/home.go
@@ -177,7 +177,7 @@
 		sends = n.routeChanges(h, h.tracker.List(list.Sequence, blocksFromEngine(list.Blocks)))
 	})
 	n.sendAll(sends)
-	n.log.Log(events.RunnerResync, events.Fields{"runner": h.runner, "blocks": len(list.Blocks)})
+	n.log.Log(events.RunnerIndexReloaded, events.Fields{"runner": h.runner, "blocks": len(list.Blocks)})
 }
 
 func blocksFromEngine(blocks []engineapi.Block) []cacheindex.Block {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -236,7 +236,7 @@
 		case membership.EventChanged:
 			n.log.Log(events.MemberChanged, fields)
 		case membership.EventForgotten:
-			n.log.Log(events.MemberForgotten, fields)
+			n.log.Log(events.MemberRemoved, fields)
 		case membership.EventZoneUnreachable:
 			n.log.Log(events.ZoneUnreachable, fields)
 		case membership.EventZoneReachable:
