--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -57,7 +57,7 @@
 mutant "6 a lost answer is an error" internal/platform/client.go 's/case sameSpec\(current.Spec, object.Spec\):/case current == nil:/' ./test/prove -ginkgo.focus "reading back"
 mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
 mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeoverDelay/now.Sub(c.changedAt) >= 0/' ./internal/lease
-mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!empty && serving-1 < floor\)/loading > 999 || floor < 0/' ./test/prove -ginkgo.focus "within the pool"
+mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!unloaded && serving-1 < minServing\)/loading > 999 || minServing < 0/' ./test/prove -ginkgo.focus "within the pool"
 mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Verdict\(now, content\)/return quarantine.Verdict{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
 mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
 mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,7 @@
-// Package rollout plans which orders bring runners to the configured weights,
-// adapters and roles, within the pool's limits. It is level-triggered: each
-// plan compares desired with observed and needs no memory of earlier ones.
+// Package rollout plans the orders that bring the runners of a pool to their
+// configured weights, adapters and roles, within the pool's rollout limits. It is
+// level-triggered: each plan compares the desired with the observed state and
+// doesn't depend on earlier plans.
 //
 // The package has no I/O and no clock.
 package rollout
@@ -14,7 +15,7 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// Model is one model of the pool with its desired weights.
+// Model is a model of the pool with its desired weights and adapters.
 type Model struct {
 	Name          string
 	WeightVersion string
@@ -22,52 +23,56 @@
 	Adapters      []string
 }
 
-// Runner is one runner of the pool, as configured and as observed.
+// Runner is a runner of the pool in its desired and its observed state.
 type Runner struct {
-	Name    string
-	Role    string
+	Name string
+	// Role is the configured role.
+	Role string
+	// Leaving runners get no orders and don't count towards the limits.
 	Leaving bool
-	Report  fleet.Report
+	// Report is the runner's last reported state.
+	Report fleet.Report
 }
 
-// Limits are the pool's rollout limits.
+// Limits are the rollout limits of a pool.
 type Limits struct {
-	// MaxLoading bounds the runners that load weights at once.
+	// MaxLoading is the maximum number of runners that load weights at the same time.
 	MaxLoading int
-	// MinServingPercent is the share of the pool's runners that must keep serving.
+	// MinServingPercent is the minimum share of the pool's runners that must keep serving.
 	MinServingPercent int
 }
 
-// Order is an order for one runner.
+// Order is an order to one runner.
 type Order struct {
 	Runner string
 	Order  engineapi.Order
 }
 
-// AssignModels divides the pool's runners evenly over its models, by a ranking
-// that does not change when other runners come or go.
+// AssignModels distributes the pool's runners evenly over its models and returns
+// the model of each runner by the runner's name. Runners are sorted by a hash of
+// their names, so their relative order doesn't change when others come or go.
 func AssignModels(models []Model, runners []Runner) map[string]Model {
 	assigned := map[string]Model{}
 	if len(models) == 0 {
 		return assigned
 	}
-	ordered := slices.Clone(runners)
-	sort.Slice(ordered, func(i, j int) bool {
-		return rendezvous.KeyOf(ordered[i].Name) < rendezvous.KeyOf(ordered[j].Name)
+	sortedRunners := slices.Clone(runners)
+	sort.Slice(sortedRunners, func(i, j int) bool {
+		return rendezvous.KeyOf(sortedRunners[i].Name) < rendezvous.KeyOf(sortedRunners[j].Name)
 	})
-	byName := slices.Clone(models)
-	sort.Slice(byName, func(i, j int) bool { return byName[i].Name < byName[j].Name })
-	for i, runner := range ordered {
-		assigned[runner.Name] = byName[i%len(byName)]
+	sortedModels := slices.Clone(models)
+	sort.Slice(sortedModels, func(i, j int) bool { return sortedModels[i].Name < sortedModels[j].Name })
+	for i, runner := range sortedRunners {
+		assigned[runner.Name] = sortedModels[i%len(sortedModels)]
 	}
 	return assigned
 }
 
-// Plan returns the orders to give now.
+// Plan returns the orders to send now.
 //
-// Invariants: with these orders carried out, at most MaxLoading runners load
-// at once, and no order takes a serving runner out when that would leave fewer
-// than MinServingPercent of the runners serving.
+// Invariants: the orders raise the number of runners that load weights to
+// MaxLoading at most, and no order makes a serving runner reload when that would
+// leave fewer than MinServingPercent of the runners serving.
 func Plan(limits Limits, models []Model, runners []Runner) []Order {
 	assigned := AssignModels(models, runners)
 	loading, serving, total := 0, 0, 0
@@ -85,23 +90,23 @@
 			}
 		}
 	}
-	floor := (total*limits.MinServingPercent + 99) / 100
+	minServing := (total*limits.MinServingPercent + 99) / 100
 	var orders []Order
 	for _, runner := range runners {
-		model, has := assigned[runner.Name]
-		if !has || !runner.Report.Connected || runner.Leaving || runner.Report.State != fleet.Serving {
+		model, found := assigned[runner.Name]
+		if !found || !runner.Report.Connected || runner.Leaving || runner.Report.State != fleet.Serving {
 			continue
 		}
-		orders = append(orders, sideOrders(runner, model)...)
+		orders = append(orders, adapterAndRoleOrders(runner, model)...)
 		if runner.Report.Model == model.Name && runner.Report.WeightVersion == model.WeightVersion {
 			continue
 		}
-		empty := runner.Report.Model == ""
-		if loading >= limits.MaxLoading || (!empty && serving-1 < floor) {
+		unloaded := runner.Report.Model == ""
+		if loading >= limits.MaxLoading || (!unloaded && serving-1 < minServing) {
 			continue
 		}
 		loading++
-		if !empty {
+		if !unloaded {
 			serving--
 		}
 		orders = append(orders, Order{Runner: runner.Name, Order: engineapi.Order{
@@ -111,8 +116,9 @@
 	return orders
 }
 
-// sideOrders returns the orders that take no capacity out.
-func sideOrders(runner Runner, model Model) []Order {
+// adapterAndRoleOrders returns the runner's orders to load adapters and change its
+// role. The limits don't apply to them, since the runner keeps serving meanwhile.
+func adapterAndRoleOrders(runner Runner, model Model) []Order {
 	var orders []Order
 	for _, adapter := range model.Adapters {
 		if !slices.Contains(runner.Report.Adapters, adapter) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/clovertiller/clovertiller/internal/lab/testkit"
 )
 
-var wanted = []Model{{Name: "m", WeightVersion: "v2", Source: "s2"}}
+var desiredModels = []Model{{Name: "m", WeightVersion: "v2", Source: "s2"}}
 
 func drawRunners(t *rapid.T) []Runner {
 	runners := make([]Runner, rapid.IntRange(1, 12).Draw(t, "runners"))
@@ -26,16 +26,16 @@
 	return runners
 }
 
-// TestPlanKeepsItsLimits checks both limits on random fleets.
-func TestPlanKeepsItsLimits(t *testing.T) {
+// TestPlanRespectsLimits checks both limits on random fleets.
+func TestPlanRespectsLimits(t *testing.T) {
 	testkit.Properties(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		runners := drawRunners(t)
 		limits := Limits{MaxLoading: rapid.IntRange(1, 4).Draw(t, "max"), MinServingPercent: rapid.IntRange(0, 99).Draw(t, "percent")}
 		loading, serving, total := 0, 0, 0
-		state := map[string]Runner{}
+		runnersByName := map[string]Runner{}
 		for _, runner := range runners {
-			state[runner.Name] = runner
+			runnersByName[runner.Name] = runner
 			if !runner.Report.Connected || runner.Leaving {
 				continue
 			}
@@ -47,31 +47,33 @@
 				serving++
 			}
 		}
-		before := loading
-		takenOut := 0
-		for _, order := range Plan(limits, wanted, runners) {
-			runner := state[order.Runner]
+		initiallyLoading := loading
+		unloading := 0
+		for _, order := range Plan(limits, desiredModels, runners) {
+			runner := runnersByName[order.Runner]
 			if order.Order.Kind != engineapi.OrderLoadWeights {
 				continue
 			}
 			if runner.Report.WeightVersion == "v2" && runner.Report.Model == "m" {
-				t.Fatalf("%s has the weights already", order.Runner)
+				t.Fatalf("%s already has the desired weights", order.Runner)
 			}
 			loading++
 			if runner.Report.Model != "" {
-				takenOut++
+				unloading++
 			}
 		}
-		if loading > limits.MaxLoading && loading > before {
-			t.Fatalf("%d load at once, %d allowed", loading, limits.MaxLoading)
+		if loading > limits.MaxLoading && loading > initiallyLoading {
+			t.Fatalf("%d runners load at the same time, %d allowed", loading, limits.MaxLoading)
 		}
-		if takenOut > 0 && (serving-takenOut)*100 < total*limits.MinServingPercent {
-			t.Fatalf("%d of %d still serve, %d%% wanted", serving-takenOut, total, limits.MinServingPercent)
+		if unloading > 0 && (serving-unloading)*100 < total*limits.MinServingPercent {
+			t.Fatalf("%d of %d runners still serve, %d%% required", serving-unloading, total, limits.MinServingPercent)
 		}
 	})
 }
 
-func TestPlanFinishes(t *testing.T) {
+// TestPlanConverges checks that repeated plans update all runners in as few rounds
+// as MaxLoading allows.
+func TestPlanConverges(t *testing.T) {
 	g := NewWithT(t)
 	runners := make([]Runner, 7)
 	for i := range runners {
@@ -79,7 +81,7 @@
 	}
 	rounds := 0
 	for ; rounds < 20; rounds++ {
-		orders := Plan(Limits{MaxLoading: 2, MinServingPercent: 50}, wanted, runners)
+		orders := Plan(Limits{MaxLoading: 2, MinServingPercent: 50}, desiredModels, runners)
 		if len(orders) == 0 {
 			break
 		}
@@ -91,10 +93,10 @@
 			}
 		}
 	}
-	g.Expect(rounds).To(Equal(4), "seven runners, two at a time")
+	g.Expect(rounds).To(Equal(4), "seven runners, two at a time, take four rounds")
 }
 
-func TestSideOrders(t *testing.T) {
+func TestAdapterAndRoleOrders(t *testing.T) {
 	g := NewWithT(t)
 	models := []Model{{Name: "m", WeightVersion: "v1", Adapters: []string{"a"}}}
 	runner := Runner{Name: "r", Role: "standby", Report: fleet.Report{Connected: true, State: fleet.Serving, Model: "m", WeightVersion: "v1", Role: "serve"}}
