--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -30,7 +30,7 @@
 	if !c.gateway.settings.CopyRuns || c.route.Kind != routing.Streaming || c.route.Resumable {
 		return
 	}
-	if service == nil || service.Engine == nil || !service.Engine.Backups {
+	if service == nil || service.Engine == nil || !service.Engine.CacheBackups {
 		return
 	}
 	if backup, found := c.gateway.runners.Backup(now, runner.ID, c.facts.Model); found {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -218,7 +218,7 @@
 	}
 	c.gateway.mutex.Lock()
 	c.service = c.gateway.splitter.Pick(c.route)
-	c.maxQueue = admission.LongestQueue(c.route.Target, c.rank(), c.gateway.random)
+	c.maxQueue = admission.LongestQueue(c.route.LatencyTarget, c.rank(), c.gateway.random)
 	c.gateway.mutex.Unlock()
 	c.setDeadline()
 	c.request = attempt.NewRequest(c.route.Repeatable(), attempt.Limits{MaxAttempts: max(c.route.MaxAttempts, 1), MaxRefusals: maxRefusals, MaxUnsent: maxUnsent})
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -50,4 +50,4 @@
 // a runner that is short of memory preempts what ranks lower and reads it anew, so
 // ranks that all requests differ in make a shortage worse. The ranks of routes count
 // before the send, when requests are refused (admission.LongestQueue).
-func (c *call) priority() int { return min(c.view.table.Tier(c.tenant), lastRank) }
+func (c *call) priority() int { return min(c.view.table.TenantTier(c.tenant), lastRank) }
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -8,21 +8,21 @@
 
 // rank is the call's place among those that want the same runners.
 func (c *call) rank() admission.Rank {
-	return admission.Rank{Tier: c.view.table.Tier(c.tenant), Route: c.view.table.Rank(c.service, c.route)}
+	return admission.Rank{Tier: c.view.table.TenantTier(c.tenant), Route: c.view.table.RouteRank(c.service, c.route)}
 }
 
 // newQuery says what placement needs to know of the call.
 func (c *call) newQuery() backend.Query {
 	query := backend.Query{
 		Service: c.service, Excluded: c.request.Excluded(), Zone: c.gateway.settings.Zone, MaxQueue: c.maxQueue,
-		Target: c.route.Target, EventGap: c.route.EventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
+		Target: c.route.LatencyTarget, EventGap: c.route.MaxEventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
 		Suspect: c.suspect(), Resting: c.gateway.resting(),
 	}
 	if c.request.Attempt() > 0 {
 		// What has been let in is not turned away at its second attempt.
 		query.MaxQueue = 0
 	}
-	if !c.route.Cached {
+	if !c.route.PromptCached {
 		return query
 	}
 	query.Model, query.Owner = c.facts.Model, c.owner()
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -60,9 +60,9 @@
 // lateBy tells what made the answer late, "" for one in time.
 func lateBy(first, pause time.Duration, route *routing.Route) string {
 	switch {
-	case exceeds(first, route.Target):
+	case exceeds(first, route.LatencyTarget):
 		return lateFirstEvent
-	case exceeds(pause, route.EventGap):
+	case exceeds(pause, route.MaxEventGap):
 		return latePause
 	}
 	return ""
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -156,7 +156,7 @@
 	if c.tenant != nil {
 		dispatch.Tenant = c.tenant.Name
 	}
-	if c.route.Cached {
+	if c.route.PromptCached {
 		c.addCache(&dispatch)
 	}
 	dispatch.BackupTo = c.backup.Address
@@ -198,7 +198,7 @@
 
 // learnVersion notes the version of the weights that the runner named.
 func (c *call) learnVersion(version uint64) (news bool) {
-	if version == 0 || !c.route.Cached {
+	if version == 0 || !c.route.PromptCached {
 		return false
 	}
 	c.gateway.mutex.Lock()
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -5,95 +5,103 @@
 	"strings"
 )
 
-// Check returns all faults of a configuration. The router serves a faulty one
-// as far as it goes, since the store has accepted it; the check is for operators.
+// Check returns a description of every fault of a configuration. It is for
+// operators: the router itself serves the valid part of a faulty configuration,
+// since the store has accepted it.
 func Check(config *Config) []string {
 	c := checker{services: map[string]bool{}}
 	for _, service := range config.Services {
-		c.once("service", service.Name)
+		c.requireUnique("service", service.Name)
 		c.services[service.Name] = true
 	}
 	for i := range config.Routes {
-		c.route(&config.Routes[i])
+		c.checkRoute(&config.Routes[i])
 	}
-	c.tenants(config.Tenants)
+	c.checkTenants(config.Tenants)
 	return c.faults
 }
 
-// checker collects faults.
+// checker collects the faults of one configuration.
 type checker struct {
+	// services are the names of all services.
 	services map[string]bool
-	seen     map[string]bool
-	faults   []string
+	// seen are the kinds and names passed to requireUnique.
+	seen   map[string]bool
+	faults []string
 }
 
-func (c *checker) fault(format string, args ...any) {
+// addFault adds a formatted fault description.
+func (c *checker) addFault(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-// once notes a name that only one thing of its kind may have.
-func (c *checker) once(kind, name string) {
+// requireUnique adds a fault if the name is empty or was passed before with the
+// same kind.
+func (c *checker) requireUnique(kind, name string) {
 	if name == "" {
-		c.fault("%s: a name is required", kind)
+		c.addFault("%s: a name is required", kind)
 		return
 	}
 	if c.seen == nil {
 		c.seen = map[string]bool{}
 	}
-	key := kind + " " + name
-	if c.seen[key] {
-		c.fault("%s %q: there is another one", kind, name)
+	seenKey := kind + " " + name
+	if c.seen[seenKey] {
+		c.addFault("%s %q: defined more than once", kind, name)
 	}
-	c.seen[key] = true
+	c.seen[seenKey] = true
 }
 
-func (c *checker) route(route *Route) {
-	c.once("route", route.Name)
-	c.once("route of host and path", strings.ToLower(route.Host)+route.PathPrefix)
+// checkRoute adds the faults of one route.
+func (c *checker) checkRoute(route *Route) {
+	c.requireUnique("route", route.Name)
+	c.requireUnique("route of host and path", strings.ToLower(route.Host)+route.PathPrefix)
 	if !strings.HasPrefix(route.PathPrefix, "/") {
-		c.fault("route %q: path prefix %q does not begin with /", route.Name, route.PathPrefix)
+		c.addFault("route %q: path prefix %q does not begin with /", route.Name, route.PathPrefix)
 	}
-	if route.Timeout < 0 || route.Target < 0 || route.EventGap < 0 {
-		c.fault("route %q: times must not be negative", route.Name)
+	if route.Timeout < 0 || route.LatencyTarget < 0 || route.MaxEventGap < 0 {
+		c.addFault("route %q: times must not be negative", route.Name)
 	}
-	if route.Timeout > 0 && route.Target > route.Timeout {
-		c.fault("route %q: target of %v is after the time-out of %v", route.Name, route.Target, route.Timeout)
+	if route.Timeout > 0 && route.LatencyTarget > route.Timeout {
+		c.addFault("route %q: latency target of %v exceeds the timeout of %v", route.Name, route.LatencyTarget, route.Timeout)
 	}
 	if route.MaxAttempts < 1 {
-		c.fault("route %q: at least one attempt is required", route.Name)
+		c.addFault("route %q: at least one attempt is required", route.Name)
 	}
-	c.backends(route)
+	c.checkBackends(route)
 }
 
-func (c *checker) backends(route *Route) {
-	total := 0
+// checkBackends adds the faults of a route's backends.
+func (c *checker) checkBackends(route *Route) {
+	totalWeight := 0
 	for _, backend := range route.Backends {
 		if !c.services[backend.Service] {
-			c.fault("route %q: there is no service %q", route.Name, backend.Service)
+			c.addFault("route %q: service %q does not exist", route.Name, backend.Service)
 		}
 		if backend.Weight < 0 {
-			c.fault("route %q: weight of %q is negative", route.Name, backend.Service)
+			c.addFault("route %q: weight of %q is negative", route.Name, backend.Service)
 		}
-		total += max(backend.Weight, 0)
+		totalWeight += max(backend.Weight, 0)
 	}
-	if total == 0 {
-		c.fault("route %q: no service has a weight", route.Name)
+	if totalWeight == 0 {
+		c.addFault("route %q: no service has a positive weight", route.Name)
 	}
 }
 
-func (c *checker) tenants(tenants []Tenant) {
-	holder := map[string]string{}
+// checkTenants adds the faults of all tenants.
+func (c *checker) checkTenants(tenants []Tenant) {
+	keyOwners := map[string]string{}
 	for _, tenant := range tenants {
-		c.once("tenant", tenant.Name)
-		if quota := tenant.Quota; quota != nil && quota.InTokens && quota.UncountedTokens < 0 {
-			c.fault("tenant %q: tokens of requests that do not tell theirs must not be negative", tenant.Name)
+		c.requireUnique("tenant", tenant.Name)
+		if quota := tenant.Quota; quota != nil && quota.CountsTokens && quota.DefaultTokens < 0 {
+			c.addFault("tenant %q: tokens charged for requests without token counts must not be negative", tenant.Name)
 		}
 		for _, key := range tenant.Keys {
-			if other, held := holder[key]; held && other != tenant.Name {
-				// The key itself is a secret and is not shown.
-				c.fault("tenant %q: shares a key with tenant %q", tenant.Name, other)
+			if owner, taken := keyOwners[key]; taken && owner != tenant.Name {
+				// The key itself is a secret and must not be printed.
+				c.addFault("tenant %q: shares a key with tenant %q", tenant.Name, owner)
 			}
-			holder[key] = tenant.Name
+			keyOwners[key] = tenant.Name
 		}
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,9 @@
-// Package routing holds the accepted configuration of the gateway: routes,
-// services and tenants, and finds the route and tenant of a request.
+// Package routing defines the configuration of the gateway, which consists of
+// routes, services and tenants, and looks up the route and the tenant of a
+// request.
 //
-// The package has no I/O and no clock. A Table is immutable; a new
-// configuration is a new Table.
+// The package has no I/O and no clock. A Table is immutable; each new
+// configuration gets a new Table.
 package routing
 
 import (
@@ -12,21 +13,22 @@
 	"time"
 )
 
-// Kind says what may be done again with a request of a route.
+// Kind is the kind of a route's requests. It determines whether a request may be
+// repeated.
 type Kind uint8
 
 // The kinds of routes.
 const (
-	// Unsafe requests run at most once.
+	// Unsafe requests may run at most once.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests are answered by a series of events; they may be
-	// repeated only where the route is resumable.
+	// Streaming requests are answered by a series of events. They may be repeated
+	// only if the route is resumable.
 	Streaming
 )
 
-// String returns the kind's name.
+// String returns "unsafe", "safe" or "streaming".
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -37,52 +39,57 @@
 	return "unsafe"
 }
 
-// Backend is one service that a route sends requests to.
+// Backend is a service to which a route sends requests.
 type Backend struct {
 	Service string
-	// Weight is the service's share of the route's requests, relative to the others.
+	// Weight is the service's share of the route's requests, relative to the weights
+	// of the route's other backends.
 	Weight int
 }
 
-// Route is where and how requests of one host and path prefix are sent.
+// Route defines to which services, and how, requests of one host and path prefix
+// are sent.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time the router may hold a request; 0 means no bound.
+	// Timeout is the longest time that a request may take; 0 means no limit.
 	Timeout time.Duration
-	// Target is the time within which an answer is on time.
-	Target time.Duration
-	// EventGap is the longest pause between events of an answer that is on time.
-	EventGap time.Duration
-	// Priority ranks requests after the tenant's priority; 0 is highest.
+	// LatencyTarget is the longest time until the first event of an answer that
+	// counts as on time; 0 means no target.
+	LatencyTarget time.Duration
+	// MaxEventGap is the longest pause between two events of an answer that counts as
+	// on time; 0 means no target.
+	MaxEventGap time.Duration
+	// Priority orders requests of tenants of the same priority; 0 is highest.
 	Priority int
 	Backends []Backend
-	// MaxAttempts is the largest number of runners that may run one request.
+	// MaxAttempts is the maximum number of runners that may run one request.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Cached routes carry a prompt whose parts runners keep.
-	Cached bool
-	// Resumable streams may go on at another runner.
+	// PromptCached is set if the requests carry prompts whose parts runners cache.
+	PromptCached bool
+	// Resumable streams may be continued on another runner.
 	Resumable bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
 // Engine describes the language-model engines of a service.
 type Engine struct {
-	// Slots is how many requests one engine runs at once.
+	// Slots is the number of requests that one engine runs at the same time.
 	Slots int
-	// CacheTokens is an engine's memory, in tokens.
+	// CacheTokens is the capacity of one engine's KV cache in tokens.
 	CacheTokens int
-	// Backups tells whether engines send a run's memory to another one as it grows.
-	Backups bool
-	// Models names the models that the service's engines hold.
+	// CacheBackups is set if engines copy the growing KV cache of a run to another
+	// engine while it runs.
+	CacheBackups bool
+	// Models are the names of the models that the service's engines serve.
 	Models []string
 }
 
@@ -91,50 +98,53 @@
 	Name string
 	// HealthPath is the path of the runners' health check.
 	HealthPath string
-	// MaxConnections is how many connections one runner takes from all callers.
+	// MaxConnections is the maximum number of connections that one runner accepts
+	// from all of its clients together.
 	MaxConnections int
-	// Engine is nil for services that hold no language model.
+	// Engine is nil for services without a language model.
 	Engine *Engine
-	// CacheStoreAddress is set for a store of kept cache, as IP:port.
+	// CacheStoreAddress is the IP:port of the service if it is a cache store, else "".
 	CacheStoreAddress string
-	CacheStoreZone    string
+	// CacheStoreZone is the zone of the cache store.
+	CacheStoreZone string
 }
 
-// Tenant is a customer whose requests carry one of its keys.
+// Tenant is a customer, recognized by the API key of its requests.
 type Tenant struct {
 	Name string
 	Keys []string
-	// Priority ranks tenants; 0 is highest.
+	// Priority orders tenants; 0 is highest.
 	Priority int
-	// Isolated tenants share no cached prompt part with others.
+	// Isolated tenants share no cached prompt parts with others.
 	Isolated bool
-	// Quota limits what the tenant may send over all routers; nil means no limit.
+	// Quota is nil if the tenant has no limit.
 	Quota *Quota
 }
 
-// Quota is a tenant's limit over all routers.
+// Quota is a tenant's rate limit over all routers together, as a token bucket.
 type Quota struct {
-	// Rate is the allowance a second, and Burst what may be spent beyond it.
+	// Rate is the allowance per second, and Burst what may be spent beyond it.
 	Rate  float64
 	Burst float64
-	// InTokens limits count tokens, others requests.
-	InTokens bool
-	// UncountedTokens is what a request counts that does not tell its tokens.
-	UncountedTokens float64
+	// CountsTokens is set if the limit counts tokens instead of requests.
+	CountsTokens bool
+	// DefaultTokens is charged for a request without token counts.
+	DefaultTokens float64
 }
 
-// Amount is what a request spends of the limit.
+// Amount returns what a request is charged against the limit. The counted argument
+// says whether the token counts are known.
 func (q *Quota) Amount(promptTokens, maxTokens int, counted bool) float64 {
 	switch {
-	case !q.InTokens:
+	case !q.CountsTokens:
 		return 1
 	case !counted:
-		return q.UncountedTokens
+		return q.DefaultTokens
 	}
 	return float64(promptTokens) + float64(maxTokens)
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on the requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -142,9 +152,9 @@
 	IdleTimeout    time.Duration
 }
 
-// Config is one accepted configuration as a whole.
+// Config is one complete configuration.
 type Config struct {
-	// Version orders configurations.
+	// Version is higher for later configurations.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -152,38 +162,38 @@
 	Limits   Limits
 }
 
-// Table answers look-ups in one configuration.
+// Table is an index for look-ups in one configuration. It is safe for concurrent
+// use.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	byHost   map[string][]*Route
 	byKey    map[string]*Tenant
 	services map[string]*Service
-	// tiers are the distinct priorities of tenants, and ranks those of the routes to
-	// each service, the first first.
-	tiers []int
-	ranks map[string][]int
-	// cacheStores are the addresses of the stores of kept cache.
+	// tenantPriorities are the distinct priorities of tenants, and routePriorities
+	// those of the non-public routes to each service, both in ascending order.
+	tenantPriorities []int
+	routePriorities  map[string][]int
+	// cacheStores are the addresses of the cache stores.
 	cacheStores []string
-	// keyed is true when the configuration has tenants.
-	keyed bool
-	// weights are those of the tenants, by name.
-	weights map[string]float64
+	hasTenants  bool
+	// tenantWeights are the tenants' fair-share weights by tenant name.
+	tenantWeights map[string]float64
 }
 
-// NewTable indexes a configuration. The table keeps parts of the configuration,
-// which must not be changed afterwards.
+// NewTable returns the table of a configuration. The table refers to parts of the
+// configuration, which must not be changed afterwards.
 func NewTable(config *Config) *Table {
 	t := &Table{
 		Version: config.Version, Limits: config.Limits,
-		ranks:  map[string][]int{},
-		byHost: map[string][]*Route{}, byKey: map[string]*Tenant{}, services: map[string]*Service{},
-		keyed: len(config.Tenants) > 0,
+		routePriorities: map[string][]int{},
+		byHost:          map[string][]*Route{}, byKey: map[string]*Tenant{}, services: map[string]*Service{},
+		hasTenants: len(config.Tenants) > 0,
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
 		if !route.Public {
-			t.addRank(route)
+			t.addRoutePriority(route)
 		}
 		host := strings.ToLower(route.Host)
 		t.byHost[host] = append(t.byHost[host], route)
@@ -192,15 +202,15 @@
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	for i := range config.Tenants {
-		t.tiers = append(t.tiers, config.Tenants[i].Priority)
+		t.tenantPriorities = append(t.tenantPriorities, config.Tenants[i].Priority)
 		for _, key := range config.Tenants[i].Keys {
 			t.byKey[key] = &config.Tenants[i]
 		}
 	}
-	t.tiers = distinct(t.tiers)
-	t.weights = weights(config.Tenants)
-	for service, ranks := range t.ranks {
-		t.ranks[service] = distinct(ranks)
+	t.tenantPriorities = sortedUnique(t.tenantPriorities)
+	t.tenantWeights = tenantWeights(config.Tenants)
+	for service, priorities := range t.routePriorities {
+		t.routePriorities[service] = sortedUnique(priorities)
 	}
 	for i := range config.Services {
 		service := &config.Services[i]
@@ -212,36 +222,38 @@
 	return t
 }
 
-// addRank notes the priority of a route to its services. Public routes are checks of
-// operators and rank nowhere.
-func (t *Table) addRank(route *Route) {
+// addRoutePriority adds the priority of a route to those of its services. It is not
+// called for public routes: these are checks by operators and have no rank.
+func (t *Table) addRoutePriority(route *Route) {
 	for _, backend := range route.Backends {
-		t.ranks[backend.Service] = append(t.ranks[backend.Service], route.Priority)
+		t.routePriorities[backend.Service] = append(t.routePriorities[backend.Service], route.Priority)
 	}
 }
 
-// distinct sorts priorities and drops repeated ones.
-func distinct(priorities []int) []int {
+// sortedUnique sorts priorities in place and returns them without duplicates.
+func sortedUnique(priorities []int) []int {
 	slices.Sort(priorities)
 	return slices.Compact(priorities)
 }
 
-// Tier counts the tiers of tenants before this one's; without a tenant it is 0.
-func (t *Table) Tier(tenant *Tenant) int {
+// TenantTier returns the number of distinct tenant priorities that precede this
+// tenant's, or 0 without a tenant.
+func (t *Table) TenantTier(tenant *Tenant) int {
 	if tenant == nil {
 		return 0
 	}
-	return max(slices.Index(t.tiers, tenant.Priority), 0)
+	return max(slices.Index(t.tenantPriorities, tenant.Priority), 0)
 }
 
-// Rank counts the priorities of the service's routes before this one's.
-func (t *Table) Rank(service string, route *Route) int {
-	return max(slices.Index(t.ranks[service], route.Priority), 0)
+// RouteRank returns the number of distinct priorities of the service's routes that
+// precede this route's.
+func (t *Table) RouteRank(service string, route *Route) int {
+	return max(slices.Index(t.routePriorities[service], route.Priority), 0)
 }
 
-// Match returns the route with the longest prefix of the path for the host, or nil.
+// Match returns the host's route with the longest matching path prefix, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.byHost[hostName(host)] {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -249,15 +261,15 @@
 	return nil
 }
 
-// hostName strips a port from a Host header and lowers its case.
-func hostName(host string) string {
+// normalizeHost strips the port from a Host header and converts it to lower case.
+func normalizeHost(host string) string {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Tenant returns the tenant that holds the key, or nil.
+// Tenant returns the tenant with the API key, or nil.
 func (t *Table) Tenant(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -265,11 +277,11 @@
 	return t.byKey[key]
 }
 
-// NeedsKeys tells whether requests of routes that are not public need a key.
-func (t *Table) NeedsKeys() bool { return t.keyed }
+// NeedsKeys reports whether requests need an API key on routes that aren't public.
+func (t *Table) NeedsKeys() bool { return t.hasTenants }
 
-// Service returns a service by name, or nil.
+// Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// CacheStores returns the IP:ports of the stores of kept cache.
+// CacheStores returns the IP:port addresses of the cache stores.
 func (t *Table) CacheStores() []string { return t.cacheStores }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func sample() *Config {
+func sampleConfig() *Config {
 	return &Config{
 		Version: 3,
 		Routes: []Route{
@@ -18,9 +18,9 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchReturnsLongestPrefixOfHost(t *testing.T) {
 	g := NewWithT(t)
-	table := NewTable(sample())
+	table := NewTable(sampleConfig())
 	g.Expect(table.Match("a.example", "/x/y/1").Name).To(Equal("long"))
 	g.Expect(table.Match("A.EXAMPLE:8080", "/x/z").Name).To(Equal("short"))
 	g.Expect(table.Match("a.example", "/xy")).To(BeNil())
@@ -28,16 +28,18 @@
 	g.Expect(table.Match("b.example", "/anything").Name).To(Equal("other"))
 }
 
-func TestKeysLeadToTheirTenant(t *testing.T) {
+func TestTenantByKey(t *testing.T) {
 	g := NewWithT(t)
-	table := NewTable(sample())
+	table := NewTable(sampleConfig())
 	g.Expect(table.Tenant("k2").Name).To(Equal("t1"))
 	g.Expect(table.Tenant("")).To(BeNil())
 	g.Expect(table.Tenant("k9")).To(BeNil())
 	g.Expect(table.NeedsKeys()).To(BeTrue())
 }
 
-func TestSplitterKeepsTheWeightsInShortSpans(t *testing.T) {
+// TestSplitterKeepsWeights checks that the shares are exact over as many requests as
+// the sum of the weights.
+func TestSplitterKeepsWeights(t *testing.T) {
 	g := NewWithT(t)
 	splitter := NewSplitter()
 	route := &Route{Name: "r", Backends: []Backend{{"a", 90}, {"b", 10}, {"off", 0}}}
@@ -49,7 +51,7 @@
 	g.Expect(splitter.Pick(&Route{Name: "none"})).To(BeEmpty())
 }
 
-func TestOnlySafeAndResumableRequestsRepeat(t *testing.T) {
+func TestOnlySafeAndResumableRequestsAreRepeatable(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect((&Route{Kind: Safe}).Repeatable()).To(BeTrue())
 	g.Expect((&Route{Kind: Unsafe, Resumable: true}).Repeatable()).To(BeFalse())
@@ -57,24 +59,24 @@
 	g.Expect((&Route{Kind: Streaming, Resumable: true}).Repeatable()).To(BeTrue())
 }
 
-func TestTiersAndRanksCountWhatComesBefore(t *testing.T) {
+func TestTenantTierAndRouteRank(t *testing.T) {
 	g := NewWithT(t)
-	to := func(name, service string, priority int, public bool) Route {
+	newRoute := func(name, service string, priority int, public bool) Route {
 		return Route{Name: name, Host: name, PathPrefix: "/", Priority: priority, Public: public, Backends: []Backend{{Service: service, Weight: 1}}}
 	}
 	table := NewTable(&Config{
-		Routes: []Route{to("a", "s", 4, false), to("b", "s", 2, false), to("c", "s", 4, false), to("d", "other", 7, false), to("e", "s", 0, true)},
+		Routes: []Route{newRoute("a", "s", 4, false), newRoute("b", "s", 2, false), newRoute("c", "s", 4, false), newRoute("d", "other", 7, false), newRoute("e", "s", 0, true)},
 		Tenants: []Tenant{
 			{Name: "gold", Keys: []string{"k1"}, Priority: 1}, {Name: "silver", Keys: []string{"k2"}, Priority: 5}, {Name: "more gold", Keys: []string{"k3"}, Priority: 1},
 		},
 	})
-	g.Expect(table.Tier(table.Tenant("k1"))).To(Equal(0))
-	g.Expect(table.Tier(table.Tenant("k2"))).To(Equal(1))
-	g.Expect(table.Tier(table.Tenant("k3"))).To(Equal(0))
-	g.Expect(table.Tier(nil)).To(Equal(0))
+	g.Expect(table.TenantTier(table.Tenant("k1"))).To(Equal(0))
+	g.Expect(table.TenantTier(table.Tenant("k2"))).To(Equal(1))
+	g.Expect(table.TenantTier(table.Tenant("k3"))).To(Equal(0))
+	g.Expect(table.TenantTier(nil)).To(Equal(0))
 	for host, rank := range map[string]int{"a": 1, "b": 0, "c": 1} {
-		g.Expect(table.Rank("s", table.Match(host, "/"))).To(Equal(rank), host)
+		g.Expect(table.RouteRank("s", table.Match(host, "/"))).To(Equal(rank), host)
 	}
-	g.Expect(table.Rank("other", table.Match("d", "/"))).To(Equal(0))
-	g.Expect(table.Rank("s", table.Match("e", "/"))).To(Equal(0), "checks of operators rank nowhere")
+	g.Expect(table.RouteRank("other", table.Match("d", "/"))).To(Equal(0))
+	g.Expect(table.RouteRank("s", table.Match("e", "/"))).To(Equal(0), "public routes have no rank")
 }
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -1,52 +1,55 @@
 package routing
 
-// Splitter divides the requests of weighted routes over their services by
-// smooth weighted round robin, so that short spans keep the shares too. It is
-// not safe for concurrent use.
+// Splitter distributes the requests of weighted routes over their services by
+// smooth weighted round robin, which keeps the shares also over few requests. It
+// is not safe for concurrent use.
 type Splitter struct {
-	credits map[string]map[string]int
+	// currentWeights are the current weights of the algorithm, by route and service.
+	currentWeights map[string]map[string]int
 }
 
-// NewSplitter returns a splitter without history.
-func NewSplitter() *Splitter { return &Splitter{credits: map[string]map[string]int{}} }
+// NewSplitter returns a Splitter without state.
+func NewSplitter() *Splitter { return &Splitter{currentWeights: map[string]map[string]int{}} }
 
-// Pick returns the service of the route's next request, or "" when the route has none.
+// Pick returns the service of the route's next request, or "" if no backend of the
+// route has a positive weight. The weight of an only backend is ignored.
 func (s *Splitter) Pick(route *Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
-	credits := s.credits[route.Name]
-	if credits == nil {
-		credits = map[string]int{}
-		s.credits[route.Name] = credits
+	currentWeights := s.currentWeights[route.Name]
+	if currentWeights == nil {
+		currentWeights = map[string]int{}
+		s.currentWeights[route.Name] = currentWeights
 	}
-	best, total := "", 0
+	picked, totalWeight := "", 0
 	for _, backend := range route.Backends {
 		if backend.Weight <= 0 {
 			continue
 		}
-		credits[backend.Service] += backend.Weight
-		total += backend.Weight
-		if best == "" || credits[backend.Service] > credits[best] {
-			best = backend.Service
+		currentWeights[backend.Service] += backend.Weight
+		totalWeight += backend.Weight
+		if picked == "" || currentWeights[backend.Service] > currentWeights[picked] {
+			picked = backend.Service
 		}
 	}
-	if best != "" {
-		credits[best] -= total
+	if picked != "" {
+		currentWeights[picked] -= totalWeight
 	}
-	return best
+	return picked
 }
 
-// Retain forgets the history of routes that the configuration has changed.
+// Retain drops the state of routes that the configuration has no more, or whose
+// number of backends has changed.
 func (s *Splitter) Retain(config *Config) {
-	kept := map[string]map[string]int{}
+	retained := map[string]map[string]int{}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		credits := s.credits[route.Name]
-		if credits == nil || len(credits) != len(route.Backends) {
+		currentWeights := s.currentWeights[route.Name]
+		if currentWeights == nil || len(currentWeights) != len(route.Backends) {
 			continue
 		}
-		kept[route.Name] = credits
+		retained[route.Name] = currentWeights
 	}
-	s.credits = kept
+	s.currentWeights = retained
 }
--- a/internal/routing/weights.go
+++ b/internal/routing/weights.go
@@ -1,26 +1,26 @@
 package routing
 
-// weights returns what tenants are to get of a short service, one beside another: as much as
-// their limits allow, or all the same if not all have limits in the same unit.
-func weights(tenants []Tenant) map[string]float64 {
-	limits, alike := make(map[string]float64, len(tenants)), true
+// tenantWeights returns the tenants' shares of an overloaded service, relative to each
+// other: their rate limits, or 1 for every tenant unless all have limits in the same unit.
+func tenantWeights(tenants []Tenant) map[string]float64 {
+	weights, sameUnit := make(map[string]float64, len(tenants)), true
 	for _, tenant := range tenants {
 		quota := tenant.Quota
-		if quota == nil || quota.Rate <= 0 || quota.InTokens != tenants[0].Quota.InTokens {
-			alike = false
+		if quota == nil || quota.Rate <= 0 || quota.CountsTokens != tenants[0].Quota.CountsTokens {
+			sameUnit = false
 			break
 		}
-		limits[tenant.Name] = quota.Rate
+		weights[tenant.Name] = quota.Rate
 	}
-	if alike {
-		return limits
+	if sameUnit {
+		return weights
 	}
 	for _, tenant := range tenants {
-		limits[tenant.Name] = 1
+		weights[tenant.Name] = 1
 	}
-	return limits
+	return weights
 }
 
-// TenantWeights returns what each tenant is to get of a short service, one beside another.
-// The map must not be changed.
-func (t *Table) TenantWeights() map[string]float64 { return t.weights }
+// TenantWeights returns the tenants' shares of an overloaded service by tenant name,
+// relative to each other. The map must not be changed.
+func (t *Table) TenantWeights() map[string]float64 { return t.tenantWeights }
