--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -162,8 +162,8 @@
 	g.order = admission.NewOrder(g.random)
 	g.runners.SetRolloutTime(time.Duration(rolloutShare * float64(settings.WeightDeadline)))
 	g.metrics = newMetrics(g)
-	ports.RunnerPool.Opened, ports.RunnerPool.Silent = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
-	ports.RunnerPool.SilentAfter = runnerSilence
+	ports.RunnerPool.OnOpen, ports.RunnerPool.OnSilentClosed = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
+	ports.RunnerPool.SilenceTimeout = runnerSilence
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
 	g.ends, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
 	g.cacheStores = newCacheStoreWatch(g)
@@ -213,7 +213,7 @@
 func (g *Gateway) sweepLoop() {
 	reported, suspended := uint64(0), time.Duration(0)
 	for g.pause(sweepInterval) {
-		g.ports.RunnerPool.Sweep(time.Now())
+		g.ports.RunnerPool.CloseExpired(time.Now())
 		suspended = g.noteSuspended(suspended)
 		g.noteStale(g.now())
 		g.ends.sweep(g.now())
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -170,8 +170,8 @@
 	return &httpconn.Request{
 		Method: c.caller.Method, Target: target(c.caller), Host: c.caller.Host,
 		Header: protocol.Forward(c.caller.Header, dispatch), Body: c.body,
-		Accept:  func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
-		Confirm: c.mayBegin,
+		MatchesResponse: func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
+		Confirm:         c.mayBegin,
 	}
 }
 
--- a/internal/httpconn/confirm_test.go
+++ b/internal/httpconn/confirm_test.go
@@ -12,55 +12,57 @@
 	. "github.com/onsi/gomega"
 )
 
-func notConfirmed() *Request {
-	request := get()
+// newUnconfirmedRequest returns a request whose Confirm returns false.
+func newUnconfirmedRequest() *Request {
+	request := newGetRequest()
 	request.Confirm = func() bool { return false }
 	return request
 }
 
-func TestRequestThatIsNotConfirmedIsNotWritten(t *testing.T) {
+func TestUnconfirmedRequestIsNotWritten(t *testing.T) {
 	g := NewWithT(t)
 	received := make(chan []byte, 1)
-	address, _ := serve(t, func(_ int, reader *bufio.Reader, _ net.Conn) {
+	address, _ := startServer(t, func(_ int, reader *bufio.Reader, _ net.Conn) {
 		data, _ := io.ReadAll(reader)
 		received <- data
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_, err := NewPool(time.Second).Send(ctx, address, notConfirmed())
+	_, err := NewPool(time.Second).Send(ctx, address, newUnconfirmedRequest())
 	g.Expect(errors.Is(err, ErrNotSent)).To(BeTrue())
 	g.Expect(errors.Is(err, ErrNotConfirmed)).To(BeTrue())
 	var data []byte
-	g.Eventually(received, 5*time.Second).Should(Receive(&data), "the new connection is closed")
+	g.Eventually(received, 5*time.Second).Should(Receive(&data), "the new connection must be closed")
 	g.Expect(data).To(BeEmpty())
 }
 
-func TestConnectionOfARequestThatIsNotConfirmedIsKept(t *testing.T) {
+func TestReusedConnectionOfUnconfirmedRequestIsKept(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, answerWith(whole, whole))
+	address, connections := startServer(t, respondWith(okResponse, okResponse))
 	pool := NewPool(time.Second)
-	_, err := readAll(g, pool, address, get())
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = pool.Send(context.Background(), address, notConfirmed())
+	_, err = pool.Send(context.Background(), address, newUnconfirmedRequest())
 	g.Expect(errors.Is(err, ErrNotConfirmed)).To(BeTrue())
-	confirmed := get()
+	confirmed := newGetRequest()
 	confirmed.Confirm = func() bool { return true }
-	body, err := readAll(g, pool, address, confirmed)
+	body, err := sendAndRead(g, pool, address, confirmed)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"))
 	g.Expect(connections()).To(Equal(1))
 }
 
-// What is asked is asked as late as can be: no dial comes after it.
-func TestConfirmationIsAskedOnceTheConnectionIsThere(t *testing.T) {
+// Guards against a confirmation that is outdated when the request is written: Confirm
+// must be called after the connection was opened, which may take long.
+func TestConfirmIsCalledAfterDial(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := serve(t, answerWith(whole))
+	address, _ := startServer(t, respondWith(okResponse))
 	pool := NewPool(time.Second)
 	opened := false
-	pool.Opened = func() { opened = true }
-	request := get()
+	pool.OnOpen = func() { opened = true }
+	request := newGetRequest()
 	request.Confirm = func() bool { return opened }
-	body, err := readAll(g, pool, address, request)
+	body, err := sendAndRead(g, pool, address, request)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"))
 }
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -10,54 +10,57 @@
 	"time"
 )
 
-// Request is one message to a server.
+// Request is an HTTP request to a server.
 type Request struct {
 	Method string
-	// Target is the request line's path and query, unchanged.
+	// Target is the request target, path and query, and is sent unchanged.
 	Target string
 	Host   string
-	// Header is written as it is; framing headers are added.
+	// Header is sent unchanged. Host and Content-Length are added.
 	Header http.Header
 	Body   []byte
-	// FreshConnection asks for a new connection.
+	// FreshConnection is set to send the request on a new connection.
 	FreshConnection bool
-	// Accept tells whether an answer belongs to this request; others are
-	// discarded and the next one is read. Nil accepts the first.
-	Accept func(http.Header) bool
-	// Confirm is asked once a connection is there, right before the first byte is
-	// written. If it returns false nothing is sent, and the error is ErrNotConfirmed. Nil
-	// confirms.
+	// MatchesResponse reports whether a response with the given header belongs to this
+	// request. Other responses are discarded and the next one is read. If it is nil,
+	// the first response is used.
+	MatchesResponse func(http.Header) bool
+	// Confirm is called when the connection is open, right before the first byte is
+	// written. If it returns false, nothing is sent and Send returns ErrNotConfirmed. It
+	// may be nil.
 	Confirm func() bool
 }
 
-// Response is the head of an answer and its body.
+// Response is the response to a request.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength is -1 when the body's length is not known.
+	// ContentLength is -1 if the length of the body is unknown.
 	ContentLength int64
 	Body          *Body
 }
 
 const (
-	// inlineBody is the largest body written before the answer is read; longer
-	// ones are written while the answer is awaited, which may come early.
-	inlineBody = 8 << 10
-	// maxCrossed bounds the answers to other requests that are discarded.
-	maxCrossed = 3
-	// maxDiscard bounds the body of a discarded answer.
-	maxDiscard = 1 << 20
+	// maxInlineBodyBytes is the largest body that is written before the response is
+	// read. A longer one is written concurrently, since the server may respond before
+	// it has read the whole body.
+	maxInlineBodyBytes = 8 << 10
+	// maxUnmatchedResponses is the maximum number of responses to other requests that
+	// are discarded.
+	maxUnmatchedResponses = 3
+	// maxDiscardedBodyBytes limits the body of a discarded response.
+	maxDiscardedBodyBytes = 1 << 20
 )
 
-// ErrNotConfirmed means that Confirm returned false; it comes with ErrNotSent.
+// ErrNotConfirmed means that Confirm returned false. It is joined with ErrNotSent.
 var ErrNotConfirmed = errors.New("httpconn: request was not confirmed")
 
-// ErrCrossed means that only answers to other requests came.
-var ErrCrossed = errors.New("httpconn: answer to another request")
+// ErrUnmatchedResponse means that the server sent only responses to other requests.
+var ErrUnmatchedResponse = errors.New("httpconn: response belongs to another request")
 
-// Send makes one exchange up to the head of the answer. Errors other than
-// ErrNotSent mean that the request may have reached the server. The context
-// bounds the whole exchange, body included: when it ends, the connection closes.
+// Send sends the request once and returns when the response header has been read.
+// Errors other than ErrNotSent mean that the request may have reached the server.
+// When the context ends, also while the body is read, the connection is closed.
 func (p *Pool) Send(ctx context.Context, address string, request *Request) (*Response, error) {
 	c, err := p.connect(ctx, address, request.FreshConnection)
 	if err != nil {
@@ -68,149 +71,157 @@
 		return nil, errors.Join(ErrNotSent, ctx.Err())
 	}
 	if request.Confirm != nil && !request.Confirm() {
-		p.giveBack(c)
+		p.putUnused(c)
 		return nil, errors.Join(ErrNotSent, ErrNotConfirmed)
 	}
-	release := context.AfterFunc(ctx, func() { c.Close() })
-	answered := p.watchAnswer(c)
-	defer answered()
-	written := make(chan error, 1)
-	if err := c.write(request, written); err != nil {
-		release()
+	stopCancel := context.AfterFunc(ctx, func() { c.Close() })
+	stopTimer := p.startSilenceTimer(c)
+	defer stopTimer()
+	writeResult := make(chan error, 1)
+	if err := c.write(request, writeResult); err != nil {
+		stopCancel()
 		c.Close()
 		return nil, err
 	}
-	answer, err := c.readAnswer(request)
+	response, err := c.readResponse(request)
 	if err != nil {
-		release()
+		stopCancel()
 		c.Close()
 		return nil, err
 	}
 	return &Response{
-		Status: answer.StatusCode, Header: answer.Header, ContentLength: answer.ContentLength,
-		Body: &Body{pool: p, conn: c, answer: answer, written: written, release: release},
+		Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength,
+		Body: &Body{pool: p, conn: c, response: response, writeResult: writeResult, stopCancel: stopCancel},
 	}, nil
 }
 
-// write sends the message; a long body goes on in the background and its
-// outcome to written.
-func (c *conn) write(request *Request, written chan<- error) error {
+// write writes the request and sends the result of the write to result. A body longer
+// than maxInlineBodyBytes is written in the background.
+func (c *conn) write(request *Request, result chan<- error) error {
 	head := encodeHead(request)
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBodyBytes {
 		_, err := c.Write(append(head, request.Body...))
-		written <- err
+		result <- err
 		return err
 	}
 	go func() {
 		_, err := c.Write(append(head, request.Body...))
-		written <- err
+		result <- err
 	}()
 	return nil
 }
 
+// encodeHead returns the request line and the header in wire format.
 func encodeHead(request *Request) []byte {
 	var head bytes.Buffer
 	head.Grow(512 + len(request.Body))
 	head.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
-	// Writing to a buffer does not fail.
+	// Writing to a bytes.Buffer never fails.
 	_ = request.Header.Write(&head)
-	if len(request.Body) > 0 || hasBody(request.Method) {
+	if len(request.Body) > 0 || allowsBody(request.Method) {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
 	return head.Bytes()
 }
 
-func hasBody(method string) bool {
+// allowsBody reports whether requests of the method need a Content-Length even if their
+// body is empty.
+func allowsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// readAnswer reads heads until one belongs to the request.
-func (c *conn) readAnswer(request *Request) (*http.Response, error) {
-	parsing := &http.Request{Method: request.Method}
-	for crossed := 0; crossed <= maxCrossed; {
-		answer, err := http.ReadResponse(c.reader, parsing)
+// readResponse reads response headers until one belongs to the request. It skips
+// informational responses.
+func (c *conn) readResponse(request *Request) (*http.Response, error) {
+	parseRequest := &http.Request{Method: request.Method}
+	for unmatched := 0; unmatched <= maxUnmatchedResponses; {
+		response, err := http.ReadResponse(c.reader, parseRequest)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= 100 && answer.StatusCode < 200 {
+		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		if request.Accept == nil || request.Accept(answer.Header) {
-			return answer, nil
+		if request.MatchesResponse == nil || request.MatchesResponse(response.Header) {
+			return response, nil
 		}
-		crossed++
-		if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-			return nil, ErrCrossed
+		unmatched++
+		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+			return nil, ErrUnmatchedResponse
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, maxDiscard); !errors.Is(err, io.EOF) {
-			return nil, ErrCrossed
+		if _, err := io.CopyN(io.Discard, response.Body, maxDiscardedBodyBytes); !errors.Is(err, io.EOF) {
+			return nil, ErrUnmatchedResponse
 		}
 	}
-	return nil, ErrCrossed
+	return nil, ErrUnmatchedResponse
 }
 
-// Body is the rest of an answer. It must be closed.
+// Body is the body of a response. It must be closed.
 type Body struct {
-	pool    *Pool
-	conn    *conn
-	answer  *http.Response
-	written chan error
-	release func() bool
-	ended   bool
-	closed  bool
+	pool        *Pool
+	conn        *conn
+	response    *http.Response
+	writeResult chan error
+	stopCancel  func() bool
+	readToEnd   bool
+	closed      bool
 }
 
-// Read reads the body. An error other than io.EOF means that it is not whole.
+// Read implements io.Reader. An error other than io.EOF means that the body is
+// incomplete.
 func (b *Body) Read(buffer []byte) (int, error) {
-	n, err := b.answer.Body.Read(buffer)
+	n, err := b.response.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		b.ended = true
+		b.readToEnd = true
 	}
 	return n, err
 }
 
-// Abort ends the connection from another goroutine, so that a waiting Read fails.
+// Abort closes the connection, so that a blocked Read fails. It may be called from
+// another goroutine.
 func (b *Body) Abort() { b.conn.Close() }
 
-// Close keeps the connection for another request if the whole answer was read
-// and nothing else has come; otherwise it closes it, which ends the server's work.
+// Close returns the connection to the pool if the whole response was read and nothing
+// else has arrived. Otherwise it closes the connection, so that the server stops
+// working on the request.
 func (b *Body) Close() {
 	if b.closed {
 		return
 	}
 	b.closed = true
-	intact := b.release()
-	if !intact || !b.reusable() {
+	notCanceled := b.stopCancel()
+	if !notCanceled || !b.reusable() {
 		b.conn.Close()
 		return
 	}
 	b.conn.idleSince = time.Now()
-	b.conn.keepUntil = b.conn.idleSince.Add(idleTime(b.answer.Header.Get("Keep-Alive")))
+	b.conn.idleExpiry = b.conn.idleSince.Add(idleTimeout(b.response.Header.Get("Keep-Alive")))
 	b.pool.put(b.conn)
 }
 
+// reusable reports whether the connection may be used for another request.
 func (b *Body) reusable() bool {
-	if !b.ended || b.answer.Close || b.conn.reader.Buffered() > 0 {
+	if !b.readToEnd || b.response.Close || b.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if b.answer.ContentLength < 0 && len(b.answer.TransferEncoding) == 0 {
+	if b.response.ContentLength < 0 && len(b.response.TransferEncoding) == 0 {
 		return false
 	}
 	select {
-	case err := <-b.written:
+	case err := <-b.writeResult:
 		return err == nil
 	default:
-		// The answer came before the request was in: the rest of the body
-		// would be taken for something else.
+		// The server responded before the request was fully written. It would take the
+		// rest of the request's body for the next request.
 		return false
 	}
 }
 
-// ReadAll reads a body of at most limit bytes; a longer one is returned in
-// part with more set.
-func (b *Body) ReadAll(limit int64) (data []byte, more bool, err error) {
-	if size := b.answer.ContentLength; size > 0 && size <= limit {
+// ReadAll reads a body of fewer than limit bytes, or of limit bytes if its length was
+// announced. Of other bodies it returns the first limit bytes, with truncated set.
+func (b *Body) ReadAll(limit int64) (data []byte, truncated bool, err error) {
+	if size := b.response.ContentLength; size > 0 && size <= limit {
 		data = make([]byte, size)
 		if _, err = io.ReadFull(b, data); err != nil {
 			return nil, false, err
--- a/internal/httpconn/exchange_test.go
+++ b/internal/httpconn/exchange_test.go
@@ -14,10 +14,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// script answers the nth connection's requests with what it returns.
-type script func(connection int, reader *bufio.Reader, conn net.Conn)
+// connHandler serves one connection of a test server, given the connection's number
+// from 0 on.
+type connHandler func(connection int, reader *bufio.Reader, conn net.Conn)
 
-func serve(t *testing.T, run script) (address string, connections func() int) {
+// startServer starts a TCP server that serves each connection with handle. It returns
+// its address and a function that returns the number of accepted connections.
+func startServer(t *testing.T, handle connHandler) (address string, connections func() int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,160 +35,167 @@
 				return
 			}
 			accepted <- n
-			go run(n, bufio.NewReader(conn), conn)
+			go handle(n, bufio.NewReader(conn), conn)
 		}
 	}()
 	return listener.Addr().String(), func() int { return len(accepted) }
 }
 
-func answerWith(answers ...string) script {
+// respondWith returns a handler that reads one request for each response and then
+// returns without closing the connection.
+func respondWith(responses ...string) connHandler {
 	return func(_ int, reader *bufio.Reader, conn net.Conn) {
-		for _, answer := range answers {
+		for _, response := range responses {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			io.Copy(io.Discard, request.Body)
-			io.WriteString(conn, answer)
+			io.WriteString(conn, response)
 		}
 	}
 }
 
-func get() *Request {
+func newGetRequest() *Request {
 	return &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{}}
 }
 
-func readAll(g *WithT, pool *Pool, address string, request *Request) (string, error) {
+// sendAndRead sends the request and returns the body of its response.
+func sendAndRead(g *WithT, pool *Pool, address string, request *Request) (string, error) {
 	response, err := pool.Send(context.Background(), address, request)
 	if err != nil {
 		return "", err
 	}
 	defer response.Body.Close()
-	data, more, err := response.Body.ReadAll(1 << 20)
-	g.Expect(more).To(BeFalse())
+	data, truncated, err := response.Body.ReadAll(1 << 20)
+	g.Expect(truncated).To(BeFalse())
 	return string(data), err
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
+// okResponse is a complete response with the body "ok".
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, answerWith(whole, whole, whole))
+	address, connections := startServer(t, respondWith(okResponse, okResponse, okResponse))
 	pool := NewPool(time.Second)
 	for range 3 {
-		body, err := readAll(g, pool, address, get())
+		body, err := sendAndRead(g, pool, address, newGetRequest())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("ok"))
 	}
 	g.Expect(connections()).To(Equal(1))
 }
 
-// A request whose kept connection dies under it is not sent again: net/http
-// would repeat a GET here.
-func TestNothingIsSentTwice(t *testing.T) {
+// Guards against a second send of a request whose reused connection breaks.
+// net/http's Transport would retry a GET here.
+func TestRequestIsNotRetriedOnBrokenConnection(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
-		answerWith(whole)(connection, reader, conn)
+	address, connections := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+		respondWith(okResponse)(connection, reader, conn)
 		http.ReadRequest(reader)
 		conn.Close()
 	})
 	pool := NewPool(time.Second)
-	_, err := readAll(g, pool, address, get())
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = readAll(g, pool, address, get())
+	_, err = sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(errors.Is(err, ErrNotSent)).To(BeFalse(), "it may have run")
+	g.Expect(errors.Is(err, ErrNotSent)).To(BeFalse(), "the server may have run the request")
 	g.Expect(connections()).To(Equal(1))
 }
 
-func TestBytesAfterAnAnswerBelongToNobody(t *testing.T) {
+// Guards against taking bytes that follow a response for the response to the next
+// request.
+func TestConnectionWithSurplusBytesIsNotReused(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+	address, connections := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
 		if connection == 0 {
-			answerWith(whole+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")(connection, reader, conn)
+			respondWith(okResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")(connection, reader, conn)
 			return
 		}
-		answerWith(whole)(connection, reader, conn)
+		respondWith(okResponse)(connection, reader, conn)
 	})
 	pool := NewPool(time.Second)
 	for range 2 {
-		body, err := readAll(g, pool, address, get())
+		body, err := sendAndRead(g, pool, address, newGetRequest())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("ok"))
 	}
-	g.Expect(connections()).To(Equal(2), "the spoilt connection is not used again")
+	g.Expect(connections()).To(Equal(2), "the connection with surplus bytes must not be reused")
 }
 
-func TestSurplusBytesThatComeLaterSpoilTheIdleConnection(t *testing.T) {
+// Guards against the same if the surplus bytes arrive while the connection is idle.
+func TestConnectionWithLateSurplusBytesIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	sent := make(chan struct{})
-	address, connections := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
-		answerWith(whole)(connection, reader, conn)
+	address, connections := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+		respondWith(okResponse)(connection, reader, conn)
 		if connection == 0 {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 			close(sent)
 		}
 	})
 	pool := NewPool(time.Second)
-	_, err := readAll(g, pool, address, get())
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
 	<-sent
 	g.Eventually(func() bool {
-		kept := pool.take(address)
-		if kept == nil {
+		idle := pool.take(address)
+		if idle == nil {
 			return true
 		}
-		defer pool.put(kept)
-		return !kept.usable(time.Now())
+		defer pool.put(idle)
+		return !idle.usable(time.Now())
 	}).Should(BeTrue())
-	body, err := readAll(g, pool, address, get())
+	body, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"))
 	g.Expect(connections()).To(Equal(2))
 }
 
-func TestAnswersToOtherRequestsAreDiscarded(t *testing.T) {
+func TestResponsesToOtherRequestsAreDiscarded(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := serve(t, answerWith("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 5\r\n\r\nwrongHTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 2\r\n\r\nok"))
-	request := get()
-	request.Accept = func(header http.Header) bool { return header.Get("Id") == "b" }
-	body, err := readAll(g, NewPool(time.Second), address, request)
+	address, _ := startServer(t, respondWith("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 5\r\n\r\nwrongHTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 2\r\n\r\nok"))
+	request := newGetRequest()
+	request.MatchesResponse = func(header http.Header) bool { return header.Get("Id") == "b" }
+	body, err := sendAndRead(g, NewPool(time.Second), address, request)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"))
 }
 
-func TestBrokenAnswersDoNotLookWhole(t *testing.T) {
-	for name, answer := range map[string]string{
+func TestIncompleteResponsesReturnErrors(t *testing.T) {
+	for name, response := range map[string]string{
 		"short":         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
 		"chunk missing": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 		"no answer":     "garbage\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			address, _ := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
-				answerWith(answer)(connection, reader, conn)
+			address, _ := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+				respondWith(response)(connection, reader, conn)
 				conn.Close()
 			})
-			_, err := readAll(g, NewPool(time.Second), address, get())
+			_, err := sendAndRead(g, NewPool(time.Second), address, newGetRequest())
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(errors.Is(err, ErrNotSent)).To(BeFalse())
 		})
 	}
 }
 
-func TestBodyWithoutLengthIsWholeOnlyOnAnOrderlyClose(t *testing.T) {
-	const head = "HTTP/1.1 200 OK\r\n\r\nok"
-	for _, orderly := range []bool{true, false} {
+func TestBodyWithoutLengthIsCompleteOnlyOnCleanClose(t *testing.T) {
+	const response = "HTTP/1.1 200 OK\r\n\r\nok"
+	for _, cleanClose := range []bool{true, false} {
 		g := NewWithT(t)
-		address, _ := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
-			answerWith(head)(connection, reader, conn)
-			if !orderly {
+		address, _ := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+			respondWith(response)(connection, reader, conn)
+			if !cleanClose {
 				conn.(*net.TCPConn).SetLinger(0)
 			}
 			conn.Close()
 		})
-		body, err := readAll(g, NewPool(time.Second), address, get())
-		if orderly {
+		body, err := sendAndRead(g, NewPool(time.Second), address, newGetRequest())
+		if cleanClose {
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(body).To(Equal("ok"))
 		} else {
@@ -194,68 +204,69 @@
 	}
 }
 
-// A server may answer before it has read a long body and read on; the rest of
-// the body must not be followed by another request.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// Guards against reuse of a connection whose request body is still being written: a
+// server may respond early and go on reading, and would take the next request for a
+// part of the body.
+func TestConnectionIsClosedAfterEarlyResponse(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
+	address, connections := startServer(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
 		if _, err := http.ReadRequest(reader); err == nil {
-			io.WriteString(conn, whole)
+			io.WriteString(conn, okResponse)
 		}
 	})
 	pool := NewPool(time.Second)
 	for range 2 {
-		request := get()
+		request := newGetRequest()
 		request.Method, request.Body = http.MethodPost, []byte(strings.Repeat("x", 8<<20))
-		body, err := readAll(g, pool, address, request)
+		body, err := sendAndRead(g, pool, address, request)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("ok"))
 	}
 	g.Expect(connections()).To(Equal(2))
 }
 
-func TestNoConnectionMeansNotSent(t *testing.T) {
+func TestDialErrorIsErrNotSent(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	address := listener.Addr().String()
 	listener.Close()
-	_, err = NewPool(time.Second).Send(context.Background(), address, get())
+	_, err = NewPool(time.Second).Send(context.Background(), address, newGetRequest())
 	g.Expect(errors.Is(err, ErrNotSent)).To(BeTrue())
 }
 
-func TestEndOfTheContextEndsTheExchange(t *testing.T) {
+func TestCanceledContextClosesConnection(t *testing.T) {
 	g := NewWithT(t)
 	ended := make(chan error, 1)
-	address, _ := serve(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
+	address, _ := startServer(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
 		http.ReadRequest(reader)
 		_, err := reader.ReadByte()
 		ended <- err
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool(time.Second).Send(ctx, address, get())
+	_, err := NewPool(time.Second).Send(ctx, address, newGetRequest())
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(ended, 2*time.Second).Should(Receive(HaveOccurred()), "the server sees the end at once")
+	g.Eventually(ended, 2*time.Second).Should(Receive(HaveOccurred()), "the server must see the connection close at once")
 }
 
-func TestIdleConnectionsOfOneAddressAreClosed(t *testing.T) {
+func TestCloseIdleAffectsOneAddress(t *testing.T) {
 	g := NewWithT(t)
-	address, connections := serve(t, answerWith(whole, whole))
-	other, otherConnections := serve(t, answerWith(whole, whole))
+	address, connections := startServer(t, respondWith(okResponse, okResponse))
+	other, otherConnections := startServer(t, respondWith(okResponse, okResponse))
 	pool := NewPool(time.Second)
-	inUse, err := pool.Send(context.Background(), address, get())
+	inUse, err := pool.Send(context.Background(), address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, server := range []string{address, other} {
-		_, err := readAll(g, pool, server, get())
+		_, err := sendAndRead(g, pool, server, newGetRequest())
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	pool.CloseIdle(address)
 	for _, server := range []string{address, other} {
-		_, err := readAll(g, pool, server, get())
+		_, err := sendAndRead(g, pool, server, newGetRequest())
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(connections()).To(Equal(3), "one in use, one closed, one new")
+	g.Expect(connections()).To(Equal(3), "one connection in use, one closed, one new")
 	g.Expect(otherConnections()).To(Equal(1))
 	data, _, err := inUse.Body.ReadAll(1 << 20)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -263,25 +274,25 @@
 	inUse.Body.Close()
 }
 
-func TestKeepAliveTimesAreKept(t *testing.T) {
+func TestKeepAliveTimeoutIsRespected(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(idleTime("timeout=5, max=100")).To(Equal(4 * time.Second))
-	g.Expect(idleTime("max=3, timeout=1")).To(Equal(time.Duration(0)))
-	g.Expect(idleTime("")).To(Equal(defaultIdle))
+	g.Expect(idleTimeout("timeout=5, max=100")).To(Equal(4 * time.Second))
+	g.Expect(idleTimeout("max=3, timeout=1")).To(Equal(time.Duration(0)))
+	g.Expect(idleTimeout("")).To(Equal(defaultIdleTimeout))
 	pool := NewPool(time.Second)
-	address, _ := serve(t, answerWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=1\r\n\r\nok"))
-	_, err := readAll(g, pool, address, get())
+	address, _ := startServer(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=1\r\n\r\nok"))
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
-	pool.Sweep(time.Now().Add(time.Millisecond))
+	pool.CloseExpired(time.Now().Add(time.Millisecond))
 	g.Expect(pool.take(address)).To(BeNil())
 }
 
-// keepConnections leaves so many idle connections to a server that answers each first
-// request, and no other.
-func keepConnections(g *WithT, pool *Pool, address string, count int) {
+// openIdleConnections opens count idle connections to a server that responds to the
+// first request on each connection.
+func openIdleConnections(g *WithT, pool *Pool, address string, count int) {
 	var open []*Response
 	for range count {
-		response, err := pool.Send(context.Background(), address, get())
+		response, err := pool.Send(context.Background(), address, newGetRequest())
 		g.Expect(err).NotTo(HaveOccurred())
 		open = append(open, response)
 	}
@@ -292,11 +303,11 @@
 	}
 }
 
-// sendUnanswered sends a request that waits in vain, until the test ends.
-func sendUnanswered(t *testing.T, pool *Pool, address string) {
+// sendInBackground sends a request that gets no response, until the test ends.
+func sendInBackground(t *testing.T, pool *Pool, address string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go pool.Send(ctx, address, get())
+	go pool.Send(ctx, address, newGetRequest())
 }
 
 func (p *Pool) idleCount(address string) int {
@@ -305,55 +316,60 @@
 	return len(p.idle[address])
 }
 
-const briefSilence = 50 * time.Millisecond
+// testSilenceTimeout is a short SilenceTimeout.
+const testSilenceTimeout = 50 * time.Millisecond
 
-func TestConnectionsBesideASilentOneAreClosed(t *testing.T) {
+// When a request on a reused connection gets no response within SilenceTimeout, the
+// other idle connections to that server are closed.
+func TestIdleConnectionsAreClosedAfterSilence(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := serve(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
-		answerWith(whole)(0, reader, conn)
+	address, _ := startServer(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
+		respondWith(okResponse)(0, reader, conn)
 		io.Copy(io.Discard, reader)
 	})
 	pool := NewPool(time.Second)
-	pool.SilentAfter = briefSilence
+	pool.SilenceTimeout = testSilenceTimeout
 	closed := make(chan struct{}, 10)
-	pool.Silent = func() { closed <- struct{}{} }
-	keepConnections(g, pool, address, 4)
-	sendUnanswered(t, pool, address)
+	pool.OnSilentClosed = func() { closed <- struct{}{} }
+	openIdleConnections(g, pool, address, 4)
+	sendInBackground(t, pool, address)
 	g.Eventually(func() int { return len(closed) }, 5*time.Second).Should(Equal(3))
 	g.Expect(pool.idleCount(address)).To(BeZero())
-	body, err := readAll(g, pool, address, get())
+	body, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"), "on a new connection")
 }
 
-func TestConnectionsThatAnsweredLaterAreKept(t *testing.T) {
+// Connections whose last response came after the cutoff are known to work.
+func TestConnectionsWithLaterResponsesAreKept(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := serve(t, answerWith(whole, whole))
+	address, _ := startServer(t, respondWith(okResponse, okResponse))
 	pool := NewPool(time.Second)
-	keepConnections(g, pool, address, 2)
-	moment := time.Now()
-	_, err := readAll(g, pool, address, get())
+	openIdleConnections(g, pool, address, 2)
+	cutoff := time.Now()
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
-	pool.closeIdleSince(address, moment)
+	pool.closeAddressIdleSince(address, cutoff)
 	g.Expect(pool.idleCount(address)).To(Equal(1))
 }
 
-// A request that is answered in time, and one on a new connection, say nothing of others.
-func TestConnectionsBesideSoundOnesAreKept(t *testing.T) {
+// Guards against closing idle connections needlessly: neither a request with a timely
+// response nor a silent request on a new connection says anything about the others.
+func TestIdleConnectionsAreKeptWithoutSilenceOnReusedOne(t *testing.T) {
 	g := NewWithT(t)
-	address, _ := serve(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
+	address, _ := startServer(t, func(connection int, reader *bufio.Reader, conn net.Conn) {
 		if connection < 3 {
-			answerWith(whole, whole)(connection, reader, conn)
+			respondWith(okResponse, okResponse)(connection, reader, conn)
 		}
 		io.Copy(io.Discard, reader)
 	})
 	pool := NewPool(time.Second)
-	pool.SilentAfter = briefSilence
-	keepConnections(g, pool, address, 3)
-	_, err := readAll(g, pool, address, get())
+	pool.SilenceTimeout = testSilenceTimeout
+	openIdleConnections(g, pool, address, 3)
+	_, err := sendAndRead(g, pool, address, newGetRequest())
 	g.Expect(err).NotTo(HaveOccurred())
-	onNew := get()
-	onNew.FreshConnection = true
-	go pool.Send(t.Context(), address, onNew)
-	g.Consistently(func() int { return pool.idleCount(address) }, 4*briefSilence, briefSilence/5).Should(Equal(3))
+	request := newGetRequest()
+	request.FreshConnection = true
+	go pool.Send(t.Context(), address, request)
+	g.Consistently(func() int { return pool.idleCount(address) }, 4*testSilenceTimeout, testSilenceTimeout/5).Should(Equal(3))
 }
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -1,11 +1,11 @@
-// Package httpconn sends HTTP/1.1 requests over kept connections and never
-// sends one twice.
+// Package httpconn is an HTTP/1.1 client with a connection pool that never sends
+// a request twice.
 //
-// net/http's Transport repeats a request by itself when a kept connection
-// breaks and the method looks repeatable. What may be repeated is decided
-// elsewhere in this product, so each Send here is one send: its error says
-// whether the request can have reached the server. Messages are parsed and
-// written by net/http; the package adds only the pool.
+// net/http's Transport retries a request on its own when a reused connection
+// breaks and the method is idempotent. In this product, other packages decide
+// which requests may be retried. Send therefore sends a request at most once, and
+// its error tells whether the request may have reached the server. Headers are
+// written and responses parsed by net/http; this package adds the pool.
 package httpconn
 
 import (
@@ -21,78 +21,86 @@
 	"github.com/clovertiller/clovertiller/internal/tcpoption"
 )
 
-// Times and sizes of connections.
+// Timeouts and limits of connections.
 const (
-	// DefaultDialTimeout bounds the wait for a new connection.
+	// DefaultDialTimeout is the usual timeout for opening a connection.
 	DefaultDialTimeout = 450 * time.Millisecond
-	// defaultIdle is how long a connection is kept when the server names no time.
-	defaultIdle = 4 * time.Second
-	// idleMargin is subtracted from the time that the server names.
+	// defaultIdleTimeout is how long an idle connection is kept if the server sent no
+	// Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the server's Keep-Alive timeout.
 	idleMargin = time.Second
-	// maxIdlePerAddress bounds the kept connections to one server.
+	// maxIdlePerAddress is the maximum number of idle connections to one address.
 	maxIdlePerAddress = 16
 	readBufferBytes   = 2048
 )
 
-// ErrNotSent means that the request cannot have reached the server.
+// ErrNotSent means that nothing of the request was sent to the server.
 var ErrNotSent = errors.New("httpconn: nothing was sent")
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool sends requests and keeps the idle connections by address. It is safe for
+// concurrent use. The exported fields must not be changed once the pool is used.
 type Pool struct {
-	// Dial opens connections. NewPool sets it; it must not change once the pool is used.
+	// Dial opens connections. NewPool sets it.
 	Dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	mutex sync.Mutex
 	idle  map[string][]*conn
-	// Opened is told of each new connection; it may be nil.
-	Opened func()
-	// SilentAfter is how long a request on a kept connection may have no answer before the
-	// connections to that server that have been idle for longer are closed; 0 leaves them.
-	// What silenced the one may have silenced all, and each would cost a request.
-	SilentAfter time.Duration
-	// Silent is told of each of them; it may be nil.
-	Silent func()
+	// OnOpen is called for each new connection; it may be nil.
+	OnOpen func()
+	// SilenceTimeout is how long the server may take to respond to a request on a
+	// reused connection. After that, the connections to that server are closed that
+	// have been idle since before the request was sent, because what broke one
+	// connection may have broken all of them, and each would fail a request. 0 disables
+	// this.
+	SilenceTimeout time.Duration
+	// OnSilentClosed is called for each connection closed by SilenceTimeout or
+	// CloseIdleSince, with the pool locked; it may be nil.
+	OnSilentClosed func()
 }
 
-// conn is one connection, owned by one exchange at a time.
+// conn is a connection of a pool. It is used by one request at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// keepUntil is when the server may close the idle connection.
-	keepUntil time.Time
-	// idleSince is when its last answer ended, zero before the first.
+	// idleExpiry is the time after which the idle connection must not be used, since
+	// the server may close it. It is zero before the first response.
+	idleExpiry time.Time
+	// idleSince is when the last response ended, or zero before the first one.
 	idleSince time.Time
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool with the given timeout for opening connections.
 func NewPool(dialTimeout time.Duration) *Pool {
 	dialer := tcpoption.Dialer(dialTimeout)
 	return &Pool{idle: map[string][]*conn{}, Dial: dialer.DialContext}
 }
 
-// connect returns a kept connection that is still usable, or a new one.
-func (p *Pool) connect(ctx context.Context, address string, fresh bool) (*conn, error) {
-	for !fresh {
-		kept := p.take(address)
-		if kept == nil {
+// connect returns a usable idle connection to the address, or a new one if there is
+// none or forceNew is set. Its error is an ErrNotSent.
+func (p *Pool) connect(ctx context.Context, address string, forceNew bool) (*conn, error) {
+	for !forceNew {
+		idle := p.take(address)
+		if idle == nil {
 			break
 		}
-		if kept.usable(time.Now()) {
-			return kept, nil
+		if idle.usable(time.Now()) {
+			return idle, nil
 		}
-		kept.Close()
+		idle.Close()
 	}
-	opened, err := p.Dial(ctx, "tcp", address)
+	netConn, err := p.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Join(ErrNotSent, err)
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnOpen != nil {
+		p.OnOpen()
 	}
-	return &conn{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readBufferBytes)}, nil
+	return &conn{Conn: netConn, address: address, reader: bufio.NewReaderSize(netConn, readBufferBytes)}, nil
 }
 
-// take removes the most recently used idle connection, so that others age out.
+// take removes and returns the most recently used idle connection to the address, so
+// that the others can expire. It returns nil if there is none.
 func (p *Pool) take(address string) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -105,6 +113,7 @@
 	return last
 }
 
+// put adds an idle connection, or closes it if there are maxIdlePerAddress already.
 func (p *Pool) put(c *conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -115,10 +124,10 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// giveBack takes back a connection that nothing was written on. A new one is closed: the
-// server has not said how long it keeps it.
-func (p *Pool) giveBack(c *conn) {
-	if c.keepUntil.IsZero() {
+// putUnused returns a connection to the pool to which nothing was written. A new
+// connection is closed, since the server hasn't sent its Keep-Alive timeout yet.
+func (p *Pool) putUnused(c *conn) {
+	if c.idleExpiry.IsZero() {
 		c.Close()
 		return
 	}
@@ -126,8 +135,8 @@
 }
 
 // CloseIdle closes the idle connections to the address, so that the next request is
-// sent on a new one; connections in use are left alone. It is for callers whose request
-// was not answered in time: what silenced its connection may have silenced all others.
+// sent on a new one. Connections in use are not affected. It is for clients whose
+// request timed out: what broke its connection may have broken all others.
 func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -137,63 +146,67 @@
 	delete(p.idle, address)
 }
 
-// watchAnswer begins to watch for the answer to a request that is about to be written.
-// The returned function ends that.
-func (p *Pool) watchAnswer(c *conn) (answered func()) {
-	if p.SilentAfter == 0 || c.idleSince.IsZero() {
-		// On a new connection silence is the server's.
+// startSilenceTimer starts the SilenceTimeout of a request that is about to be
+// written. The returned function stops the timer.
+func (p *Pool) startSilenceTimer(c *conn) (stop func()) {
+	if p.SilenceTimeout == 0 || c.idleSince.IsZero() {
+		// On a new connection, the server itself doesn't respond, so this says nothing
+		// about other connections.
 		return func() {}
 	}
 	sent := time.Now()
-	timer := time.AfterFunc(p.SilentAfter, func() { p.closeIdleSince(c.address, sent) })
+	timer := time.AfterFunc(p.SilenceTimeout, func() { p.closeAddressIdleSince(c.address, sent) })
 	return func() { timer.Stop() }
 }
 
-// CloseIdleSince closes all connections that have been idle since before the moment, as they
-// may have been lost then, and returns how many there were.
-func (p *Pool) CloseIdleSince(moment time.Time) (closed int) {
+// CloseIdleSince closes the connections to all addresses that have been idle since
+// before cutoff, as they may have broken since, and returns their number.
+func (p *Pool) CloseIdleSince(cutoff time.Time) (closed int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address := range p.idle {
-		closed += p.closeIdle(address, moment)
+		closed += p.closeIdleSinceLocked(address, cutoff)
 	}
 	return closed
 }
 
-// closeIdleSince does the same for one address.
-func (p *Pool) closeIdleSince(address string, moment time.Time) {
+// closeAddressIdleSince closes the connections to one address that have been idle
+// since before cutoff.
+func (p *Pool) closeAddressIdleSince(address string, cutoff time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.closeIdle(address, moment)
+	p.closeIdleSinceLocked(address, cutoff)
 }
 
-// closeIdle closes connections to the address that brought their last answer before the
-// moment; those that brought one later are sound. The mutex is held.
-func (p *Pool) closeIdle(address string, moment time.Time) (closed int) {
+// closeIdleSinceLocked closes the connections to the address whose last response ended
+// before cutoff, and returns their number. Connections with a later response are known
+// to have worked since. The mutex must be held.
+func (p *Pool) closeIdleSinceLocked(address string, cutoff time.Time) (closed int) {
 	var kept []*conn
 	for _, c := range p.idle[address] {
-		if !c.idleSince.Before(moment) {
+		if !c.idleSince.Before(cutoff) {
 			kept = append(kept, c)
 			continue
 		}
 		c.Close()
 		closed++
-		if p.Silent != nil {
-			p.Silent()
+		if p.OnSilentClosed != nil {
+			p.OnSilentClosed()
 		}
 	}
 	p.idle[address] = kept
 	return closed
 }
 
-// Sweep closes idle connections whose time is over and forgets their addresses.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the idle connections that have expired, and deletes addresses
+// without connections. It must be called regularly.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.keepUntil) {
+			if now.Before(c.idleExpiry) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -207,10 +220,11 @@
 	}
 }
 
-// usable tells whether nothing has arrived on the idle connection: bytes there
-// would belong to no request, and an end means that the server has closed it.
+// usable reports whether the idle connection hasn't expired and has no data or end of
+// stream to read. Data would belong to no request, and an end of stream means that the
+// server has closed the connection.
 func (c *conn) usable(now time.Time) bool {
-	if now.After(c.keepUntil) || c.reader.Buffered() > 0 {
+	if now.After(c.idleExpiry) || c.reader.Buffered() > 0 {
 		return false
 	}
 	tcp, isTCP := c.Conn.(*net.TCPConn)
@@ -221,18 +235,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	var peeked [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, received := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = received == syscall.EAGAIN
+		_, _, errno := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// keepAliveOf reads the time in a Keep-Alive header, in whole seconds.
-func keepAliveOf(value string) (time.Duration, bool) {
+// parseKeepAliveTimeout returns the timeout parameter of a Keep-Alive header, which is
+// in seconds, and whether there is a valid one.
+func parseKeepAliveTimeout(value string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
@@ -244,10 +259,12 @@
 	return 0, false
 }
 
-func idleTime(header string) time.Duration {
-	named, found := keepAliveOf(header)
+// idleTimeout returns how long to keep an idle connection, given the Keep-Alive header
+// of its last response.
+func idleTimeout(header string) time.Duration {
+	timeout, found := parseKeepAliveTimeout(header)
 	if !found {
-		return defaultIdle
+		return defaultIdleTimeout
 	}
-	return max(named-idleMargin, 0)
+	return max(timeout-idleMargin, 0)
 }
--- a/internal/httpconn/silentrace_test.go
+++ b/internal/httpconn/silentrace_test.go
@@ -16,9 +16,10 @@
 	"github.com/clovertiller/clovertiller/internal/httpconn"
 )
 
-// Idle connections that are closed as silent are nobody's: requests on sound ones are
-// answered, however often and from wherever that happens.
-func TestClosingSilentConnectionsCostsNoRequest(t *testing.T) {
+// Guards against closing a connection that a request is using: requests must succeed
+// while idle connections are closed all the time, both by CloseIdleSince and by the
+// SilenceTimeout.
+func TestClosingIdleConnectionsFailsNoRequest(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		time.Sleep(rand.N(4 * time.Millisecond))
@@ -27,9 +28,9 @@
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	pool := httpconn.NewPool(time.Second)
-	pool.SilentAfter = time.Millisecond
-	var opened, silent, failed atomic.Int64
-	pool.Opened, pool.Silent = func() { opened.Add(1) }, func() { silent.Add(1) }
+	pool.SilenceTimeout = time.Millisecond
+	var opened, closed, failed atomic.Int64
+	pool.OnOpen, pool.OnSilentClosed = func() { opened.Add(1) }, func() { closed.Add(1) }
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
@@ -38,11 +39,11 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 12 {
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
+			defer clients.Done()
 			for range 400 {
 				response, err := pool.Send(ctx, address, &httpconn.Request{Method: http.MethodGet, Target: "/", Host: address})
 				if err != nil {
@@ -57,7 +58,7 @@
 			}
 		}()
 	}
-	callers.Wait()
-	t.Logf("opened %d, silent %d, failed %d", opened.Load(), silent.Load(), failed.Load())
+	clients.Wait()
+	t.Logf("%d connections opened, %d closed as silent, %d requests failed", opened.Load(), closed.Load(), failed.Load())
 	g.Expect(failed.Load()).To(BeZero())
 }
