--- a/internal/tcpoption/tcpoption.go
+++ b/internal/tcpoption/tcpoption.go
@@ -1,6 +1,6 @@
-// Package tcpoption sets what makes a connection to a vanished machine end soon:
-// a machine without power or behind a cut says nothing, and TCP by itself would
-// wait for many minutes.
+// Package tcpoption sets TCP options that detect an unreachable peer within
+// seconds. A machine that has lost power or is behind a network partition doesn't
+// close its connections, and by default TCP waits for many minutes.
 package tcpoption
 
 import (
@@ -9,32 +9,36 @@
 	"time"
 )
 
-// Times after which a silent peer is given up.
+// Timeouts after which a connection to a silent peer is closed.
 const (
-	// unackedTimeout ends a connection whose peer has stopped acknowledging.
-	unackedTimeout = 1500 * time.Millisecond
-	// probeIdle, probeInterval and probeCount end an idle connection whose peer
-	// is gone within about two seconds.
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 2
+	// unacknowledgedTimeout is how long sent data may stay unacknowledged.
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure keep-alive probes
+	// so that an idle connection is closed about two seconds after its peer has
+	// become unreachable.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, which package syscall doesn't
+// define.
 const tcpUserTimeout = 18
 
-// Dialer returns a dialer whose connections end when the peer vanishes.
+// Dialer returns a dialer with the given dial timeout. Its connections fail within
+// seconds when the peer becomes unreachable.
 func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
-		Control:         setUnackedTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+		Control:         setUserTimeout,
 	}
 }
 
-func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
-	return raw.Control(func(fd uintptr) {
-		// Where the option is refused, the keep-alive probes remain.
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
+	return conn.Control(func(fd uintptr) {
+		// If the system rejects the option, the keep-alive probes still apply.
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
 	})
 }
