--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -17,37 +17,43 @@
 	"github.com/gravitational/trace"
 )
 
-// Times and sizes of the client.
+// Timeouts and limits of the client.
 const (
 	dialTimeout = time.Second
-	// AnswerTimeout bounds the wait for the engine's word that it took a request.
-	AnswerTimeout  = 3 * time.Second
+	// ResponseTimeout is how long to wait for the response header of a generate or
+	// resume request, by which the engine accepts or refuses it.
+	ResponseTimeout = 3 * time.Second
+	// controlTimeout limits a whole call to cancel, to send an order or to list blocks.
 	controlTimeout = 2 * time.Second
-	maxReplyBytes  = 64 << 20
-	// streamBufferBytes is the read buffer of one stream.
-	streamBufferBytes = 4 << 10
-	idleConnections   = 64
+	// maxBlockListBytes limits the response to a list of cached blocks.
+	maxBlockListBytes = 64 << 20
+	// streamBufferBytes is the size of the read and write buffers of a connection and of
+	// the read buffer of a stream.
+	streamBufferBytes     = 4 << 10
+	maxIdleConnsPerEngine = 64
 )
 
 // Errors of the client.
 var (
-	// ErrNotConnected means that no connection was made, so nothing was sent.
+	// ErrNotConnected means that there was no connection, so nothing was sent.
 	ErrNotConnected = errors.New("no connection to the engine")
-	// ErrLost means that the connection broke after something may have been sent.
-	ErrLost = errors.New("the engine's answer was lost")
+	// ErrResponseLost means that there was no valid response although the request may
+	// have been sent. The engine may run it.
+	ErrResponseLost = errors.New("the engine's response was lost")
 )
 
-// RefusedError is the engine's own refusal: the attempt has not run.
+// RefusedError means that the engine itself refused the request: the attempt has not
+// run.
 type RefusedError struct {
 	Refusal Refusal
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("engine refused: %s: %s", e.Refusal.Code, e.Refusal.Message)
 }
 
-// Client talks to engines.
+// Client calls the HTTP interface of engines. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
@@ -57,7 +63,7 @@
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerEngine,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 		WriteBufferSize:     streamBufferBytes,
@@ -65,36 +71,39 @@
 	}}}
 }
 
-// Stream is an open output stream.
+// Stream is an open output stream of an engine. It must be closed.
 type Stream struct {
 	Frames *FrameReader
 	body   io.Closer
 }
 
-// NewStream returns a stream of frames that closes body with itself.
+// NewStream returns a stream of frames. Its Close closes body.
 func NewStream(frames *FrameReader, body io.Closer) *Stream {
 	return &Stream{Frames: frames, body: body}
 }
 
-// Close ends the stream.
+// Close closes the stream.
 func (s *Stream) Close() { s.body.Close() }
 
-// Generate sends one attempt. It returns a *RefusedError, ErrNotConnected or
-// ErrLost; only the last leaves it open whether the attempt runs.
+// Generate sends one attempt of a request to the engine and returns its output
+// stream. The error is a *RefusedError, ErrNotConnected or ErrResponseLost. Only in
+// the last case the attempt may be running.
 func (c *Client) Generate(ctx context.Context, address string, request *GenerateRequest) (*Stream, error) {
 	return c.openStream(ctx, address, PathGenerate, request)
 }
 
-// Resume asks for the rest of a stream, with the errors of Generate.
+// Resume requests the rest of an attempt's output stream. Its errors are those of
+// Generate.
 func (c *Client) Resume(ctx context.Context, address string, request *ResumeRequest) (*Stream, error) {
 	return c.openStream(ctx, address, PathResume, request)
 }
 
+// openStream sends a request and returns the stream in its response.
 func (c *Client) openStream(ctx context.Context, address, path string, body any) (*Stream, error) {
-	streamContext, cancel := context.WithCancel(ctx)
-	// The timer ends the wait for the answer only, not the stream behind it.
-	timer := time.AfterFunc(AnswerTimeout, cancel)
-	response, err := c.post(streamContext, address, path, body)
+	streamCtx, cancel := context.WithCancel(ctx)
+	// The timer limits the wait for the response header, not the stream that follows.
+	timer := time.AfterFunc(ResponseTimeout, cancel)
+	response, err := c.post(streamCtx, address, path, body)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -102,7 +111,7 @@
 	if !timer.Stop() {
 		response.Body.Close()
 		cancel()
-		return nil, ErrLost
+		return nil, ErrResponseLost
 	}
 	if response.StatusCode != http.StatusOK {
 		defer cancel()
@@ -113,7 +122,7 @@
 	return NewStream(NewFrameReader(reader), &cancelCloser{response.Body, cancel}), nil
 }
 
-// cancelCloser ends the request's context with its body.
+// cancelCloser cancels the request's context when the response body is closed.
 type cancelCloser struct {
 	body   io.Closer
 	cancel context.CancelFunc
@@ -125,22 +134,23 @@
 	return c.body.Close()
 }
 
-// post sends a JSON body. The connection trace tells "never connected" from "lost".
+// post sends a JSON body. It uses a connection trace to distinguish
+// ErrNotConnected from ErrResponseLost.
 func (c *Client) post(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	var connected atomic.Bool
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+address+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(tracedCtx, http.MethodPost, "http://"+address+path, bytes.NewReader(encoded))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// Without GetBody the HTTP library never sends a request a second time on
-	// its own, which it otherwise may on a broken idle connection.
+	// Without GetBody, net/http can't retry the request on its own, which it otherwise
+	// may do when an idle connection turns out to be broken.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
@@ -150,30 +160,34 @@
 	case !connected.Load():
 		return nil, ErrNotConnected
 	}
-	return nil, ErrLost
+	return nil, ErrResponseLost
 }
 
+// readRefusal returns the *RefusedError in the response, or ErrResponseLost if it
+// holds none.
 func readRefusal(response *http.Response) error {
 	var refusal Refusal
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxLineBytes))
 	if err := decoder.Decode(&refusal); err != nil || refusal.Code == "" {
-		// Whatever answered did not speak the protocol: nothing is known.
-		return ErrLost
+		// The response isn't one of this protocol, so the fate of the request is unknown.
+		return ErrResponseLost
 	}
 	return &RefusedError{Refusal: refusal}
 }
 
-// Cancel stops an attempt.
+// Cancel stops an attempt. An engine that hasn't seen the attempt bars it.
 func (c *Client) Cancel(ctx context.Context, address string, request *CancelRequest) error {
-	return c.control(ctx, address, PathCancel, request)
+	return c.postControl(ctx, address, PathCancel, request)
 }
 
-// Order gives a fenced order.
+// Order sends an order with a fencing token.
 func (c *Client) Order(ctx context.Context, address string, order *Order) error {
-	return c.control(ctx, address, PathOrders, order)
+	return c.postControl(ctx, address, PathOrders, order)
 }
 
-func (c *Client) control(ctx context.Context, address, path string, body any) error {
+// postControl sends a request that has no output stream and checks that the engine
+// accepted it.
+func (c *Client) postControl(ctx context.Context, address, path string, body any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	response, err := c.post(ctx, address, path, body)
@@ -187,7 +201,7 @@
 	return nil
 }
 
-// Blocks reads the full list of cached blocks.
+// Blocks returns the full list of the engine's cached blocks.
 func (c *Client) Blocks(ctx context.Context, address string) (*BlockList, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -201,18 +215,19 @@
 	}
 	defer response.Body.Close()
 	list := &BlockList{}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxBlockListBytes)).Decode(list); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return list, nil
 }
 
-// Events reads the engine's event stream until it ends, and calls visit for
-// each event. Silence for longer than the given time ends it with an error.
-func (c *Client) Events(ctx context.Context, address string, silence time.Duration, visit func(*CacheEvent)) error {
+// Events reads the engine's stream of cache events and calls handle for each event
+// until the stream ends or no event arrives for silenceTimeout. It always returns an
+// error.
+func (c *Client) Events(ctx context.Context, address string, silenceTimeout time.Duration, handle func(*CacheEvent)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(silence, cancel)
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
 	defer watchdog.Stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathEvents, nil)
 	if err != nil {
@@ -229,7 +244,7 @@
 		if err := decoder.Decode(event); err != nil {
 			return trace.Wrap(err)
 		}
-		watchdog.Reset(silence)
-		visit(event)
+		watchdog.Reset(silenceTimeout)
+		handle(event)
 	}
 }
--- a/internal/engineapi/stream.go
+++ b/internal/engineapi/stream.go
@@ -7,10 +7,12 @@
 	"strconv"
 )
 
-// ErrFrame means that a stream holds a line that is not a frame.
-var ErrFrame = errors.New("malformed frame on the engine's stream")
+// ErrMalformedFrame means that an output stream contains a malformed frame, or a line
+// longer than maxLineBytes.
+var ErrMalformedFrame = errors.New("malformed frame on the engine's stream")
 
-// maxLineBytes bounds one line of a stream.
+// maxLineBytes is the maximum length of one line of a stream, and of the body of a
+// refusal.
 const maxLineBytes = 1 << 20
 
 // Frame is one server-sent event of an output stream. Its byte slices are
@@ -18,34 +20,38 @@
 type Frame struct {
 	// Event is "" for output, else EventStart or EventEnd.
 	Event string
-	// Request and Attempt say what the frame belongs to; Offset is the first
-	// output token in it and Count their number.
+	// Request and Attempt identify the attempt that the frame belongs to.
 	Request []byte
 	Attempt uint32
-	Offset  int
-	Count   int
-	Data    []byte
+	// Offset is the position of the frame's first output token in the whole output.
+	Offset int
+	// Count is the number of output tokens in the frame.
+	Count int
+	// Data is the event's undecoded data.
+	Data []byte
 }
 
-// FrameReader reads frames without decoding their data.
+// FrameReader reads the frames of an output stream without decoding their data.
 type FrameReader struct {
 	reader *bufio.Reader
-	id     []byte
-	data   []byte
+	// id and data are buffers for the current frame.
+	id   []byte
+	data []byte
 }
 
-// NewFrameReader returns a reader of frames.
+// NewFrameReader returns a FrameReader that reads from reader.
 func NewFrameReader(reader *bufio.Reader) *FrameReader { return &FrameReader{reader: reader} }
 
-// Buffered tells whether a further frame has at least begun to arrive, so that
-// the caller can write several frames at once.
+// Buffered reports whether at least a part of the next frame has been received, so
+// that the caller can write several frames at once.
 func (f *FrameReader) Buffered() bool { return f.reader.Buffered() > 0 }
 
-// Next reads one frame into frame.
+// Next reads the next frame into frame. It returns ErrMalformedFrame or the error of
+// the underlying reader.
 func (f *FrameReader) Next(frame *Frame) error {
 	*frame = Frame{}
 	f.data = f.data[:0]
-	seen := false
+	hasLines := false
 	for {
 		line, err := f.readLine()
 		if err != nil {
@@ -53,7 +59,7 @@
 		}
 		switch {
 		case len(line) == 0:
-			if !seen {
+			if !hasLines {
 				continue
 			}
 			frame.Data = f.data
@@ -63,15 +69,16 @@
 		case bytes.HasPrefix(line, []byte("id: ")):
 			f.id = append(f.id[:0], line[len("id: "):]...)
 		case bytes.HasPrefix(line, []byte("event: ")):
-			frame.Event = eventName(line[len("event: "):])
+			frame.Event = internEventName(line[len("event: "):])
 		default:
-			return ErrFrame
+			return ErrMalformedFrame
 		}
-		seen = true
+		hasLines = true
 	}
 }
 
-func eventName(name []byte) string {
+// internEventName returns the name as a string, without allocation for known names.
+func internEventName(name []byte) string {
 	switch string(name) {
 	case EventStart:
 		return EventStart
@@ -81,6 +88,8 @@
 	return string(name)
 }
 
+// readLine returns the next line without its line ending. It is valid until the next
+// read.
 func (f *FrameReader) readLine() ([]byte, error) {
 	line, err := f.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -92,13 +101,15 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func (f *FrameReader) readLongLine(start []byte) ([]byte, error) {
-	line := append([]byte(nil), start...)
+// readLongLine reads the rest of a line that exceeds the reader's buffer and returns
+// the whole line.
+func (f *FrameReader) readLongLine(prefix []byte) ([]byte, error) {
+	line := append([]byte(nil), prefix...)
 	for {
 		rest, err := f.reader.ReadSlice('\n')
 		line = append(line, rest...)
 		if len(line) > maxLineBytes {
-			return nil, ErrFrame
+			return nil, ErrMalformedFrame
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -110,27 +121,29 @@
 	}
 }
 
-// parseID reads "request/attempt/offset/count".
+// parseID parses an id of the form "request/attempt/offset/count" into frame. The
+// request may contain slashes.
 func parseID(id []byte, frame *Frame) error {
 	rest := id
-	count, rest, ok := cutNumber(rest)
+	count, rest, ok := cutTrailingNumber(rest)
 	if !ok {
-		return ErrFrame
+		return ErrMalformedFrame
 	}
-	offset, rest, ok := cutNumber(rest)
+	offset, rest, ok := cutTrailingNumber(rest)
 	if !ok {
-		return ErrFrame
+		return ErrMalformedFrame
 	}
-	attempt, rest, ok := cutNumber(rest)
+	attempt, rest, ok := cutTrailingNumber(rest)
 	if !ok || len(rest) == 0 {
-		return ErrFrame
+		return ErrMalformedFrame
 	}
 	frame.Count, frame.Offset, frame.Attempt, frame.Request = count, offset, uint32(attempt), rest
 	return nil
 }
 
-// cutNumber takes a decimal number behind the last '/' off the end of id.
-func cutNumber(id []byte) (number int, rest []byte, ok bool) {
+// cutTrailingNumber parses the decimal number after the last '/' of id and returns it
+// with the part before the '/'. The number may have ten digits at most.
+func cutTrailingNumber(id []byte) (number int, rest []byte, ok bool) {
 	slash := bytes.LastIndexByte(id, '/')
 	if slash < 0 || slash == len(id)-1 || len(id)-slash > 11 {
 		return 0, nil, false
@@ -144,7 +157,7 @@
 	return number, id[:slash], true
 }
 
-// AppendFrame appends a frame in wire form to buffer.
+// AppendFrame appends a frame in wire format to buffer and returns the result.
 func AppendFrame(buffer []byte, event, request string, attempt uint32, offset, count int, data []byte) []byte {
 	if event != "" {
 		buffer = append(buffer, "event: "...)
--- a/internal/engineapi/stream_test.go
+++ b/internal/engineapi/stream_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-func read(input string) (frames []Frame, err error) {
+// readFrames reads all frames of input, with a buffer so small that long lines exceed it.
+func readFrames(input string) (frames []Frame, err error) {
 	reader := NewFrameReader(bufio.NewReaderSize(strings.NewReader(input), 64))
 	for {
 		var frame Frame
@@ -23,12 +24,12 @@
 	}
 }
 
-func TestFramesAreReadBack(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	long := strings.Repeat("x", 500)
 	wire := AppendFrame(nil, "", "request/with-slash", 3, 17, 2, []byte(long))
 	wire = AppendFrame(wire, EventEnd, "r", 1, 0, 0, []byte("{}"))
-	frames, err := read(string(wire))
+	frames, err := readFrames(string(wire))
 	g.Expect(err).To(Equal(io.EOF))
 	g.Expect(frames).To(HaveLen(2))
 	g.Expect(string(frames[0].Request)).To(Equal("request/with-slash"))
@@ -39,13 +40,13 @@
 	g.Expect(frames[1].Event).To(Equal(EventEnd))
 }
 
-func TestMalformedFramesAreRefused(t *testing.T) {
+func TestMalformedFramesReturnErrMalformedFrame(t *testing.T) {
 	for _, input := range []string{
 		"nonsense\n\n", "id: a/b/c/d\ndata: x\n\n", "id: 1/2/3\ndata: x\n\n", "data: x\n\n", "id: r/1/2/99999999999\ndata: x\n\n",
 	} {
 		t.Run(input, func(t *testing.T) {
-			_, err := read(input)
-			NewWithT(t).Expect(err).To(MatchError(ErrFrame))
+			_, err := readFrames(input)
+			NewWithT(t).Expect(err).To(MatchError(ErrMalformedFrame))
 		})
 	}
 }
@@ -54,13 +55,13 @@
 	f.Add(string(AppendFrame(nil, "", "r", 1, 2, 3, []byte("{}"))))
 	f.Add("id: r/1/2/3\ndata: \n\n")
 	f.Fuzz(func(t *testing.T, input string) {
-		frames, err := read(input)
+		frames, err := readFrames(input)
 		if err == nil {
-			t.Fatal("a reader must end with an error")
+			t.Fatal("reading must end with an error")
 		}
 		for _, frame := range frames {
 			if len(frame.Request) == 0 || frame.Offset < 0 || frame.Count < 0 {
-				t.Fatalf("impossible frame %+v", frame)
+				t.Fatalf("invalid frame %+v", frame)
 			}
 		}
 	})
--- a/internal/engineapi/types.go
+++ b/internal/engineapi/types.go
@@ -1,5 +1,6 @@
-// Package engineapi is the protocol between routers and model engines: JSON
-// over HTTP, with server-sent events for output. docs/API.md describes it.
+// Package engineapi defines the protocol between routers and model engines, with
+// its client. It uses JSON over HTTP, and server-sent events for output.
+// docs/API.md describes it.
 package engineapi
 
 // Paths of the engine's HTTP interface.
@@ -12,13 +13,13 @@
 	PathOrders   = "/v1/orders"
 )
 
-// Frame formats: which caller's API the output chunks are encoded for.
+// Formats of the output chunks, which match the API that the caller uses.
 const (
 	FormatChat       = "chat.completion.chunk"
 	FormatCompletion = "text_completion"
 )
 
-// Server-sent event names on an output stream. Output frames have no name.
+// Names of the server-sent events of an output stream. Output frames have no name.
 const (
 	EventStart = "start"
 	EventEnd   = "end"
@@ -26,35 +27,42 @@
 
 // GenerateRequest asks an engine to run one attempt of a request.
 type GenerateRequest struct {
+	// Request is the ID of the request, and Attempt the number of the attempt at it.
 	Request string `json:"request"`
 	Attempt uint32 `json:"attempt"`
-	// Incarnation, Model and WeightVersion must match the engine's own, or it refuses.
+	// Incarnation, Model and WeightVersion must match the engine's own. Otherwise the
+	// engine refuses the attempt.
 	Incarnation   uint64 `json:"incarnation"`
 	Model         string `json:"model"`
 	Adapter       string `json:"adapter,omitempty"`
 	WeightVersion string `json:"weight_version"`
-	// CacheSalt separates the cache blocks of tenants, models and weights.
-	CacheSalt  string `json:"cache_salt"`
+	// CacheSalt is hashed into cache blocks, so that tenants, models and weights don't
+	// share them.
+	CacheSalt string `json:"cache_salt"`
+	// BlockBytes is the size of a cache block in bytes of the prompt.
 	BlockBytes int    `json:"block_bytes"`
 	Prompt     string `json:"prompt"`
-	// Generated is output of an earlier attempt, to be continued; GeneratedTokens counts it.
+	// Generated is the output of earlier attempts, which this attempt continues, and
+	// GeneratedTokens its number of tokens.
 	Generated       string `json:"generated,omitempty"`
 	GeneratedTokens int    `json:"generated_tokens,omitempty"`
 	MaxTokens       int    `json:"max_tokens"`
-	// Priority is the tier's priority, 0 first.
+	// Priority is the priority of the request's tier; 0 is highest.
 	Priority int `json:"priority"`
-	// DeadlineMillis is how long the caller waits; the engine drops the request after it.
+	// DeadlineMillis is the remaining time in milliseconds that the caller waits. The
+	// engine drops the request after it.
 	DeadlineMillis int64 `json:"deadline_millis,omitempty"`
-	// Format, ID and Created shape the chunks, so that they can be relayed as they are.
+	// Format, ID and Created are written into the output chunks, so that the router can
+	// relay the chunks unchanged.
 	Format  string `json:"format"`
 	ID      string `json:"id"`
 	Created int64  `json:"created"`
-	// DisplayModel is the model name as the caller wrote it.
+	// DisplayModel is the model name as given by the caller.
 	DisplayModel string `json:"display_model"`
 }
 
-// ResumeRequest asks for the stream of an attempt from an offset on. An engine
-// that never saw the attempt refuses with CodeNeverSeen and from then on
+// ResumeRequest asks for the output stream of an attempt from an offset on. An engine
+// that has never seen the attempt refuses with CodeNeverSeenAndBarred, and from then on
 // refuses the attempt itself with CodeBarred.
 type ResumeRequest struct {
 	Request     string `json:"request"`
@@ -63,28 +71,30 @@
 	Offset      int    `json:"offset"`
 }
 
-// CancelRequest stops an attempt that nobody awaits, and bars it if unseen.
+// CancelRequest stops an attempt whose output isn't needed any more. An engine that has
+// never seen the attempt bars it.
 type CancelRequest struct {
 	Request string `json:"request"`
 	Attempt uint32 `json:"attempt"`
 }
 
-// Code says why an engine refused.
+// Code is the reason for which an engine refused a request.
 type Code string
 
-// The refusals. Each of them means that the attempt has not run.
+// Codes of refusals. Each of them means that the refused request did not start a run of
+// the attempt.
 const (
-	CodeIncarnation   Code = "incarnation_mismatch"
-	CodeWeightVersion Code = "weight_version_mismatch"
-	CodeAdapter       Code = "adapter_not_loaded"
-	CodeDraining      Code = "draining"
-	CodeFull          Code = "full"
-	CodeBarred        Code = "barred"
-	CodeDuplicate     Code = "duplicate_attempt"
-	CodeNeverSeen     Code = "never_seen_and_barred"
-	CodeBadRequest    Code = "bad_request"
-	CodeStaleToken    Code = "stale_token"
-	CodeNotResumable  Code = "not_resumable"
+	CodeIncarnationMismatch   Code = "incarnation_mismatch"
+	CodeWeightVersionMismatch Code = "weight_version_mismatch"
+	CodeAdapterNotLoaded      Code = "adapter_not_loaded"
+	CodeDraining              Code = "draining"
+	CodeQueueFull             Code = "full"
+	CodeBarred                Code = "barred"
+	CodeDuplicateAttempt      Code = "duplicate_attempt"
+	CodeNeverSeenAndBarred    Code = "never_seen_and_barred"
+	CodeBadRequest            Code = "bad_request"
+	CodeStaleToken            Code = "stale_token"
+	CodeNotResumable          Code = "not_resumable"
 )
 
 // Refusal is the body of every refusal.
@@ -95,32 +105,34 @@
 	Token uint64 `json:"token,omitempty"`
 }
 
-// Load is an engine's account of its work.
+// Load is the current load of an engine, in requests and prompt tokens.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// QueuedTokens counts prompt tokens still to be computed, by priority class.
+	// QueuedTokens is the number of prompt tokens still to be computed, by priority class.
 	QueuedTokens []int `json:"queued_tokens"`
-	// PrefillRate is prompt tokens computed a second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate int `json:"prefill_rate"`
-	MaxRunning  int `json:"max_running"`
+	// MaxRunning is the maximum number of requests that run at the same time.
+	MaxRunning int `json:"max_running"`
 }
 
-// Start is the data of EventStart: the engine has begun to compute.
-type Start struct {
+// StartData is the data of EventStart, which the engine sends when it starts to
+// process the prompt.
+type StartData struct {
 	CachedTokens int  `json:"cached_tokens"`
 	Load         Load `json:"load"`
 }
 
-// End is the data of EventEnd.
-type End struct {
+// EndData is the data of EventEnd, the last event of an output stream.
+type EndData struct {
 	FinishReason     string `json:"finish_reason"`
 	CompletionTokens int    `json:"completion_tokens"`
 	PromptTokens     int    `json:"prompt_tokens"`
 	CachedTokens     int    `json:"cached_tokens"`
 }
 
-// State is an engine's readiness.
+// State is the state of an engine.
 type State string
 
 // The states of an engine.
@@ -130,12 +142,13 @@
 	StateDraining State = "draining"
 )
 
-// Block is one cache block in an event or a list.
+// Block identifies one block of an engine's cache.
 type Block struct {
 	Hash uint64 `json:"hash"`
-	// Root is the hash of the first block of the chain.
-	Root  uint64 `json:"root"`
-	Depth int    `json:"depth"`
+	// Root is the hash of the first block of the block's chain.
+	Root uint64 `json:"root"`
+	// Depth is the number of blocks from the start of the chain to the end of this one.
+	Depth int `json:"depth"`
 }
 
 // Status describes the engine process.
@@ -149,8 +162,8 @@
 	Load          Load     `json:"load"`
 }
 
-// CacheEvent is one line of the event stream. Sequence rises by one for each
-// published event, so a jump shows a gap.
+// CacheEvent is one line of the event stream, with changes of the cache or the status.
+// Sequence increases by one with each event, so that clients detect lost events.
 type CacheEvent struct {
 	Sequence uint64  `json:"sequence"`
 	Added    []Block `json:"added,omitempty"`
@@ -158,26 +171,26 @@
 	Status   *Status `json:"status,omitempty"`
 }
 
-// BlockList is the full list of cached blocks, with the sequence of the last
-// event it includes.
+// BlockList is the full list of cached blocks. Sequence is that of the last event
+// whose changes it includes.
 type BlockList struct {
 	Incarnation uint64  `json:"incarnation"`
 	Sequence    uint64  `json:"sequence"`
 	Blocks      []Block `json:"blocks"`
 }
 
-// OrderKind names what an order changes.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
-// The orders.
+// Kinds of orders.
 const (
 	OrderLoadWeights OrderKind = "load_weights"
 	OrderLoadAdapter OrderKind = "load_adapter"
 	OrderSetRole     OrderKind = "set_role"
 )
 
-// Order is a fenced order to an engine. The engine refuses a token lower than
-// the highest that it has seen.
+// Order is an order to an engine, with the fencing token of the controller's lease. The
+// engine refuses a token lower than the highest that it has seen.
 type Order struct {
 	Token         uint64    `json:"token"`
 	Kind          OrderKind `json:"kind"`
--- a/internal/lab/engineserver/relay.go
+++ b/internal/lab/engineserver/relay.go
@@ -127,12 +127,12 @@
 }
 
 func appendStart(buffer []byte, entry *stream, now progress, offset int) []byte {
-	data, _ := json.Marshal(engineapi.Start{CachedTokens: now.cached, Load: now.load})
+	data, _ := json.Marshal(engineapi.StartData{CachedTokens: now.cached, Load: now.load})
 	return engineapi.AppendFrame(buffer, engineapi.EventStart, entry.request.Request, entry.request.Attempt, offset, 0, data)
 }
 
 func appendEnd(buffer []byte, entry *stream, offset int) []byte {
-	end := engineapi.End{FinishReason: "length", CompletionTokens: entry.total, PromptTokens: promptTokens(entry), CachedTokens: entry.cached}
+	end := engineapi.EndData{FinishReason: "length", CompletionTokens: entry.total, PromptTokens: promptTokens(entry), CachedTokens: entry.cached}
 	if entry.natural {
 		end.FinishReason = "stop"
 	}
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -379,7 +379,7 @@
 		Priority:     body.Priority,
 	}
 	if !s.engine.Submit(job) {
-		return nil, &engineapi.Refusal{Code: engineapi.CodeFull, Message: "queue is full"}
+		return nil, &engineapi.Refusal{Code: engineapi.CodeQueueFull, Message: "queue is full"}
 	}
 	s.streams[id] = entry
 	s.work.Broadcast()
@@ -393,17 +393,17 @@
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	switch {
 	case body.Incarnation != s.incarnation:
-		return no(engineapi.CodeIncarnation, "incarnation is %d", s.incarnation)
+		return no(engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
 	case s.barred[id]:
 		return no(engineapi.CodeBarred, "attempt is barred")
 	case s.streams[id] != nil:
-		return no(engineapi.CodeDuplicate, "attempt is known")
+		return no(engineapi.CodeDuplicateAttempt, "attempt is known")
 	case s.state == engineapi.StateDraining:
 		return no(engineapi.CodeDraining, "engine is draining")
 	case s.state != engineapi.StateServing || body.Model != s.model || body.WeightVersion != s.version:
-		return no(engineapi.CodeWeightVersion, "engine is %s with %s %s", s.state, s.model, s.version)
+		return no(engineapi.CodeWeightVersionMismatch, "engine is %s with %s %s", s.state, s.model, s.version)
 	case body.Adapter != "" && !s.hasAdapter(body.Adapter):
-		return no(engineapi.CodeAdapter, "adapter is not loaded")
+		return no(engineapi.CodeAdapterNotLoaded, "adapter is not loaded")
 	case body.MaxTokens < 1 || body.BlockBytes < prefix.BytesPerToken:
 		return no(engineapi.CodeBadRequest, "max_tokens and block_bytes must be positive")
 	}
@@ -435,14 +435,14 @@
 	switch {
 	case body.Incarnation != s.incarnation:
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeIncarnation, "incarnation is %d", s.incarnation)
+		refuse(writer, http.StatusConflict, engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
 	case entry == nil && s.barred[id]:
 		s.mutex.Unlock()
 		refuse(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt has ended")
 	case entry == nil:
 		s.barred[id] = true
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeNeverSeen, "attempt was never seen and is now barred")
+		refuse(writer, http.StatusConflict, engineapi.CodeNeverSeenAndBarred, "attempt was never seen and is now barred")
 	case entry.canceled:
 		s.mutex.Unlock()
 		refuse(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt was cancelled")
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -260,7 +260,7 @@
 func (x *execution) dispatchFailed(ctx context.Context, err error) attempt.Next {
 	var refusal *engineapi.RefusedError
 	switch {
-	case errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeDuplicate:
+	case errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeDuplicateAttempt:
 		return x.request.Lost()
 	case errors.As(err, &refusal):
 		x.reportRejection(refusal.Refusal.Code == engineapi.CodeDraining)
@@ -307,7 +307,7 @@
 	}
 	x.eject()
 	var refusal *engineapi.RefusedError
-	if errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeNeverSeen {
+	if errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeNeverSeenAndBarred {
 		return x.request.NeverSeen()
 	}
 	// Another process, or none: the attempt's stream is gone with it. If the
@@ -317,7 +317,7 @@
 }
 
 // noteStart takes the engine's word that it has begun to compute.
-func (x *execution) noteStart(start engineapi.Start) {
+func (x *execution) noteStart(start engineapi.StartData) {
 	x.begun.Store(true)
 	if x.request.Attempt() == 1 || x.cached == 0 {
 		x.cached = start.CachedTokens
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -67,7 +67,7 @@
 }
 
 func (x *execution) start(frame *engineapi.Frame) {
-	var start engineapi.Start
+	var start engineapi.StartData
 	if frame.Attempt != x.request.Attempt() || json.Unmarshal(frame.Data, &start) != nil {
 		x.dropFrame(frame)
 		return
@@ -81,7 +81,7 @@
 // end takes the end of the stream. An end that does not match the relayed
 // tokens is a break of the stream, not its end.
 func (x *execution) end(ctx context.Context, frame *engineapi.Frame) attempt.Next {
-	var end engineapi.End
+	var end engineapi.EndData
 	if json.Unmarshal(frame.Data, &end) != nil || !x.request.Finish(frame.Attempt, end.CompletionTokens) {
 		x.dropFrame(frame)
 		if ctx.Err() != nil {
--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -46,7 +46,7 @@
 		})
 		var refused *engineapi.RefusedError
 		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused.Refusal.Code).To(Equal(engineapi.CodeIncarnation))
+		Expect(refused.Refusal.Code).To(Equal(engineapi.CodeIncarnationMismatch))
 	})
 
 	It("uses nothing of older weights, also for requests under way at the switch", func() {
