--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -134,9 +134,9 @@
 // readResponse reads response headers until one belongs to the request. It skips
 // informational responses.
 func (c *conn) readResponse(request *Request) (*http.Response, error) {
-	parseRequest := &http.Request{Method: request.Method}
+	minimalRequest := &http.Request{Method: request.Method}
 	for unmatched := 0; unmatched <= maxUnmatchedResponses; {
-		response, err := http.ReadResponse(c.reader, parseRequest)
+		response, err := http.ReadResponse(c.reader, minimalRequest)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -77,7 +77,7 @@
 }
 
 // connect returns a usable idle connection to the address, or a new one if there is
-// none or forceNew is set. Its error is an ErrNotSent.
+// none or forceNew is set. All of its errors wrap ErrNotSent.
 func (p *Pool) connect(ctx context.Context, address string, forceNew bool) (*conn, error) {
 	for !forceNew {
 		idle := p.take(address)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -118,8 +118,9 @@
 func (c *Candidate) IsLastHolder() bool { return c.observed.Exists && c.observed.Spec.Holder == c.node }
 
 // Next returns the next step. A node acquires another holder's lease only after
-// it has observed it unchanged for the takeover delay on its own clock. A holder
-// acquires its own lease again when the store has entered a new era.
+// it has observed it unchanged for the takeover delay on its own clock, and in a
+// new era only after any lease of an earlier era has expired. A holder acquires its
+// own lease again when the store has entered a new era.
 func (c *Candidate) Next(now time.Time) Action {
 	if token, held := c.Token(now); held {
 		if token.Era() < c.era {
--- a/internal/lease/lease_property_test.go
+++ b/internal/lease/lease_property_test.go
@@ -201,7 +201,8 @@
 // Guards against two nodes that hold the lease at the same time, and against a later
 // holder whose token is lower than that of an earlier one, so that engines refuse it.
 // Both may come about when the store is restored from a backup that lacks the holder's
-// lease, or when it assigns the numbers of former tokens again.
+// lease, or when it assigns the numbers of former tokens again. All candidates are checked
+// at the same true time.
 func TestAtMostOneHolderAndTokensIncrease(t *testing.T) {
 	testkit.Properties(40000)
 	rapid.Check(t, func(t *rapid.T) {
