--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -42,8 +42,8 @@
 	ErrResponseLost = errors.New("the engine's response was lost")
 )
 
-// RefusedError means that the engine itself refused the request: the attempt has not
-// run.
+// RefusedError means that the engine itself refused the request and did not start a run
+// for it.
 type RefusedError struct {
 	Refusal Refusal
 }
--- a/internal/httpconn/exchange_test.go
+++ b/internal/httpconn/exchange_test.go
@@ -168,7 +168,7 @@
 	for name, response := range map[string]string{
 		"short":         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
 		"chunk missing": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"no answer":     "garbage\r\n\r\n",
+		"no response":   "garbage\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -237,17 +237,17 @@
 
 func TestCanceledContextClosesConnection(t *testing.T) {
 	g := NewWithT(t)
-	ended := make(chan error, 1)
+	readError := make(chan error, 1)
 	address, _ := startServer(t, func(_ int, reader *bufio.Reader, conn net.Conn) {
 		http.ReadRequest(reader)
 		_, err := reader.ReadByte()
-		ended <- err
+		readError <- err
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := NewPool(time.Second).Send(ctx, address, newGetRequest())
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(ended, 2*time.Second).Should(Receive(HaveOccurred()), "the server must see the connection close at once")
+	g.Eventually(readError, 2*time.Second).Should(Receive(HaveOccurred()), "the server must see the connection close at once")
 }
 
 func TestCloseIdleAffectsOneAddress(t *testing.T) {
@@ -310,6 +310,7 @@
 	go pool.Send(ctx, address, newGetRequest())
 }
 
+// idleCount returns the number of idle connections to the address.
 func (p *Pool) idleCount(address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,6 +14,7 @@
 
 var desiredModels = []Model{{Name: "m", WeightVersion: "v2", Source: "s2"}}
 
+// drawRunners draws runners in random states.
 func drawRunners(t *rapid.T) []Runner {
 	runners := make([]Runner, rapid.IntRange(1, 12).Draw(t, "runners"))
 	for i := range runners {
--- a/internal/routing/check_test.go
+++ b/internal/routing/check_test.go
@@ -15,12 +15,12 @@
 
 	unknownService := valid
 	unknownService.Name, unknownService.PathPrefix, unknownService.Backends = "b", "/b", []Backend{{Service: "gone", Weight: 1}}
-	weightless := valid
-	weightless.Name, weightless.PathPrefix, weightless.Backends = "c", "c", []Backend{{Service: "s"}}
-	lateTarget := valid
-	lateTarget.Name, lateTarget.Host, lateTarget.LatencyTarget, lateTarget.MaxAttempts = "d", "H", 2*time.Second, 0
+	zeroWeight := valid
+	zeroWeight.Name, zeroWeight.PathPrefix, zeroWeight.Backends = "c", "c", []Backend{{Service: "s"}}
+	targetBeyondTimeout := valid
+	targetBeyondTimeout.Name, targetBeyondTimeout.Host, targetBeyondTimeout.LatencyTarget, targetBeyondTimeout.MaxAttempts = "d", "H", 2*time.Second, 0
 	faults := Check(&Config{
-		Routes: []Route{valid, unknownService, weightless, lateTarget}, Services: append(services, Service{Name: "s"}),
+		Routes: []Route{valid, unknownService, zeroWeight, targetBeyondTimeout}, Services: append(services, Service{Name: "s"}),
 		Tenants: []Tenant{{Name: "t", Keys: []string{"secret"}}, {Name: "u", Keys: []string{"secret"}}, {}},
 	})
 	g.Expect(faults).To(ConsistOf(
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -12,7 +12,7 @@
 func NewSplitter() *Splitter { return &Splitter{currentWeights: map[string]map[string]int{}} }
 
 // Pick returns the service of the route's next request, or "" if no backend of the
-// route has a positive weight. The weight of an only backend is ignored.
+// route has a positive weight. The weight of a single backend is ignored.
 func (s *Splitter) Pick(route *Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
@@ -39,7 +39,7 @@
 	return picked
 }
 
-// Retain drops the state of routes that the configuration has no more, or whose
+// Retain drops the state of routes that are no longer in the configuration or whose
 // number of backends has changed.
 func (s *Splitter) Retain(config *Config) {
 	retained := map[string]map[string]int{}
