--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -218,7 +218,7 @@
 	}
 	c.gateway.mutex.Lock()
 	c.service = c.gateway.splitter.Pick(c.route)
-	c.maxQueue = admission.DrawMaxQueue(c.route.Target, c.rank(), c.gateway.random)
+	c.maxQueue = admission.DrawMaxQueue(c.route.LatencyTarget, c.rank(), c.gateway.random)
 	c.gateway.mutex.Unlock()
 	c.setDeadline()
 	c.request = attempt.NewRequest(c.route.Repeatable(), attempt.Limits{MaxAttempts: max(c.route.MaxAttempts, 1), MaxRefusals: maxRefusals, MaxUnsent: maxUnsent})
@@ -268,7 +268,7 @@
 		c.body, err = io.ReadAll(io.LimitReader(c.caller.Body, limit+1))
 	}
 	if err != nil {
-		c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.facts.ID, "while": "sending"})
+		c.gateway.log.Log(events.CallerDisconnected, events.Fields{"request": c.facts.ID, "while": "sending"})
 		return nil, true
 	}
 	if int64(len(c.body)) > limit {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -156,7 +156,7 @@
 	if c.tenant != nil {
 		dispatch.Tenant = c.tenant.Name
 	}
-	if c.route.Cached {
+	if c.route.PromptCached {
 		c.addCache(&dispatch)
 	}
 	dispatch.BackupTo = c.backup.Address
@@ -170,8 +170,8 @@
 	return &httpconn.Request{
 		Method: c.caller.Method, Target: target(c.caller), Host: c.caller.Host,
 		Header: protocol.Forward(c.caller.Header, dispatch), Body: c.body,
-		Accept:  func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
-		Confirm: c.mayBegin,
+		MatchesResponse: func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
+		Confirm:         c.mayBegin,
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // learnVersion notes the version of the weights that the runner named.
 func (c *call) learnVersion(version uint64) (news bool) {
-	if version == 0 || !c.route.Cached {
+	if version == 0 || !c.route.PromptCached {
 		return false
 	}
 	c.gateway.mutex.Lock()
@@ -216,7 +216,7 @@
 		return
 	}
 	c.gateway.metrics.runnerFailures.WithLabelValues(c.service, outcome.String()).Inc()
-	c.note(events.RequestAnswerBad, events.Fields{
+	c.note(events.RequestAttemptFailed, events.Fields{
 		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.request.Attempt(),
 		"outcome": outcome.String(), "cause": cause, "status": status, "after_ms": c.gateway.since(c.sent).Milliseconds(), "content": c.content.String(),
 	})
