--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -284,19 +284,19 @@
 		s := newSimulation(t)
 		// Actions with several entries are chosen more often.
 		t.Repeat(map[string]func(*rapid.T){
-			"advance":                          s.advance,
-			"observe assignment":               s.observeAssignment,
-			"observe assignment, second entry": s.observeAssignment,
-			"restart":                          s.restart,
-			"start attempt":                    s.startAttempt,
-			"deliver claim":                    s.deliverClaim,
-			"deliver claim, second entry":      s.deliverClaim,
-			"deliver claim, third entry":       s.deliverClaim,
-			"time out holder":                  s.timeOutHolder,
-			"start change":                     s.startChange,
-			"seal holder":                      s.sealHolder,
-			"seal holder, second entry":        s.sealHolder,
-			"finish change":                    s.finishChange,
+			"advance":              s.advance,
+			"observe assignment":   s.observeAssignment,
+			"observe assignment 2": s.observeAssignment,
+			"restart":              s.restart,
+			"begin attempt":        s.startAttempt,
+			"deliver claim":        s.deliverClaim,
+			"deliver claim 2":      s.deliverClaim,
+			"deliver claim 3":      s.deliverClaim,
+			"holder timeout":       s.timeOutHolder,
+			"start change":         s.startChange,
+			"seal holder":          s.sealHolder,
+			"seal holder 2":        s.sealHolder,
+			"finish change":        s.finishChange,
 		})
 	})
 }
