--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -63,7 +63,7 @@
 mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
 mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
 mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/end.Began.After\(ends\[0\].At\)/true/' ./internal/quarantine
-mutant "9 suspensions do not count" internal/clock/clock.go 's/return steady.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return steady/' ./internal/clock
+mutant "9 suspensions do not count" internal/clock/clock.go 's/return monotonic.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return monotonic/' ./internal/clock
 mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.said.Limits\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'OwnWord|PermitAllows'
 mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.parts, p.fewer, p.from = parts, 0, now.Add\(handoverTime\)/p.parts, p.fewer = parts, 0/' ./internal/backpressure
 mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(handoverTime\)\n\t\}/now\n\t}/' ./internal/backpressure
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock tells moments by a clock that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that includes the time during which the machine is
+// suspended.
 //
-// The steady clock of the kernel (CLOCK_MONOTONIC), by which time.Now compares moments, stands
-// still then, so that what is held for a time looks too young afterwards: proofs, leases,
-// deadlines of others. The time of day counts that time, but may step; CLOCK_BOOTTIME counts
-// it and does not.
+// CLOCK_MONOTONIC, by which time.Now compares times, stops during a suspension. Proofs, leases
+// and deadlines set by other machines would then look younger than they are. The wall clock
+// includes suspensions but may step. CLOCK_BOOTTIME includes them and never steps.
 package clock
 
 import (
@@ -13,93 +13,95 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticed is the least difference between time of day and steady clock, since they were last
-// compared, at which the kernel's clocks are read: above what slewing of the time of day (500
-// parts in a million) makes in a minute.
-const noticed = 30 * time.Millisecond
+// driftThreshold is the change of the drift between wall clock and monotonic clock, since they
+// were last compared, above which the clock reads CLOCK_BOOTTIME. It is more than slewing of the
+// wall clock (at most 500 ppm) adds in a minute.
+const driftThreshold = 30 * time.Millisecond
 
-// Clock tells moments. It is safe for concurrent use.
+// Clock is a monotonic clock that includes suspensions. It is safe for concurrent use.
 type Clock struct {
-	// sources are the kernel's clocks.
 	sources Sources
-	// began is when the clock was made, and ahead how far CLOCK_BOOTTIME was ahead of the
-	// steady clock then.
-	began, beganDay time.Time
-	ahead           time.Duration
-	// drift is by how much time of day and steady clock had differed when last compared, and
-	// suspended the time of all suspensions, both in nanoseconds.
-	drift     atomic.Int64
+	// startMonotonic and startWall are the readings at creation. startBootOffset is how far
+	// CLOCK_BOOTTIME was ahead of CLOCK_MONOTONIC then.
+	startMonotonic, startWall time.Time
+	startBootOffset           time.Duration
+	// lastDrift is the drift between wall clock and monotonic clock at the last comparison, and
+	// suspended the total time of all suspensions since creation. Both are in nanoseconds.
+	lastDrift atomic.Int64
 	suspended atomic.Int64
 }
 
-// Sources are the kernel's clocks.
+// Sources reads the clocks of the kernel.
 type Sources struct {
-	// Now reads the steady clock, as a moment to compare others with, and the time of day.
-	Now func() (steady, day time.Time)
-	// Ahead is how far CLOCK_BOOTTIME is ahead of the steady clock: the time of all
-	// suspensions since the machine started; false if that is not known.
-	Ahead func() (time.Duration, bool)
+	// Now returns the time with a monotonic reading, and the wall clock time.
+	Now func() (monotonic, wall time.Time)
+	// BootOffset returns how far CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC, which is the total
+	// time of all suspensions since boot. It returns false if the clocks cannot be read.
+	BootOffset func() (time.Duration, bool)
 }
 
-// New returns a clock of the kernel's.
-func New() *Clock { return NewFrom(Sources{Now: now, Ahead: ahead}) }
+// New returns a clock that reads the clocks of the kernel.
+func New() *Clock { return NewFrom(Sources{Now: readClocks, BootOffset: readBootOffset}) }
 
-// NewFrom returns a clock of other sources.
+// NewFrom returns a clock that reads the given sources.
 func NewFrom(sources Sources) *Clock {
 	c := &Clock{sources: sources}
-	c.began, c.beganDay = sources.Now()
-	c.ahead, _ = sources.Ahead()
+	c.startMonotonic, c.startWall = sources.Now()
+	c.startBootOffset, _ = sources.BootOffset()
 	return c
 }
 
-// Now returns the present moment. Moments of one clock are apart by the time that passed
-// between them, suspensions included; those of time.Now are not to be mixed with them.
+// Now returns the current time. The difference between two times of one clock is the time that
+// passed between them, including suspensions. They must not be compared with times of time.Now.
 func (c *Clock) Now() time.Time {
-	steady, day := c.sources.Now()
-	drift := c.driftAt(steady, day)
-	if difference := drift - time.Duration(c.drift.Load()); difference > noticed || difference < -noticed {
-		c.read(drift)
+	monotonic, wall := c.sources.Now()
+	drift := c.wallDrift(monotonic, wall)
+	if driftChange := drift - time.Duration(c.lastDrift.Load()); driftChange > driftThreshold || driftChange < -driftThreshold {
+		c.refresh(drift)
 	}
-	return steady.Add(time.Duration(c.suspended.Load()))
+	return monotonic.Add(time.Duration(c.suspended.Load()))
 }
 
-// driftAt is by how much the time of day went on more than the steady clock.
-func (c *Clock) driftAt(steady, day time.Time) time.Duration {
-	return day.Sub(c.beganDay) - steady.Sub(c.began)
+// wallDrift returns how much further the wall clock has advanced since creation than the
+// monotonic clock.
+func (c *Clock) wallDrift(monotonic, wall time.Time) time.Duration {
+	return wall.Sub(c.startWall) - monotonic.Sub(c.startMonotonic)
 }
 
-// Suspended reads the kernel's clocks and returns the time of all suspensions since the
-// clock was made. A suspension that a step of the time of day hides from Now is found so.
+// Suspended reads the kernel clocks and returns the total time of all suspensions since the clock
+// was created. It also finds a suspension that Now misses because the wall clock stepped back by
+// the same amount.
 func (c *Clock) Suspended() time.Duration {
-	c.read(c.driftAt(c.sources.Now()))
+	c.refresh(c.wallDrift(c.sources.Now()))
 	return time.Duration(c.suspended.Load())
 }
 
-func (c *Clock) read(drift time.Duration) {
-	c.drift.Store(int64(drift))
-	ahead, known := c.sources.Ahead()
+// refresh stores the drift and updates the total time of suspensions, which never decreases.
+func (c *Clock) refresh(drift time.Duration) {
+	c.lastDrift.Store(int64(drift))
+	bootOffset, known := c.sources.BootOffset()
 	if !known {
 		return
 	}
-	for suspended := int64(ahead - c.ahead); ; {
-		before := c.suspended.Load()
-		if suspended <= before || c.suspended.CompareAndSwap(before, suspended) {
+	for suspended := int64(bootOffset - c.startBootOffset); ; {
+		previous := c.suspended.Load()
+		if suspended <= previous || c.suspended.CompareAndSwap(previous, suspended) {
 			return
 		}
 	}
 }
 
-// now reads both at once: time.Now has both readings, and compares by the steady one.
-func now() (steady, day time.Time) {
-	read := time.Now()
-	return read, read.Round(0)
+// readClocks returns one reading of time.Now with and without its monotonic part.
+func readClocks() (monotonic, wall time.Time) {
+	reading := time.Now()
+	return reading, reading.Round(0)
 }
 
-// ahead compares the kernel's clocks.
-func ahead() (time.Duration, bool) {
-	var steady, boot unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+// readBootOffset returns how far CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC.
+func readBootOffset() (time.Duration, bool) {
+	var monotonic, boot unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0, false
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), true
+	return time.Duration(boot.Nano() - monotonic.Nano()), true
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,26 +9,26 @@
 	"github.com/clovertiller/clovertiller/internal/clock"
 )
 
-// machine is a machine whose clocks a test moves.
-type machine struct {
-	steady    time.Duration
-	stepped   time.Duration
-	suspended time.Duration
-	reads     int
+// fakeMachine provides clock readings that the test sets.
+type fakeMachine struct {
+	monotonic   time.Duration
+	wallStep    time.Duration
+	suspended   time.Duration
+	offsetReads int
 }
 
 var base = time.Now()
 
-func (m *machine) sources() clock.Sources {
+func (m *fakeMachine) sources() clock.Sources {
 	return clock.Sources{
-		Now: func() (steady, day time.Time) {
-			return base.Add(m.steady), base.Round(0).Add(m.steady + m.suspended + m.stepped)
+		Now: func() (monotonic, wall time.Time) {
+			return base.Add(m.monotonic), base.Round(0).Add(m.monotonic + m.suspended + m.wallStep)
 		},
-		Ahead: func() (time.Duration, bool) { m.reads++; return time.Hour + m.suspended, true },
+		BootOffset: func() (time.Duration, bool) { m.offsetReads++; return time.Hour + m.suspended, true },
 	}
 }
 
-func TestKernelsClocksAgreeWhileNothingIsSuspended(t *testing.T) {
+func TestNowMatchesTimeNowWithoutSuspension(t *testing.T) {
 	g := NewWithT(t)
 	c := clock.New()
 	before := c.Now()
@@ -38,41 +38,41 @@
 	g.Expect(c.Suspended()).To(BeNumerically("<", time.Millisecond))
 }
 
-// The first moment that is told after a suspension counts it.
-func TestSuspensionsCount(t *testing.T) {
-	g, m := NewWithT(t), &machine{}
+// The first call of Now after a suspension includes it.
+func TestNowIncludesSuspensions(t *testing.T) {
+	g, m := NewWithT(t), &fakeMachine{}
 	c := clock.NewFrom(m.sources())
 	before := c.Now()
-	m.steady, m.suspended = time.Second, 4*time.Second
+	m.monotonic, m.suspended = time.Second, 4*time.Second
 	g.Expect(c.Now().Sub(before)).To(Equal(5 * time.Second))
 	m.suspended = 6 * time.Second
 	g.Expect(c.Now().Sub(before)).To(Equal(7 * time.Second))
 	g.Expect(c.Suspended()).To(Equal(6 * time.Second))
 }
 
-func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
-	g, m := NewWithT(t), &machine{}
+func TestNowIgnoresWallClockSteps(t *testing.T) {
+	g, m := NewWithT(t), &fakeMachine{}
 	c := clock.NewFrom(m.sources())
 	before := c.Now()
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, -time.Hour} {
-		m.steady, m.stepped = m.steady+time.Second, step
-		g.Expect(c.Now().Sub(before)).To(Equal(m.steady))
+		m.monotonic, m.wallStep = m.monotonic+time.Second, step
+		g.Expect(c.Now().Sub(before)).To(Equal(m.monotonic))
 	}
 }
 
-// The time of day stepped back by as much as the machine was suspended.
-func TestSuspensionThatAStepHidesIsFound(t *testing.T) {
-	g, m := NewWithT(t), &machine{}
+// The wall clock steps back by exactly the length of the suspension, so Now sees no drift.
+func TestSuspendedFindsSuspensionHiddenByWallClockStep(t *testing.T) {
+	g, m := NewWithT(t), &fakeMachine{}
 	c := clock.NewFrom(m.sources())
 	before := c.Now()
-	m.suspended, m.stepped = 4*time.Second, -4*time.Second
-	g.Expect(c.Now()).To(Equal(before), "nothing shows it")
+	m.suspended, m.wallStep = 4*time.Second, -4*time.Second
+	g.Expect(c.Now()).To(Equal(before), "the drift is unchanged")
 	g.Expect(c.Suspended()).To(Equal(4 * time.Second))
 	g.Expect(c.Now().Sub(before)).To(Equal(4 * time.Second))
 }
 
-func TestClockNeverGoesBack(t *testing.T) {
-	g, m := NewWithT(t), &machine{suspended: 3 * time.Second}
+func TestSuspendedTimeNeverDecreases(t *testing.T) {
+	g, m := NewWithT(t), &fakeMachine{suspended: 3 * time.Second}
 	c := clock.NewFrom(m.sources())
 	before := c.Now()
 	m.suspended = time.Second
@@ -80,14 +80,14 @@
 	g.Expect(c.Suspended()).To(BeZero())
 }
 
-func TestKernelsClocksAreRarelyRead(t *testing.T) {
-	g, m := NewWithT(t), &machine{}
+func TestNowReadsBootOffsetOnlyWhenDriftChanges(t *testing.T) {
+	g, m := NewWithT(t), &fakeMachine{}
 	c := clock.NewFrom(m.sources())
 	for range 1000 {
-		m.steady += time.Second
+		m.monotonic += time.Second
 		c.Now()
 	}
-	g.Expect(m.reads).To(Equal(1), "when it was made")
+	g.Expect(m.offsetReads).To(Equal(1), "only when the clock was created")
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/lab/soak/suspensions.go
+++ b/internal/lab/soak/suspensions.go
@@ -43,7 +43,7 @@
 			now := time.Now()
 			return now.Add(-suspended()), now.Round(0)
 		},
-		Ahead: func() (time.Duration, bool) { return suspended(), true },
+		BootOffset: func() (time.Duration, bool) { return suspended(), true },
 	})
 }
 
