--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous assigns keys to nodes by highest random weight, so that a
-// node that joins or leaves moves only its own share of the keys.
+// Package rendezvous implements rendezvous hashing (highest random weight). A node that joins or
+// leaves moves only its own share of the keys.
 package rendezvous
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns the pseudo-random weight of a node for a key.
+// Weight returns the pseudorandom weight of a node for a key.
 func Weight(node string, key uint64) uint64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], key)
@@ -20,7 +20,7 @@
 // KeyOf hashes a name to a key.
 func KeyOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Owner returns the node with the highest weight for the key, or "" when there is none.
+// Owner returns the node with the highest weight for the key, or "" if there are no nodes.
 func Owner(nodes []string, key uint64) string {
 	best, bestWeight := "", uint64(0)
 	for _, node := range nodes {
@@ -31,7 +31,7 @@
 	return best
 }
 
-// Ranked returns the count nodes with the highest weights, highest first.
+// Ranked returns up to count nodes with the highest weights for the key, highest first.
 func Ranked(nodes []string, key uint64, count int) []string {
 	ranked := append([]string(nil), nodes...)
 	sort.Slice(ranked, func(i, j int) bool {
