--- a/internal/storerev/storerev_test.go
+++ b/internal/storerev/storerev_test.go
@@ -11,16 +11,17 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-func draw(t *rapid.T, name string) (era, number uint64) {
+// drawRevision draws a valid era and number.
+func drawRevision(t *rapid.T, name string) (era, number uint64) {
 	return rapid.Uint64Range(storerev.FirstEra, storerev.MaxEra).Draw(t, name+" era"), rapid.Uint64Range(0, storerev.MaxNumber).Draw(t, name+" number")
 }
 
-// Guards against news of two eras that are ordered by their numbers.
-func TestRevisionsAreOrderedByEraAndThenByNumber(t *testing.T) {
+// Guards against comparing revisions of two eras by their numbers alone.
+func TestRevisionsOrderByEraThenNumber(t *testing.T) {
 	testkit.Properties(20000)
 	rapid.Check(t, func(t *rapid.T) {
-		era, number := draw(t, "one")
-		otherEra, otherNumber := draw(t, "other")
+		era, number := drawRevision(t, "one")
+		otherEra, otherNumber := drawRevision(t, "other")
 		one, err := storerev.New(era, number)
 		if err != nil {
 			t.Fatal(err)
@@ -30,28 +31,28 @@
 			t.Fatal(err)
 		}
 		if got, want := cmp.Compare(one, other), cmp.Or(cmp.Compare(era, otherEra), cmp.Compare(number, otherNumber)); got != want {
-			t.Fatalf("%d/%d against %d/%d: %d, want %d", era, number, otherEra, otherNumber, got, want)
+			t.Fatalf("%d/%d compared with %d/%d: got %d, want %d", era, number, otherEra, otherNumber, got, want)
 		}
 		if one.Era() != era || one.Number() != number {
-			t.Fatalf("%d/%d became %d/%d", era, number, one.Era(), one.Number())
+			t.Fatalf("revision of %d/%d returns %d/%d", era, number, one.Era(), one.Number())
 		}
 		if float := float64(one); storerev.Revision(float) != one {
-			t.Fatalf("%d/%d is not exact as a floating-point number", era, number)
+			t.Fatalf("%d/%d is not exact as a float64", era, number)
 		}
 	})
 }
 
-func TestStoresWithoutErasKeepTheirPlainNumbers(t *testing.T) {
+func TestFirstEraRevisionsEqualStoreNumbers(t *testing.T) {
 	g := NewWithT(t)
 	for _, era := range []uint64{0, storerev.FirstEra} {
 		revision, err := storerev.New(era, 230)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(uint64(revision)).To(Equal(uint64(230)), "as routers that know of no eras write it")
+		g.Expect(uint64(revision)).To(Equal(uint64(230)), "as routers without support for eras write it")
 		g.Expect(revision.Era()).To(Equal(uint64(storerev.FirstEra)))
 	}
 }
 
-func TestRevisionsOutOfRangeAreRefused(t *testing.T) {
+func TestNewRejectsOutOfRangeValues(t *testing.T) {
 	g := NewWithT(t)
 	_, err := storerev.New(storerev.MaxEra+1, 1)
 	g.Expect(err).To(HaveOccurred())
@@ -60,22 +61,26 @@
 	g.Expect(storerev.StartOf(storerev.MaxEra + 1).Era()).To(Equal(uint64(storerev.MaxEra)))
 }
 
-// storeModel is a store that is written, copied and brought back, with a clock of its own.
+// storeModel models a store that is written, backed up and restored.
 type storeModel struct {
 	era, number uint64
-	now         int
-	// objects are the latest objects by name, each with when it was written first.
-	objects map[string]stored
-	copies  []storeModel
+	// now is a logical clock that advances with each step.
+	now int
+	// objects holds the latest version of each object by name.
+	objects map[string]storedObject
+	backups []storeModel
 }
 
-type stored struct {
-	number  uint64
-	written int
+// storedObject holds the number and the logical time of the last write of an object.
+type storedObject struct {
+	number    uint64
+	writtenAt int
 }
 
-func (s *storeModel) at(t *rapid.T) storerev.Revision { return s.revision(t, s.number) }
+// current returns the revision of the latest change.
+func (s *storeModel) current(t *rapid.T) storerev.Revision { return s.revision(t, s.number) }
 
+// revision returns the revision of a number in the current era.
 func (s *storeModel) revision(t *rapid.T, number uint64) storerev.Revision {
 	revision, err := storerev.New(s.era, number)
 	if err != nil {
@@ -84,55 +89,58 @@
 	return revision
 }
 
-func (s *storeModel) cloned() storeModel {
-	cloned := storeModel{number: s.number, objects: map[string]stored{}}
+// clone returns a copy without era, clock and backups.
+func (s *storeModel) clone() storeModel {
+	result := storeModel{number: s.number, objects: map[string]storedObject{}}
 	for name, object := range s.objects {
-		cloned.objects[name] = object
+		result.objects[name] = object
 	}
-	return cloned
+	return result
 }
 
-// Guards against answers of a later moment that compare as older, and against objects of a copy
-// that are taken for ones written since, however often and from whatever copy the store returns.
-func TestRevisionsFollowTheHistoryOfAStoreThatReturnsFromCopies(t *testing.T) {
+// Guards against a later read of the store that compares as older than an earlier one, and against
+// objects from a backup that pass for objects written since. The store may be restored any number
+// of times and from any backup.
+func TestRevisionsFollowStoreHistoryAcrossRestores(t *testing.T) {
 	testkit.Properties(5000)
 	rapid.Check(t, func(t *rapid.T) {
-		s := &storeModel{era: storerev.FirstEra, objects: map[string]stored{}}
-		type seen struct {
-			at   storerev.Revision
-			when int
+		s := &storeModel{era: storerev.FirstEra, objects: map[string]storedObject{}}
+		type read struct {
+			position storerev.Revision
+			// time is the logical time of the read.
+			time int
 		}
-		answers := []seen{{}}
+		reads := []read{{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
 				s.now++
 				s.number++
-				s.objects[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")] = stored{number: s.number, written: s.now}
+				s.objects[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")] = storedObject{number: s.number, writtenAt: s.now}
 			},
-			"copy": func(*rapid.T) { s.copies = append(s.copies, s.cloned()) },
-			"return": func(t *rapid.T) {
-				if len(s.copies) == 0 {
+			"backup": func(*rapid.T) { s.backups = append(s.backups, s.clone()) },
+			"restore": func(t *rapid.T) {
+				if len(s.backups) == 0 {
 					return
 				}
-				chosen := rapid.IntRange(0, len(s.copies)-1).Draw(t, "copy")
-				from := s.copies[chosen].cloned()
+				chosen := rapid.IntRange(0, len(s.backups)-1).Draw(t, "backup")
+				from := s.backups[chosen].clone()
 				s.now++
 				s.era++
 				s.number, s.objects = from.number, from.objects
 			},
-			"answer": func(t *rapid.T) {
+			"read": func(t *rapid.T) {
 				s.now++
-				answer := seen{at: s.at(t), when: s.now}
-				if last := answers[len(answers)-1]; answer.at < last.at {
-					t.Fatalf("the answer %d/%d compares as older than %d/%d before it", answer.at.Era(), answer.at.Number(), last.at.Era(), last.at.Number())
+				latest := read{position: s.current(t), time: s.now}
+				if previous := reads[len(reads)-1]; latest.position < previous.position {
+					t.Fatalf("read at %d/%d compares as older than the previous read at %d/%d", latest.position.Era(), latest.position.Number(), previous.position.Era(), previous.position.Number())
 				}
-				answers = append(answers, answer)
+				reads = append(reads, latest)
 			},
 			"": func(t *rapid.T) {
 				for name, object := range s.objects {
-					for _, answer := range answers[1:] {
-						if s.revision(t, object.number).WrittenAfter(answer.at) && object.written < answer.when {
-							t.Fatalf("%s at %d/%d was written before the answer %d/%d", name, s.era, object.number, answer.at.Era(), answer.at.Number())
+					for _, earlier := range reads[1:] {
+						if s.revision(t, object.number).WrittenAfter(earlier.position) && object.writtenAt < earlier.time {
+							t.Fatalf("%s at %d/%d was written before the read at %d/%d", name, s.era, object.number, earlier.position.Era(), earlier.position.Number())
 						}
 					}
 				}
