--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -100,7 +100,7 @@
 		return nil
 	}
 	s.mutex.Lock()
-	s.ranking.NoteAnswer(scheduler, answer.GetZone(), taken)
+	s.ranking.RecordReply(scheduler, answer.GetZone(), taken)
 	s.mutex.Unlock()
 	queueing, limit := time.Duration(answer.GetQueueMillis())*time.Millisecond, limitOf(answer)
 	if answer.GetOverloaded() {
@@ -134,7 +134,7 @@
 func (s *schedulers) noteSilence(scheduler string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ranking.NoteSilence(s.gateway.now(), scheduler)
+	s.ranking.RecordTimeout(s.gateway.now(), scheduler)
 }
 
 // await returns the choice, or nil if it does not come in time.
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -52,7 +52,7 @@
 	following  int
 	countAgain time.Time
 	// counter sums up the routers behind all seeds.
-	counter *peers.Counter
+	counter *peers.RouterCounter
 	// pullAfter is the time between two pulls that the router asked last asks for.
 	pullAfter time.Duration
 	// behind is told when a push showed that changes are missing.
@@ -69,7 +69,7 @@
 func newRelays(g *Gateway) *relays {
 	return &relays{
 		gateway: g, chooser: relay.NewChooser(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
-		assigner: relay.NewAssigner(), followers: map[string]follows{}, counter: peers.NewCounter(), behind: make(chan struct{}, 1), packed: map[ObjectKind]packedCopy{},
+		assigner: relay.NewAssigner(), followers: map[string]follows{}, counter: peers.NewRouterCounter(), behind: make(chan struct{}, 1), packed: map[ObjectKind]packedCopy{},
 		patientUntil: g.started.Add(patienceOf(g)),
 	}
 }
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -181,7 +181,7 @@
 func (r *relays) toldBehind(seed string, routers int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter.Told(r.gateway.now(), seed, routers)
+	r.counter.Report(r.gateway.now(), seed, routers)
 }
 
 // referral returns whom the asking router is to pull from: at a seed one of the
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -42,8 +42,8 @@
 	s.mutex.Lock()
 	s.ranking.Set(seeds)
 	parts := 0
-	if s.ranking.HasSelf() {
-		parts = s.ranking.Count()
+	if s.ranking.IncludesSelf() {
+		parts = s.ranking.Len()
 	}
 	s.mutex.Unlock()
 	s.gateway.setPermits(len(seeds) == 0 || s.gateway.settings.PeerAddress == "", parts)
@@ -57,7 +57,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	order := s.ranking.Order(now)
-	if len(order) == 0 || order[0] == s.gateway.settings.PeerAddress || s.ranking.Silent(now, order[0]) {
+	if len(order) == 0 || order[0] == s.gateway.settings.PeerAddress || s.ranking.IsSilent(now, order[0]) {
 		return ""
 	}
 	return order[0]
@@ -107,7 +107,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.ranking.HasSelf()
+	return s.ranking.IncludesSelf()
 }
 
 func queryOf(ask *wire.RunnerAsk) backend.Query {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -112,7 +112,7 @@
 	c.mutex.Lock()
 	order, retryAfter := c.asker.Order(now, s.Tenant)
 	parts := c.asker.Parts()
-	hedge, reachable := c.asker.Keepers().Hedge(), c.asker.Keepers().Reachable(now)
+	hedge, reachable := c.asker.Keepers().HedgeDelay(), c.asker.Keepers().Reachable(now)
 	c.mutex.Unlock()
 	earlier := Decision{By: ByEarlierRefusal, Answer: quota.Answer{RetryAfter: retryAfter}}
 	if len(order) == 0 {
@@ -164,7 +164,7 @@
 	limit := quota.Limit{Rate: ask.GetRate(), Burst: ask.GetBurst(), Revision: ask.GetRevision(), Window: time.Duration(ask.GetWindowMillis()) * time.Millisecond}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.asker.Keepers().HasSelf() {
+	if !c.asker.Keepers().IncludesSelf() {
 		return &wire.QuotaAnswer{NotKeeper: true}
 	}
 	answer := c.keeper.Ask(time.Now(), ask.GetTenant(), ask.GetAmount(), limit, c.asker.Parts())
--- a/internal/limits/questions.go
+++ b/internal/limits/questions.go
@@ -112,7 +112,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.asker.Heard(time.Now())
-	c.asker.Keepers().NoteAnswer(keeper, body.GetZone(), taken)
+	c.asker.Keepers().RecordReply(keeper, body.GetZone(), taken)
 	return c.note(keeper, s, quota.Answer{
 		Granted: body.GetGranted(), Level: body.GetLevel(), Spent: body.GetSpent(),
 		EmptyFor:   time.Duration(body.GetEmptyMicros()) * time.Microsecond,
@@ -135,6 +135,6 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for keeper := range keepers {
-		c.asker.Keepers().NoteSilence(time.Now(), keeper)
+		c.asker.Keepers().RecordTimeout(time.Now(), keeper)
 	}
 }
--- a/internal/peers/ranking.go
+++ b/internal/peers/ranking.go
@@ -1,6 +1,7 @@
-// Package peers ranks the routers that another one may ask: itself first, then those
-// of its zone, and last those that have just been silent. How long to wait for an
-// answer follows from the round trips that were observed.
+// Package peers ranks the routers that a router may send requests to: itself first, then routers
+// of its own zone, and last those that did not reply recently. The delay before a request is
+// hedged to another router follows from the observed round trip times. The package also estimates
+// the number of routers of a system.
 //
 // The package has no I/O and no clock.
 package peers
@@ -13,51 +14,58 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// Times of asking.
+// Timing of requests.
 const (
-	// silentTime is how long a router that did not answer in time is asked last: a
-	// tenth of what freezes and cuts of machines take on the deployments seen.
-	silentTime = 300 * time.Millisecond
-	// quickestHedge is the least time after which the next router is asked beside a
-	// silent one: an answer takes 0.2 to 2 ms, and on a link of 10 Mbit/s 7 ms more
-	// behind one request of 9 KB.
-	quickestHedge = 10 * time.Millisecond
-	// slowestHedge bounds it where all are far away: regions are 20 ms apart.
-	slowestHedge = 50 * time.Millisecond
-	// firstHedge is the same before any router has answered: connections are opened, and
-	// after the loss of all routers those that are asked give out the whole directory.
-	firstHedge = 75 * time.Millisecond
-	// startingTime is how long a router that has never answered is asked last: it may
-	// be starting too.
-	startingTime = 50 * time.Millisecond
-	// hedgeTrips is the time of a hedge in round trips of the nearest router.
-	hedgeTrips = 3
-	// roundTripWeight is the weight of a new round trip in the smoothed one.
+	// silencePenalty is how long a router that did not reply in time is ranked last. It is a
+	// tenth of the usual duration of machine freezes and network partitions in known
+	// deployments.
+	silencePenalty = 300 * time.Millisecond
+	// minHedgeDelay is the minimum time before a request is also sent to the next router. A
+	// reply takes 0.2 to 2 ms, and 7 ms more on a link of 10 Mbit/s when it queues behind one
+	// request of 9 KB.
+	minHedgeDelay = 10 * time.Millisecond
+	// maxHedgeDelay is the maximum hedge delay, which applies if all routers are far away.
+	// Regions are 20 ms apart.
+	maxHedgeDelay = 50 * time.Millisecond
+	// initialHedgeDelay is the hedge delay before any router has replied. Connections must then
+	// be opened first, and after a loss of all routers the ones that are asked also send out the
+	// whole directory.
+	initialHedgeDelay = 75 * time.Millisecond
+	// startupPenalty is how long a router that has never replied is ranked last after a
+	// timeout. It is short because that router may still be starting.
+	startupPenalty = 50 * time.Millisecond
+	// hedgeRoundTrips is the hedge delay in multiples of the shortest known round trip time.
+	hedgeRoundTrips = 3
+	// roundTripWeight is the weight of a new sample in the smoothed round trip time.
 	roundTripWeight = 0.2
 )
 
-// peer is what is known of one router.
-type peer struct {
-	zone      string
+// peerStats holds what was observed of one router.
+type peerStats struct {
+	zone string
+	// roundTrip is the smoothed round trip time, or 0 if the router has never replied.
 	roundTrip time.Duration
-	// silentUntil is until when it is asked last.
-	silentUntil time.Time
+	// penalizedUntil is when the router stops being ranked last after a timeout.
+	penalizedUntil time.Time
 }
 
-// Ranking orders the routers that may be asked. It is not safe for concurrent use.
+// Ranking orders the routers that one router may send requests to. It is not safe for concurrent
+// use.
 type Ranking struct {
 	self, zone string
-	addresses  []string
-	peers      map[string]*peer
+	// addresses are the routers in this router's own order of preference.
+	addresses []string
+	// peers holds the stats of the routers that were used so far, by address.
+	peers map[string]*peerStats
 }
 
-// NewRanking returns a ranking of the router with the peer address self in the zone.
+// NewRanking returns an empty ranking for the router with the peer address self in the zone.
 func NewRanking(self, zone string) *Ranking {
-	return &Ranking{self: self, zone: zone, peers: map[string]*peer{}}
+	return &Ranking{self: self, zone: zone, peers: map[string]*peerStats{}}
 }
 
-// Set replaces the routers that may be asked. Each router prefers them in an order
-// of its own, so that they share the load.
+// Set replaces the addresses of the routers. Each router orders them differently, which spreads
+// the load.
 func (r *Ranking) Set(addresses []string) {
 	r.addresses = rendezvous.Ranked(addresses, rendezvous.KeyOf(r.self), len(addresses))
 	for address := range r.peers {
@@ -67,107 +75,112 @@
 	}
 }
 
-// Count returns how many routers may be asked.
-func (r *Ranking) Count() int { return len(r.addresses) }
+// Len returns the number of routers.
+func (r *Ranking) Len() int { return len(r.addresses) }
 
-// HasSelf tells whether this router is one of them.
-func (r *Ranking) HasSelf() bool { return slices.Contains(r.addresses, r.self) }
+// IncludesSelf reports whether this router is in the list itself.
+func (r *Ranking) IncludesSelf() bool { return slices.Contains(r.addresses, r.self) }
 
-// Order returns the routers that may be asked, the best first.
+// Order returns the routers in the order in which to send requests to them, the best first.
 func (r *Ranking) Order(now time.Time) []string {
 	order := slices.Clone(r.addresses)
-	slices.SortStableFunc(order, func(x, y string) int { return cmp.Compare(r.rank(now, x), r.rank(now, y)) })
+	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(r.rank(now, a), r.rank(now, b)) })
 	return order
 }
 
-// Others returns the routers without this one.
+// Others returns the routers other than this one.
 func (r *Ranking) Others() []string {
 	return slices.DeleteFunc(slices.Clone(r.addresses), func(address string) bool { return address == r.self })
 }
 
-// Ranks of routers, the first asked first.
+// Ranks of routers, the best first.
 const (
-	itself = iota
-	ownZone
-	unknownZone
-	otherZone
-	silent
+	rankSelf = iota
+	rankSameZone
+	rankUnknownZone
+	rankOtherZone
+	rankSilent
 )
 
+// rank returns the current rank of a router.
 func (r *Ranking) rank(now time.Time, address string) int {
-	known := r.peers[address]
+	stats := r.peers[address]
 	switch {
 	case address == r.self:
-		return itself
-	case known == nil:
-		return unknownZone
-	case now.Before(known.silentUntil):
-		return silent
-	case known.zone == r.zone:
-		return ownZone
+		return rankSelf
+	case stats == nil:
+		return rankUnknownZone
+	case now.Before(stats.penalizedUntil):
+		return rankSilent
+	case stats.zone == r.zone:
+		return rankSameZone
 	}
-	return otherZone
+	return rankOtherZone
 }
 
-// Reachable tells whether any router may answer.
+// Reachable reports whether any router is not silent.
 func (r *Ranking) Reachable(now time.Time) bool {
 	for _, address := range r.addresses {
-		if r.rank(now, address) != silent {
+		if r.rank(now, address) != rankSilent {
 			return true
 		}
 	}
 	return false
 }
 
-// Silent tells whether the router was silent a moment ago.
-func (r *Ranking) Silent(now time.Time, address string) bool { return r.rank(now, address) == silent }
+// IsSilent reports whether the router is ranked last because of a recent timeout.
+func (r *Ranking) IsSilent(now time.Time, address string) bool {
+	return r.rank(now, address) == rankSilent
+}
 
-// Hedge is how long one router is waited for before others are asked.
-func (r *Ranking) Hedge() time.Duration {
-	nearest := time.Duration(0)
-	for _, known := range r.peers {
-		if known.roundTrip > 0 && (nearest == 0 || known.roundTrip < nearest) {
-			nearest = known.roundTrip
+// HedgeDelay returns how long to wait for the reply of one router before the request is sent to
+// others too.
+func (r *Ranking) HedgeDelay() time.Duration {
+	shortest := time.Duration(0)
+	for _, stats := range r.peers {
+		if stats.roundTrip > 0 && (shortest == 0 || stats.roundTrip < shortest) {
+			shortest = stats.roundTrip
 		}
 	}
-	if nearest == 0 {
-		return firstHedge
+	if shortest == 0 {
+		return initialHedgeDelay
 	}
-	return min(max(hedgeTrips*nearest, quickestHedge), slowestHedge)
+	return min(max(hedgeRoundTrips*shortest, minHedgeDelay), maxHedgeDelay)
 }
 
-// NoteAnswer notes a router's answer, also one that came too late.
-func (r *Ranking) NoteAnswer(address, zone string, roundTrip time.Duration) {
-	known := r.known(address)
-	if known == nil {
+// RecordReply records the zone and the round trip time of a router that replied, and lifts its
+// penalty. It also applies to replies that came too late.
+func (r *Ranking) RecordReply(address, zone string, roundTrip time.Duration) {
+	stats := r.statsFor(address)
+	if stats == nil {
 		return
 	}
-	if known.roundTrip == 0 {
-		known.roundTrip = roundTrip
+	if stats.roundTrip == 0 {
+		stats.roundTrip = roundTrip
 	}
-	known.zone, known.silentUntil = zone, time.Time{}
-	known.roundTrip += time.Duration(roundTripWeight * float64(roundTrip-known.roundTrip))
+	stats.zone, stats.penalizedUntil = zone, time.Time{}
+	stats.roundTrip += time.Duration(roundTripWeight * float64(roundTrip-stats.roundTrip))
 }
 
-// NoteSilence notes that a router did not answer in time.
-func (r *Ranking) NoteSilence(now time.Time, address string) {
-	known := r.known(address)
+// RecordTimeout records that a router did not reply in time.
+func (r *Ranking) RecordTimeout(now time.Time, address string) {
+	stats := r.statsFor(address)
 	switch {
-	case known == nil:
-	case known.roundTrip == 0:
-		known.silentUntil = now.Add(startingTime)
+	case stats == nil:
+	case stats.roundTrip == 0:
+		stats.penalizedUntil = now.Add(startupPenalty)
 	default:
-		known.silentUntil = now.Add(silentTime)
+		stats.penalizedUntil = now.Add(silencePenalty)
 	}
 }
 
-// known returns what is kept of a router that may be asked, nil for any other.
-func (r *Ranking) known(address string) *peer {
+// statsFor returns the stats of a router in the list, or nil for any other router.
+func (r *Ranking) statsFor(address string) *peerStats {
 	if !slices.Contains(r.addresses, address) {
 		return nil
 	}
 	if r.peers[address] == nil {
-		r.peers[address] = &peer{}
+		r.peers[address] = &peerStats{}
 	}
 	return r.peers[address]
 }
--- a/internal/peers/ranking_test.go
+++ b/internal/peers/ranking_test.go
@@ -9,61 +9,62 @@
 
 var start = time.Unix(1_000, 0)
 
+// newRanking returns a ranking of the routers a, b and c for a router in zone z1.
 func newRanking(self string) *Ranking {
 	r := NewRanking(self, "z1")
 	r.Set([]string{"a", "b", "c"})
 	return r
 }
 
-func TestNearRoutersAreAskedFirstAndSilentOnesLast(t *testing.T) {
+func TestOrderPrefersNearRoutersAndPutsSilentOnesLast(t *testing.T) {
 	g := NewWithT(t)
 	r := newRanking("r")
-	r.NoteAnswer("a", "z2", 2*time.Millisecond)
-	r.NoteAnswer("b", "z1", 200*time.Microsecond)
-	g.Expect(r.Order(start)).To(Equal([]string{"b", "c", "a"}), "own zone, not known yet, another zone")
-	r.NoteSilence(start, "b")
+	r.RecordReply("a", "z2", 2*time.Millisecond)
+	r.RecordReply("b", "z1", 200*time.Microsecond)
+	g.Expect(r.Order(start)).To(Equal([]string{"b", "c", "a"}), "own zone, unknown zone, other zone")
+	r.RecordTimeout(start, "b")
 	g.Expect(r.Order(start)).To(Equal([]string{"c", "a", "b"}))
-	g.Expect(r.Order(start.Add(silentTime))[0]).To(Equal("b"), "asked first again after a while")
-	g.Expect(newRanking("a").Order(start)[0]).To(Equal("a"), "a router that is one of them asks itself")
+	g.Expect(r.Order(start.Add(silencePenalty))[0]).To(Equal("b"), "first again once the penalty has expired")
+	g.Expect(newRanking("a").Order(start)[0]).To(Equal("a"), "a router that is in the list ranks itself first")
 }
 
-func TestRouterThatIsStartingIsAskedAgainSoon(t *testing.T) {
+func TestStartingRouterHasShortPenalty(t *testing.T) {
 	g := NewWithT(t)
 	r := newRanking("r")
-	r.NoteSilence(start, "a")
-	g.Expect(r.Silent(start, "a")).To(BeTrue())
-	g.Expect(r.Silent(start.Add(startingTime), "a")).To(BeFalse())
+	r.RecordTimeout(start, "a")
+	g.Expect(r.IsSilent(start, "a")).To(BeTrue())
+	g.Expect(r.IsSilent(start.Add(startupPenalty), "a")).To(BeFalse())
 }
 
-func TestNobodyIsReachableWhenAllAreSilent(t *testing.T) {
+func TestReachableIsFalseWhenAllRoutersAreSilent(t *testing.T) {
 	g := NewWithT(t)
 	r := newRanking("r")
 	for _, address := range []string{"a", "b", "c"} {
 		g.Expect(r.Reachable(start)).To(BeTrue())
-		r.NoteSilence(start, address)
+		r.RecordTimeout(start, address)
 	}
 	g.Expect(r.Reachable(start)).To(BeFalse())
-	r.NoteAnswer("c", "z2", time.Millisecond)
-	g.Expect(r.Reachable(start)).To(BeTrue(), "a late answer shows that it is back")
+	r.RecordReply("c", "z2", time.Millisecond)
+	g.Expect(r.Reachable(start)).To(BeTrue(), "a late reply shows that the router is available again")
 }
 
-func TestHedgeFollowsTheObservedRoundTrip(t *testing.T) {
+func TestHedgeDelayFollowsObservedRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	r := newRanking("r")
-	g.Expect(r.Hedge()).To(Equal(firstHedge))
-	r.NoteAnswer("a", "z1", 200*time.Microsecond)
-	g.Expect(r.Hedge()).To(Equal(quickestHedge))
+	g.Expect(r.HedgeDelay()).To(Equal(initialHedgeDelay))
+	r.RecordReply("a", "z1", 200*time.Microsecond)
+	g.Expect(r.HedgeDelay()).To(Equal(minHedgeDelay))
 	far := newRanking("r")
-	far.NoteAnswer("a", "z9", 20*time.Millisecond)
-	g.Expect(far.Hedge()).To(Equal(slowestHedge))
+	far.RecordReply("a", "z9", 20*time.Millisecond)
+	g.Expect(far.HedgeDelay()).To(Equal(maxHedgeDelay))
 }
 
-func TestWhatIsKnownOfReplacedRoutersIsForgotten(t *testing.T) {
+func TestSetDropsStatsOfRemovedRouters(t *testing.T) {
 	g := NewWithT(t)
 	r := newRanking("r")
-	r.NoteAnswer("a", "z1", 20*time.Millisecond)
+	r.RecordReply("a", "z1", 20*time.Millisecond)
 	r.Set([]string{"b", "d"})
-	g.Expect(r.Hedge()).To(Equal(firstHedge))
-	r.NoteAnswer("a", "z1", time.Millisecond)
+	g.Expect(r.HedgeDelay()).To(Equal(initialHedgeDelay))
+	r.RecordReply("a", "z1", time.Millisecond)
 	g.Expect(r.Order(start)).To(ConsistOf("b", "d"))
 }
--- a/internal/quota/asker.go
+++ b/internal/quota/asker.go
@@ -72,7 +72,7 @@
 func (a *Asker) Keepers() *peers.Ranking { return a.keepers }
 
 // Parts is into how many parts limits are cut.
-func (a *Asker) Parts() int { return max(a.keepers.Count(), 1) }
+func (a *Asker) Parts() int { return max(a.keepers.Len(), 1) }
 
 // Order returns the keepers to ask for the tenant, the nearest first, without those
 // that have just refused. If any have, it returns when the caller may come back.
--- a/internal/quota/quota_property_test.go
+++ b/internal/quota/quota_property_test.go
@@ -53,12 +53,12 @@
 	for _, keeper := range order {
 		index := int(keeper[1] - '0')
 		if n.cut[[2]int{router, index}] {
-			asker.Keepers().NoteSilence(now, keeper)
+			asker.Keepers().RecordTimeout(now, keeper)
 			continue
 		}
 		answer := n.keepers[keeper].Ask(now, "t", amount, n.limit, asker.Parts())
 		if lost() {
-			asker.Keepers().NoteSilence(now, keeper)
+			asker.Keepers().RecordTimeout(now, keeper)
 			continue
 		}
 		answered = true
