--- a/internal/gateway/mutualpulls_test.go
+++ b/internal/gateway/mutualpulls_test.go
@@ -16,7 +16,7 @@
 	now := time.Now()
 	one, two := "127.0.0.1:1", "127.0.0.1:2"
 	side := func(self string) *relays {
-		return &relays{chooser: relay.NewChooser(self, "z", []string{"127.0.0.1:9"}), followers: map[string]follows{}}
+		return &relays{chooser: relay.NewSelector(self, "z", []string{"127.0.0.1:9"}), followers: map[string]follows{}}
 	}
 	first, second := side(one), side(two)
 	tell := func(from *relays, address string, to *relays, at string) {
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -79,7 +79,7 @@
 // oldestProof is the age up to which a proof by the router counts as recent. The mutex is
 // held.
 func (r *relays) oldestProof(address string) time.Duration {
-	if address != "" && address == r.chooser.Referred() {
+	if address != "" && address == r.chooser.Relay() {
 		return relayedProofAge
 	}
 	return proofAge
@@ -89,7 +89,7 @@
 // asked for, or, if it is of a version that does not, what suits the seeds.
 func (r *relays) pullInterval() time.Duration {
 	r.mutex.Lock()
-	asked, seeds := r.pullAfter, max(r.chooser.Seeds(), 1)
+	asked, seeds := r.pullAfter, max(r.chooser.SeedCount(), 1)
 	r.mutex.Unlock()
 	if asked > 0 {
 		return min(max(asked, shortestPull), longestPull)
@@ -123,7 +123,7 @@
 // transferSources returns the routers that may know more than the store.
 func (r *relays) transferSources() []string {
 	r.mutex.Lock()
-	seeds := r.chooser.Others()
+	seeds := r.chooser.OtherSeeds()
 	r.mutex.Unlock()
 	return append(seeds, r.someFollowers()...)
 }
@@ -153,7 +153,7 @@
 func (r *relays) askable() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.chooser.Askable(r.gateway.now())
+	return r.chooser.Candidates(r.gateway.now())
 }
 
 // pullFromAny asks several routers, each a moment after the one before, and tells
@@ -195,16 +195,16 @@
 	oldest := r.oldestProof(address)
 	switch {
 	case answer == nil && !r.gateway.informed():
-		r.chooser.Starting(now, address)
-	case answer == nil, !known && address == r.chooser.Referred():
-		r.chooser.Failed(now, address)
+		r.chooser.RecordStarting(now, address)
+	case answer == nil, !known && address == r.chooser.Relay():
+		r.chooser.RecordFailure(now, address)
 	case !known:
-		r.chooser.Starting(now, address)
+		r.chooser.RecordStarting(now, address)
 		r.patientUntil = r.gateway.started.Add(seedPatience)
 	case !usable, !recent(answer, oldest):
-		r.chooser.Failed(now, address)
+		r.chooser.RecordFailure(now, address)
 	default:
-		r.chooser.Answered(address, answer.GetZone())
+		r.chooser.RecordReply(address, answer.GetZone())
 		r.pullAfter = time.Duration(answer.GetPullAfterMillis()) * time.Millisecond
 		r.refer(address, answer.GetReferTo())
 	}
@@ -241,10 +241,10 @@
 
 // refer takes another router's word on whom to ask. The mutex is held.
 func (r *relays) refer(from, to string) {
-	if to == "" || to == r.chooser.Referred() || r.chooser.IsSeed() {
+	if to == "" || to == r.chooser.Relay() || r.chooser.IsSeed() {
 		return
 	}
-	r.chooser.Refer(to)
+	r.chooser.SetRelay(to)
 	r.gateway.log.Log(events.RelayChanged, events.Fields{"from": from, "relay": to})
 }
 
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -43,7 +43,7 @@
 	gateway   *Gateway
 	transport *wire.Transport
 	mutex     sync.Mutex
-	chooser   *relay.Chooser
+	chooser   *relay.Selector
 	// assigner refers askers to relays while this router is a seed.
 	assigner *relay.Assigner
 	// followers holds the routers that pulled of late, by address.
@@ -68,7 +68,7 @@
 
 func newRelays(g *Gateway) *relays {
 	return &relays{
-		gateway: g, chooser: relay.NewChooser(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
+		gateway: g, chooser: relay.NewSelector(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
 		assigner: relay.NewAssigner(), followers: map[string]follows{}, counter: peers.NewRouterCounter(), behind: make(chan struct{}, 1), packed: map[ObjectKind]packedCopy{},
 		patientUntil: g.started.Add(patienceOf(g)),
 	}
@@ -176,7 +176,7 @@
 func (r *relays) alone() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.transport == nil || !r.chooser.HasOthers()
+	return r.transport == nil || !r.chooser.HasOtherSeeds()
 }
 
 func (r *relays) setDirect(enabled bool) {
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -173,7 +173,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	own = r.routersBehind(now)
-	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.Seeds(), own)))
+	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.SeedCount(), own)))
 	return own
 }
 
@@ -192,9 +192,9 @@
 		return ""
 	}
 	if !r.chooser.IsSeed() {
-		return r.chooser.Referred()
+		return r.chooser.Relay()
 	}
-	asker := relay.Asker{
+	asker := relay.Router{
 		Address: pull.GetPeerAddress(), Zone: pull.GetZone(),
 		Capacity: int(pull.GetCapacity()), Followers: int(pull.GetFollowers()),
 	}
--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// A seed that many routers ask refers most of them to another router of their
-// zone, a relay, which asks the seed and answers them. A relay holds no lease and
-// needs no agreement: it is one as long as it asks the seed and the seed refers
-// others to it, and several at once do no harm. One that falls silent is forgotten
-// within relayPatience; its followers ask the seeds again, and one of them becomes
-// the next.
+// A seed with many followers assigns most of them to another router of their zone, a relay, which
+// pulls from the seed and answers them. A relay holds no lease and needs no agreement: it is a
+// relay as long as it pulls from the seed and the seed assigns others to it. Several relays in one
+// zone do no harm. A relay that stops pulling is dropped within relayTimeout. Its followers then
+// pull from the seeds again, and one of them becomes the next relay.
 
 const (
-	// relayPatience is how long a relay counts after it was heard of: it asks each
-	// 0.15 to 0.45 s.
-	relayPatience = time.Second
-	// strongerFactor is how much more a router must be able to carry to take the
-	// place of a relay; a small difference is not worth the move of its followers.
-	strongerFactor = 2
+	// relayTimeout is how long a relay stays known after its last pull. Relays pull every 0.15 to
+	// 0.45 s.
+	relayTimeout = time.Second
+	// replacementFactor is the minimum ratio of a router's capacity to that of a relay for the
+	// router to replace the relay. A smaller gain is not worth moving the followers.
+	replacementFactor = 2
 )
 
-// Asker is a router that asks a seed for changes.
-type Asker struct {
+// Router describes a router that pulls changes from a seed.
+type Router struct {
 	Address string
-	// Zone is empty for routers of a version that knows no relays.
+	// Zone is empty for routers of a version without support for relays.
 	Zone string
-	// Capacity is how many routers it can answer, by what it knows of its machine.
+	// Capacity is how many followers it can serve, estimated by the router itself from its machine.
 	Capacity int
-	// Followers is how many ask it now.
+	// Followers is its current number of followers.
 	Followers int
 }
 
-// Assigner decides at a seed which routers are relays of their zone, and refers
-// others to them. It has no clock and is not safe for concurrent use.
+// Assigner decides on a seed which routers are relays of their zones, and assigns other routers to
+// them. The caller passes the time. An Assigner is not safe for concurrent use.
 type Assigner struct {
-	// relays holds those of each zone by address.
-	relays map[string]map[string]*assigned
+	// relays holds the relays of each zone by address.
+	relays map[string]map[string]*relayState
 }
 
-// assigned is a relay as the seed sees it.
-type assigned struct {
-	// capacity and followers are what it said with its last pull.
+// relayState is what the seed knows of a relay.
+type relayState struct {
+	// capacity and followers are from the relay's last pull.
 	capacity  int
 	followers int
-	// referred counts the routers referred to it since it was heard of.
-	referred int
-	heardAt  time.Time
+	// assigned counts the routers newly assigned to the relay since its last pull.
+	assigned int
+	lastPull time.Time
 }
 
-func (a *assigned) room() int { return a.capacity - a.followers - a.referred }
+// freeCapacity returns how many more followers the relay can serve. It may be negative.
+func (a *relayState) freeCapacity() int { return a.capacity - a.followers - a.assigned }
 
 // NewAssigner returns an assigner without relays.
-func NewAssigner() *Assigner { return &Assigner{relays: map[string]map[string]*assigned{}} }
+func NewAssigner() *Assigner { return &Assigner{relays: map[string]map[string]*relayState{}} }
 
-// Relays counts the relays of all zones.
-func (a *Assigner) Relays() int {
+// RelayCount returns the number of relays of all zones.
+func (a *Assigner) RelayCount() int {
 	count := 0
 	for _, zone := range a.relays {
 		count += len(zone)
@@ -60,60 +60,59 @@
 	return count
 }
 
-// Assign returns the relay that the asker is to ask from now on, or "" when it is
-// to go on asking the seed. The first relay of a zone is chosen only when the seed
-// is crowded.
-func (a *Assigner) Assign(now time.Time, asker Asker, crowded bool) string {
-	if asker.Zone == "" || asker.Address == "" {
+// Assign returns the address of the relay that the router must pull from, or "" if it must keep
+// pulling from the seed. The first relay of a zone is chosen only if the seed is overloaded.
+func (a *Assigner) Assign(now time.Time, router Router, overloaded bool) string {
+	if router.Zone == "" || router.Address == "" {
 		return ""
 	}
-	relays := a.alive(now, asker.Zone)
-	known := relays[asker.Address]
-	if known == nil && len(relays) == 0 && !crowded {
+	relays := a.activeRelays(now, router.Zone)
+	known := relays[router.Address]
+	if known == nil && len(relays) == 0 && !overloaded {
 		return ""
 	}
 	if known != nil {
-		known.capacity, known.followers, known.referred, known.heardAt = asker.Capacity, asker.Followers, 0, now
+		known.capacity, known.followers, known.assigned, known.lastPull = router.Capacity, router.Followers, 0, now
 	}
-	best, found := mostRoom(relays, asker.Address)
+	best, found := mostFreeCapacity(relays, router.Address)
 	switch {
 	case known != nil:
-		replaced := found && relays[best].capacity >= strongerFactor*known.capacity && relays[best].room() > known.followers
-		if !replaced {
+		replace := found && relays[best].capacity >= replacementFactor*known.capacity && relays[best].freeCapacity() > known.followers
+		if !replace {
 			return ""
 		}
-		delete(relays, asker.Address)
-	case !found || relays[best].room() <= 0 || asker.Capacity >= strongerFactor*relays[best].capacity:
-		relays[asker.Address] = &assigned{capacity: asker.Capacity, followers: asker.Followers, heardAt: now}
+		delete(relays, router.Address)
+	case !found || relays[best].freeCapacity() <= 0 || router.Capacity >= replacementFactor*relays[best].capacity:
+		relays[router.Address] = &relayState{capacity: router.Capacity, followers: router.Followers, lastPull: now}
 		return ""
 	}
-	relays[best].referred += 1 + asker.Followers
+	relays[best].assigned += 1 + router.Followers
 	return best
 }
 
-// alive returns the zone's relays after those that fell silent were forgotten.
-func (a *Assigner) alive(now time.Time, zone string) map[string]*assigned {
+// activeRelays removes the relays of the zone that have timed out and returns the others.
+func (a *Assigner) activeRelays(now time.Time, zone string) map[string]*relayState {
 	relays := a.relays[zone]
 	if relays == nil {
-		relays = map[string]*assigned{}
+		relays = map[string]*relayState{}
 		a.relays[zone] = relays
 	}
 	for address, relay := range relays {
-		if now.Sub(relay.heardAt) > relayPatience {
+		if now.Sub(relay.lastPull) > relayTimeout {
 			delete(relays, address)
 		}
 	}
 	return relays
 }
 
-// mostRoom returns the relay that can take most further followers, except the
-// address; among equals the first by name.
-func mostRoom(relays map[string]*assigned, except string) (best string, found bool) {
+// mostFreeCapacity returns the relay with the most free capacity other than the excluded one. Ties
+// are broken by address.
+func mostFreeCapacity(relays map[string]*relayState, excluded string) (best string, found bool) {
 	for address, relay := range relays {
-		if address == except {
+		if address == excluded {
 			continue
 		}
-		if !found || relay.room() > relays[best].room() || (relay.room() == relays[best].room() && address < best) {
+		if !found || relay.freeCapacity() > relays[best].freeCapacity() || (relay.freeCapacity() == relays[best].freeCapacity() && address < best) {
 			best, found = address, true
 		}
 	}
--- /dev/null
+++ b/internal/relay/selector.go
@@ -0,0 +1,137 @@
+// Package relay decides from which source a router pulls the contents of the store: from the store
+// itself, or from another router.
+//
+// Seeds, the routers named in the settings, read the store, and all other routers pull from them.
+// So the load on the store does not grow with the number of routers. A seed with many followers
+// assigns them to relays of their zones, so its own load does not grow either. A seed that does not
+// reply, or whose proof that its copy is current is too old, is skipped for a while. A router
+// without any candidate reads the store itself.
+//
+// The package has no I/O and no clock.
+package relay
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/clovertiller/clovertiller/internal/rendezvous"
+)
+
+// failureBackoff is how long a seed is skipped after a failure.
+const failureBackoff = 500 * time.Millisecond
+
+// Selector selects the routers that one router pulls from. It is not safe for concurrent use.
+type Selector struct {
+	self  string
+	seeds []string
+	// retryAt is when the skipped seeds become candidates again, by address.
+	retryAt map[string]time.Time
+	// zone is the zone of this router, and seedZones the zones of the seeds that have replied.
+	zone      string
+	seedZones map[string]string
+	// relay is the relay that this router was assigned to, or "".
+	relay string
+}
+
+// NewSelector returns a selector for the router with the peer address self in the zone.
+func NewSelector(self, zone string, seeds []string) *Selector {
+	s := &Selector{self: self, zone: zone, retryAt: map[string]time.Time{}, seedZones: map[string]string{}}
+	s.SetSeeds(seeds)
+	return s
+}
+
+// SetSeeds replaces the seeds. Each router orders them differently, which spreads the load.
+func (s *Selector) SetSeeds(seeds []string) {
+	s.seeds = rendezvous.Ranked(seeds, rendezvous.KeyOf(s.self), len(seeds))
+}
+
+// SeedCount returns the number of seeds.
+func (s *Selector) SeedCount() int { return len(s.seeds) }
+
+// OtherSeeds returns the seeds other than this router, including those that are skipped.
+func (s *Selector) OtherSeeds() []string {
+	return slices.DeleteFunc(slices.Clone(s.seeds), func(seed string) bool { return seed == s.self })
+}
+
+// HasOtherSeeds reports whether there are seeds other than this router.
+func (s *Selector) HasOtherSeeds() bool { return len(s.OtherSeeds()) > 0 }
+
+// IsSeed reports whether this router is a seed.
+func (s *Selector) IsSeed() bool { return s.HasSeed(s.self) }
+
+// HasSeed reports whether the address is that of a seed.
+func (s *Selector) HasSeed(address string) bool { return slices.Contains(s.seeds, address) }
+
+// SetRelay sets the relay to pull from first. The router's own address is ignored.
+func (s *Selector) SetRelay(address string) {
+	if address != s.self {
+		s.relay = address
+	}
+}
+
+// Relay returns the relay that this router was assigned to, or "".
+func (s *Selector) Relay() string { return s.relay }
+
+// Candidates returns the routers to pull from that are not skipped, the best first: the assigned
+// relay, seeds of the own zone, seeds of unknown zone, and seeds of other zones.
+func (s *Selector) Candidates(now time.Time) []string {
+	var candidates []string
+	if s.relay != "" {
+		candidates = append(candidates, s.relay)
+	}
+	for _, seed := range s.seeds {
+		if seed != s.self && seed != s.relay && !now.Before(s.retryAt[seed]) {
+			candidates = append(candidates, seed)
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b string) int { return cmp.Compare(s.rank(a), s.rank(b)) })
+	return candidates
+}
+
+// Ranks of candidates, the best first.
+const (
+	rankRelay = iota
+	rankSameZone
+	rankUnknownZone
+	rankOtherZone
+)
+
+// rank returns the rank of a candidate.
+func (s *Selector) rank(address string) int {
+	zone, known := s.seedZones[address]
+	switch {
+	case address == s.relay:
+		return rankRelay
+	case !known:
+		return rankUnknownZone
+	case zone == s.zone:
+		return rankSameZone
+	}
+	return rankOtherZone
+}
+
+// RecordFailure skips a seed until its backoff ends. If the address is that of the relay, the relay
+// is dropped, and the seeds will assign another one.
+func (s *Selector) RecordFailure(now time.Time, address string) {
+	if address == s.relay {
+		s.relay = ""
+		return
+	}
+	s.retryAt[address] = now.Add(failureBackoff)
+}
+
+// startupBackoff is how long a seed is skipped that may be starting.
+const startupBackoff = 80 * time.Millisecond
+
+// RecordStarting skips a seed for a short time because it has no data yet or may be starting at the
+// same time as this router.
+func (s *Selector) RecordStarting(now time.Time, seed string) {
+	s.retryAt[seed] = now.Add(startupBackoff)
+}
+
+// RecordReply makes a seed a candidate again and records its zone.
+func (s *Selector) RecordReply(seed, zone string) {
+	delete(s.retryAt, seed)
+	s.seedZones[seed] = zone
+}
