--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -42,17 +42,17 @@
 type Client struct {
 	config Config
 	mutex  sync.Mutex
-	asker  *quota.Asker
-	keeper *quota.Keeper
+	asker  *quota.Requester
+	keeper *quota.Server
 }
 
 // New returns a client that asks the seeds.
 func New(config Config) *Client {
 	c := &Client{
-		config: config, keeper: quota.NewKeeper(config.Started),
-		asker: quota.NewAsker(config.PeerAddress, config.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		config: config, keeper: quota.NewServer(config.Started),
+		asker: quota.NewRequester(config.PeerAddress, config.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
-	c.asker.Heard(config.Started)
+	c.asker.RecordContact(config.Started)
 	c.SetKeepers(config.Seeds)
 	return c
 }
@@ -65,7 +65,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asker.Keepers().Set(seeds)
+	c.asker.Servers().Set(seeds)
 }
 
 // Spending is what one call spends of its tenant's limit.
@@ -91,7 +91,7 @@
 
 // Decision is the outcome for one call.
 type Decision struct {
-	quota.Answer
+	quota.Result
 	By Decider
 	// Keeper is whose part was spent from, empty when none was.
 	Keeper string
@@ -106,15 +106,15 @@
 // request is there: until then answers may queue behind it on this router's link.
 func (c *Client) Decide(ctx context.Context, s Spending, arrived <-chan struct{}) Decision {
 	now := time.Now()
-	if s.Amount > s.Limit.Most() {
+	if s.Amount > s.Limit.MaxPerWindow() {
 		return Decision{By: BySize}
 	}
 	c.mutex.Lock()
 	order, retryAfter := c.asker.Order(now, s.Tenant)
-	parts := c.asker.Parts()
-	hedge, reachable := c.asker.Keepers().HedgeDelay(), c.asker.Keepers().Reachable(now)
+	parts := c.asker.ShareCount()
+	hedge, reachable := c.asker.Servers().HedgeDelay(), c.asker.Servers().Reachable(now)
 	c.mutex.Unlock()
-	earlier := Decision{By: ByEarlierRefusal, Answer: quota.Answer{RetryAfter: retryAfter}}
+	earlier := Decision{By: ByEarlierRefusal, Result: quota.Result{RetryAfter: retryAfter}}
 	if len(order) == 0 {
 		return earlier
 	}
@@ -129,7 +129,7 @@
 		// Some have just refused, and the others do not answer.
 		return earlier
 	}
-	return Decision{By: ByItself, Answer: c.decideAlone(s)}
+	return Decision{By: ByItself, Result: c.decideAlone(s)}
 }
 
 // probe asks a silent keeper without waiting for it, to find out when it is back.
@@ -139,10 +139,10 @@
 	go c.ask(s, keeper, nil, done)
 }
 
-func (c *Client) decideAlone(s Spending) quota.Answer {
+func (c *Client) decideAlone(s Spending) quota.Result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.asker.Alone(time.Now(), s.Tenant, s.Amount, s.Limit, c.config.Routers())
+	return c.asker.DecideLocally(time.Now(), s.Tenant, s.Amount, s.Limit, c.config.Routers())
 }
 
 // GiveBack returns a grant that was not used.
@@ -150,7 +150,7 @@
 	if keeper == c.config.PeerAddress {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.keeper.Return(time.Now(), s.Tenant, s.Amount)
+		c.keeper.Refund(time.Now(), s.Tenant, s.Amount)
 		return
 	}
 	// One that is lost costs the tenant the amount once, which its rate makes up for.
@@ -164,13 +164,13 @@
 	limit := quota.Limit{Rate: ask.GetRate(), Burst: ask.GetBurst(), Revision: ask.GetRevision(), Window: time.Duration(ask.GetWindowMillis()) * time.Millisecond}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.asker.Keepers().IncludesSelf() {
+	if !c.asker.Servers().IncludesSelf() {
 		return &wire.QuotaAnswer{NotKeeper: true}
 	}
-	answer := c.keeper.Ask(time.Now(), ask.GetTenant(), ask.GetAmount(), limit, c.asker.Parts())
+	answer := c.keeper.Spend(time.Now(), ask.GetTenant(), ask.GetAmount(), limit, c.asker.ShareCount())
 	return &wire.QuotaAnswer{
 		Granted: answer.Granted, Level: answer.Level, Spent: answer.Spent, Zone: c.config.Zone,
-		EmptyMicros: uint64(answer.EmptyFor.Microseconds()), RetryAfterMicros: uint64(answer.RetryAfter.Microseconds()),
+		EmptyMicros: uint64(answer.ExhaustedFor.Microseconds()), RetryAfterMicros: uint64(answer.RetryAfter.Microseconds()),
 	}
 }
 
@@ -178,12 +178,12 @@
 func (c *Client) Returned(unused *wire.QuotaReturn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.keeper.Return(time.Now(), unused.GetTenant(), unused.GetAmount())
+	c.keeper.Refund(time.Now(), unused.GetTenant(), unused.GetAmount())
 }
 
 // Tenants counts the tenants whose limits this router keeps a part of.
 func (c *Client) Tenants() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return float64(c.keeper.Tenants())
+	return float64(c.keeper.TenantCount())
 }
--- a/internal/limits/questions.go
+++ b/internal/limits/questions.go
@@ -10,7 +10,7 @@
 
 // keeperAnswer is what came of one question.
 type keeperAnswer struct {
-	quota.Answer
+	quota.Result
 	keeper string
 	// silent is true when no answer came.
 	silent bool
@@ -53,7 +53,7 @@
 		case answer := <-a.answers:
 			delete(a.open, answer.keeper)
 			if answer.Granted {
-				return Decision{Answer: answer.Answer, By: ByKeeper, Keeper: answer.keeper}, true
+				return Decision{Result: answer.Result, By: ByKeeper, Keeper: answer.keeper}, true
 			}
 			if !answer.silent {
 				refusals++
@@ -61,7 +61,7 @@
 				best.BelowLimit = refusals == parts && s.Limit.Allows(best.SpentInWindow, s.Amount)
 			}
 			if !answer.silent && (!refused || answer.RetryAfter < best.RetryAfter) {
-				best.Answer, refused = answer.Answer, true
+				best.Result, refused = answer.Result, true
 			}
 			a.ask(1)
 		case <-arrived:
@@ -85,7 +85,7 @@
 func (c *Client) ask(s Spending, keeper string, answers chan<- keeperAnswer, done <-chan struct{}) {
 	answer, known := c.askKeeper(s, keeper)
 	select {
-	case answers <- keeperAnswer{Answer: answer, keeper: keeper, silent: !known}:
+	case answers <- keeperAnswer{Result: answer, keeper: keeper, silent: !known}:
 	case <-done:
 		if answer.Granted {
 			c.GiveBack(s, keeper)
@@ -94,11 +94,11 @@
 }
 
 // askKeeper returns a keeper's answer, or false when it gave none.
-func (c *Client) askKeeper(s Spending, keeper string) (quota.Answer, bool) {
+func (c *Client) askKeeper(s Spending, keeper string) (quota.Result, bool) {
 	if keeper == c.config.PeerAddress {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		return c.note(keeper, s, c.keeper.Ask(time.Now(), s.Tenant, s.Amount, s.Limit, c.asker.Parts())), true
+		return c.note(keeper, s, c.keeper.Spend(time.Now(), s.Tenant, s.Amount, s.Limit, c.asker.ShareCount())), true
 	}
 	reply, taken := c.config.Peers.Call(keeper, &wire.Envelope{Body: &wire.Envelope_QuotaAsk{QuotaAsk: &wire.QuotaAsk{
 		Tenant: s.Tenant, Amount: s.Amount, Rate: s.Limit.Rate, Burst: s.Limit.Burst, Revision: s.Limit.Revision, WindowMillis: uint32(s.Limit.Window.Milliseconds()),
@@ -107,25 +107,25 @@
 	c.config.Asked(body != nil, taken)
 	if body == nil || body.GetNotKeeper() {
 		c.silent(map[string]bool{keeper: true})
-		return quota.Answer{}, false
+		return quota.Result{}, false
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asker.Heard(time.Now())
-	c.asker.Keepers().RecordReply(keeper, body.GetZone(), taken)
-	return c.note(keeper, s, quota.Answer{
+	c.asker.RecordContact(time.Now())
+	c.asker.Servers().RecordReply(keeper, body.GetZone(), taken)
+	return c.note(keeper, s, quota.Result{
 		Granted: body.GetGranted(), Level: body.GetLevel(), Spent: body.GetSpent(),
-		EmptyFor:   time.Duration(body.GetEmptyMicros()) * time.Microsecond,
-		RetryAfter: time.Duration(body.GetRetryAfterMicros()) * time.Microsecond,
+		ExhaustedFor: time.Duration(body.GetEmptyMicros()) * time.Microsecond,
+		RetryAfter:   time.Duration(body.GetRetryAfterMicros()) * time.Microsecond,
 	}), true
 }
 
 // note keeps what an answer says for later calls. The mutex is held.
-func (c *Client) note(keeper string, s Spending, answer quota.Answer) quota.Answer {
+func (c *Client) note(keeper string, s Spending, answer quota.Result) quota.Result {
 	if answer.Granted {
-		c.asker.Granted(time.Now(), s.Tenant, s.Amount)
+		c.asker.RecordGrant(time.Now(), s.Tenant, s.Amount)
 	} else {
-		c.asker.Refused(time.Now(), keeper, s.Tenant, answer)
+		c.asker.RecordRefusal(time.Now(), keeper, s.Tenant, answer)
 	}
 	return answer
 }
@@ -135,6 +135,6 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for keeper := range keepers {
-		c.asker.Keepers().RecordTimeout(time.Now(), keeper)
+		c.asker.Servers().RecordTimeout(time.Now(), keeper)
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,16 +1,16 @@
-// Package quota keeps tenants to their limits over all routers together.
+// Package quota enforces the limits of tenants across all routers.
 //
-// A limit bounds what a tenant spends within any window of a certain length: what its
-// rate brings in during that time, and its burst. It is cut into equal parts, one for
-// each router that keeps limits (the seeds of the settings), and a router asks one of
-// them, the nearest first, before it sends a request on. A part belongs to its keeper
-// for good. Nobody takes over the part of a keeper that is silent, so keepers that
-// cannot reach each other never grant more than the limit together, and no handover
-// has to be agreed on. The price is that a tenant is kept to the remaining parts while
-// a keeper is lost.
+// A limit bounds what a tenant spends within any window of a given length: the amount that its rate
+// accrues in that time, plus its burst. The limit is divided into equal shares, one for each quota
+// server (the seeds of the settings, called keepers in messages, logs and metrics). Before a router
+// sends a request to a runner, it requests the amount from one of the servers, the nearest first. A
+// share belongs to its server permanently. No other server takes over the share of a server that
+// does not reply, so servers that are partitioned never grant more than the limit together, and no
+// handover has to be agreed on. The disadvantage is that a tenant is limited to the remaining
+// shares while a server is down.
 //
-// A keeper remembers nothing over a restart. It begins with nothing saved up and the
-// bare rate, so that what it granted before is not granted again.
+// A server keeps no state across a restart. It starts with an empty bucket that refills at the base
+// rate only, so that it does not grant again what it granted before the restart.
 //
 // The package has no I/O and no clock.
 package quota
@@ -20,144 +20,145 @@
 	"time"
 )
 
-// Limit is what one tenant may spend, in requests or in prompt and answer tokens.
+// Limit is how much one tenant may spend, in requests or in prompt and output tokens.
 type Limit struct {
-	// Rate is the allowance a second, and Burst what may be spent beyond it within
-	// the window.
+	// Rate is the base rate per second, and Burst is what may be spent in addition within the
+	// window.
 	Rate   float64
 	Burst  float64
 	Window time.Duration
-	// Revision is the store's revision, with its era, of the configuration that the limit is from.
+	// Revision is the revision of the store, including its era, of the configuration that the limit
+	// is from.
 	Revision uint64
 }
 
-// share returns one of so many equal parts of the limit.
-func (l Limit) share(parts int) Limit {
-	count := float64(max(parts, 1))
-	l.Rate, l.Burst = l.Rate/count, l.Burst/count
+// share returns one of shareCount equal shares of the limit.
+func (l Limit) share(shareCount int) Limit {
+	divisor := float64(max(shareCount, 1))
+	l.Rate, l.Burst = l.Rate/divisor, l.Burst/divisor
 	return l
 }
 
-// Most is what may be spent within the window.
-func (l Limit) Most() float64 { return l.Rate*l.Window.Seconds() + l.Burst }
+// MaxPerWindow returns the maximum that may be spent within the window.
+func (l Limit) MaxPerWindow() float64 { return l.Rate*l.Window.Seconds() + l.Burst }
 
-// pace is the rate at which the limit may be spent for ever: its burst comes once a
-// window.
-func (l Limit) pace() float64 {
+// sustainedRate returns the rate per second at which the limit may be spent indefinitely, which
+// includes the burst once per window.
+func (l Limit) sustainedRate() float64 {
 	if l.Window <= 0 {
 		return l.Rate
 	}
-	return l.Most() / l.Window.Seconds()
+	return l.MaxPerWindow() / l.Window.Seconds()
 }
 
-// Allows tells whether the limit has room for the amount beside what was spent within the
-// window.
-func (l Limit) Allows(spent, amount float64) bool { return spent+amount <= l.Most() }
+// Allows reports whether the amount may be spent in addition to what was spent within the window.
+func (l Limit) Allows(spent, amount float64) bool { return spent+amount <= l.MaxPerWindow() }
 
-// Answer is what a keeper says to a request.
-type Answer struct {
+// Result is the outcome of a request to spend an amount.
+type Result struct {
 	Granted bool
-	// EmptyFor is how long nothing will be granted, and RetryAfter when a refused
-	// caller finds room, after those that were refused before it.
-	EmptyFor   time.Duration
-	RetryAfter time.Duration
-	// Level is what is left in the part, below zero while more was spent than came in.
+	// ExhaustedFor is how long nothing will be granted. RetryAfter is when a refused caller can
+	// expect a grant, after the callers that were refused before it.
+	ExhaustedFor time.Duration
+	RetryAfter   time.Duration
+	// Level is the remaining amount in the bucket. It is negative while more was spent than has
+	// accrued.
 	Level float64
-	// Spent is what was granted from the part within the window, without this request.
+	// Spent is the amount granted from the share within the window, without this request.
 	Spent float64
 }
 
-// bucket is a token bucket, with a count of what was spent within the window. The
-// bucket spreads what is spent over the window, the count bounds it. A request is
-// granted as long as nothing is owed, and may leave a debt: so large requests are not
-// starved by small ones, which would keep the level low, and a bucket overspends by one
-// request at most.
+// bucket is a token bucket with a sum of what was spent within the window. The bucket spreads
+// spending over the window, and the sum bounds it. A request is granted if the level is not
+// negative, and may make it negative. So large requests are not starved by small ones, which would
+// keep the level low, and a bucket overspends by one request at most.
 type bucket struct {
-	limit Limit
-	level float64
-	at    time.Time
-	// slowUntil is until when only the bare rate comes in.
-	slowUntil time.Time
-	spent     windowSum
-	// promised is the moment up to which returns have been promised.
-	promised time.Time
+	limit     Limit
+	level     float64
+	updatedAt time.Time
+	// baseRateUntil is the time until which the bucket refills at the base rate only.
+	baseRateUntil time.Time
+	spent         windowSum
+	// reservedUntil is the time up to which retries of refused callers have been scheduled.
+	reservedUntil time.Time
 }
 
-// rate is what comes in a second at the moment.
+// rate returns the current refill rate per second.
 func (b *bucket) rate() float64 {
-	if b.at.Before(b.slowUntil) {
+	if b.updatedAt.Before(b.baseRateUntil) {
 		return b.limit.Rate
 	}
-	return b.limit.pace()
+	return b.limit.sustainedRate()
 }
 
+// refill adds what accrued since the last update, up to the burst.
 func (b *bucket) refill(now time.Time) {
-	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
 		b.level = math.Min(b.level+elapsed*b.rate(), b.limit.Burst)
-		b.at = now
+		b.updatedAt = now
 	}
 }
 
-// setLimit takes a limit unless it is older than the one in force. A lower one binds
-// at once: what was spent by leave of the one before counts in proportion, or nothing
-// would be granted until it has left the window. A higher burst has to be saved up.
+// setLimit replaces the limit unless the new one is from an older revision. A lower limit applies
+// immediately: what was spent under the previous limit is scaled down in proportion, otherwise
+// nothing would be granted until it has left the window. A higher burst has to accrue first.
 func (b *bucket) setLimit(limit Limit) {
 	if limit.Revision < b.limit.Revision {
 		return
 	}
-	if limit.Most() < b.limit.Most() {
-		b.spent.scale(limit.Most() / b.limit.Most())
+	if limit.MaxPerWindow() < b.limit.MaxPerWindow() {
+		b.spent.scale(limit.MaxPerWindow() / b.limit.MaxPerWindow())
 	}
 	b.limit = limit
 	b.level = math.Min(b.level, limit.Burst)
 }
 
-// longestPromise bounds the time told to a refused caller. Callers wait for a third
-// of their time at most, so none comes back later than some seconds.
-const longestPromise = 10 * time.Second
+// maxRetryAfter is the maximum time after which a refused caller is told to retry. Callers wait for
+// at most a third of their deadline, so none retries later than after some seconds.
+const maxRetryAfter = 10 * time.Second
 
-// spend takes the amount, or refuses it. A refused caller is expected to spend the
-// amount returning from this bucket when it comes back.
-func (b *bucket) spend(now time.Time, amount, returning float64) Answer {
+// spend takes the amount from the bucket or refuses it. A refused caller is expected to spend
+// retryAmount from this bucket when it retries.
+func (b *bucket) spend(now time.Time, amount, retryAmount float64) Result {
 	b.refill(now)
-	spent := b.spent.within(now, b.limit.Window)
-	empty := b.spent.timeUntilBelow(now, b.limit.Window, b.limit.Most())
+	spent := b.spent.total(now, b.limit.Window)
+	exhausted := b.spent.timeUntilBelow(now, b.limit.Window, b.limit.MaxPerWindow())
 	if b.level < 0 {
-		empty = max(empty, b.timeFor(-b.level))
+		exhausted = max(exhausted, b.refillTime(-b.level))
 	}
-	if empty > 0 {
-		return Answer{EmptyFor: empty, RetryAfter: b.promise(now, empty, returning), Level: b.level, Spent: spent}
+	if exhausted > 0 {
+		return Result{ExhaustedFor: exhausted, RetryAfter: b.reserveRetry(now, exhausted, retryAmount), Level: b.level, Spent: spent}
 	}
 	b.level -= amount
 	b.spent.add(now, b.limit.Window, amount)
-	return Answer{Granted: true, Level: b.level, Spent: spent}
+	return Result{Granted: true, Level: b.level, Spent: spent}
 }
 
-// promise returns when a refused caller finds room: once the debt is paid, and after
-// those that were told to come back before it.
-func (b *bucket) promise(now time.Time, empty time.Duration, returning float64) time.Duration {
-	room := now.Add(empty)
-	if b.promised.After(room) {
-		room = b.promised
+// reserveRetry returns how long a refused caller has to wait: until the bucket is no longer
+// exhausted, and until those that were refused before it have retried.
+func (b *bucket) reserveRetry(now time.Time, exhausted time.Duration, retryAmount float64) time.Duration {
+	retryAt := now.Add(exhausted)
+	if b.reservedUntil.After(retryAt) {
+		retryAt = b.reservedUntil
 	}
-	b.promised = room.Add(b.timeFor(returning))
-	if latest := now.Add(longestPromise); b.promised.After(latest) {
-		b.promised = latest
+	b.reservedUntil = retryAt.Add(b.refillTime(retryAmount))
+	if latest := now.Add(maxRetryAfter); b.reservedUntil.After(latest) {
+		b.reservedUntil = latest
 	}
-	return room.Sub(now)
+	return retryAt.Sub(now)
 }
 
-// timeFor is how long the rate takes to bring the amount in.
-func (b *bucket) timeFor(amount float64) time.Duration {
+// refillTime returns how long the bucket takes to accrue the amount.
+func (b *bucket) refillTime(amount float64) time.Duration {
 	rate := b.rate()
 	if rate <= 0 {
-		return longestPromise
+		return maxRetryAfter
 	}
-	return time.Duration(math.Min(amount/rate, longestPromise.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(amount/rate, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// full tells whether the bucket is as one that was never spent from.
-func (b *bucket) full(now time.Time) bool {
+// isFull reports whether the bucket is in the same state as one that was never spent from.
+func (b *bucket) isFull(now time.Time) bool {
 	b.refill(now)
-	return b.level >= b.limit.Burst && b.spent.within(now, b.limit.Window) == 0
+	return b.level >= b.limit.Burst && b.spent.total(now, b.limit.Window) == 0
 }
--- a/internal/quota/quota_property_test.go
+++ b/internal/quota/quota_property_test.go
@@ -9,97 +9,99 @@
 	"pgregory.net/rapid"
 )
 
-// network plays routers and keepers over a network that loses questions, answers and
-// returns, delays them, and lets keepers restart or be cut off from some routers.
-type network struct {
-	keepers map[string]*Keeper
-	askers  []*Asker
-	// cut holds the pairs of router and keeper that do not reach each other.
-	cut   map[[2]int]bool
-	names []string
-	limit Limit
-	// spent is what routers sent on, with its moment.
-	spent []spent
-	// refused counts refusals, and asked all requests.
-	refused, asked int
+// simulation runs requesters and servers over a network that loses requests, replies and refunds
+// and delays them. Servers may restart or be unreachable from some routers.
+type simulation struct {
+	servers    map[string]*Server
+	requesters []*Requester
+	// unreachable holds the pairs of router and server that cannot reach each other.
+	unreachable map[[2]int]bool
+	serverNames []string
+	limit       Limit
+	// spent holds the amounts that routers sent to runners.
+	spent []expense
+	// refusals counts refused requests, and requests counts all.
+	refusals, requests int
 }
 
-type spent struct {
+// expense is an amount that was spent at a time.
+type expense struct {
 	at     time.Time
 	amount float64
 }
 
-func newNetwork(routers int, limit Limit, seed uint64) *network {
-	n := &network{keepers: map[string]*Keeper{}, names: []string{"k0", "k1", "k2"}, limit: limit, cut: map[[2]int]bool{}}
-	for _, name := range n.names {
-		n.keepers[name] = NewKeeper(start)
+// newSimulation returns a simulation with three servers and the given number of routers.
+func newSimulation(routers int, limit Limit, seed uint64) *simulation {
+	s := &simulation{servers: map[string]*Server{}, serverNames: []string{"k0", "k1", "k2"}, limit: limit, unreachable: map[[2]int]bool{}}
+	for _, name := range s.serverNames {
+		s.servers[name] = NewServer(start)
 	}
 	for i := range routers {
-		asker := NewAsker("r"+strconv.Itoa(i), "z", rand.New(rand.NewPCG(seed, uint64(i))))
-		asker.Keepers().Set(n.names)
-		asker.Heard(start)
-		n.askers = append(n.askers, asker)
+		requester := NewRequester("r"+strconv.Itoa(i), "z", rand.New(rand.NewPCG(seed, uint64(i))))
+		requester.Servers().Set(s.serverNames)
+		requester.RecordContact(start)
+		s.requesters = append(s.requesters, requester)
 	}
-	return n
+	return s
 }
 
-// request plays one request at a router; lost tells for each question whether its
-// answer is lost.
-func (n *network) request(now time.Time, router int, amount float64, lost func() bool) {
-	n.asked++
-	asker := n.askers[router]
-	order, _ := asker.Order(now, "t")
+// request simulates one request at a router. replyLost reports for each request to a server whether
+// its reply is lost.
+func (s *simulation) request(now time.Time, router int, amount float64, replyLost func() bool) {
+	s.requests++
+	requester := s.requesters[router]
+	order, _ := requester.Order(now, "t")
 	answered := len(order) == 0
-	for _, keeper := range order {
-		index := int(keeper[1] - '0')
-		if n.cut[[2]int{router, index}] {
-			asker.Keepers().RecordTimeout(now, keeper)
+	for _, server := range order {
+		index := int(server[1] - '0')
+		if s.unreachable[[2]int{router, index}] {
+			requester.Servers().RecordTimeout(now, server)
 			continue
 		}
-		answer := n.keepers[keeper].Ask(now, "t", amount, n.limit, asker.Parts())
-		if lost() {
-			asker.Keepers().RecordTimeout(now, keeper)
+		result := s.servers[server].Spend(now, "t", amount, s.limit, requester.ShareCount())
+		if replyLost() {
+			requester.Servers().RecordTimeout(now, server)
 			continue
 		}
 		answered = true
-		asker.Heard(now)
-		if answer.Granted {
-			asker.Granted(now, "t", amount)
-			n.spent = append(n.spent, spent{now, amount})
+		requester.RecordContact(now)
+		if result.Granted {
+			requester.RecordGrant(now, "t", amount)
+			s.spent = append(s.spent, expense{now, amount})
 			return
 		}
-		asker.Refused(now, keeper, "t", answer)
+		requester.RecordRefusal(now, server, "t", result)
 	}
-	if !answered && asker.Alone(now, "t", amount, n.limit, len(n.askers)).Granted {
-		n.spent = append(n.spent, spent{now, amount})
+	if !answered && requester.DecideLocally(now, "t", amount, s.limit, len(s.requesters)).Granted {
+		s.spent = append(s.spent, expense{now, amount})
 		return
 	}
-	n.refused++
+	s.refusals++
 }
 
-// worst is the most that was spent within the window.
-func (n *network) worst(window time.Duration) float64 {
-	worst, sum, first := 0.0, 0.0, 0
-	for _, s := range n.spent {
-		sum += s.amount
-		for !n.spent[first].at.After(s.at.Add(-window)) {
-			sum -= n.spent[first].amount
+// maxSpentInWindow returns the maximum that was spent within any window.
+func (s *simulation) maxSpentInWindow(window time.Duration) float64 {
+	maxSpent, sum, first := 0.0, 0.0, 0
+	for _, e := range s.spent {
+		sum += e.amount
+		for !s.spent[first].at.After(e.at.Add(-window)) {
+			sum -= s.spent[first].amount
 			first++
 		}
-		worst = max(worst, sum)
+		maxSpent = max(maxSpent, sum)
 	}
-	return worst
+	return maxSpent
 }
 
 const window = 8 * time.Second
 
-// Whatever restarts, routers that reach the keepers never spend more than the limit,
-// but for one request a keeper, and for each restart, which forgets a debt, another one
-// and a part of the burst that was spent just before.
+// Servers restart at random. Routers that reach the servers never spend more than the limit, plus
+// one request per server, and for each restart, which drops a negative level, one more request and
+// a share of the burst that was spent just before.
 func TestLimitHoldsOverRandomNetworks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: rapid.Float64Range(1000, 50000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 60000).Draw(t, "burst"), Window: window}
-		n := newNetwork(rapid.IntRange(1, 12).Draw(t, "routers"), limit, rapid.Uint64().Draw(t, "seed"))
+		s := newSimulation(rapid.IntRange(1, 12).Draw(t, "routers"), limit, rapid.Uint64().Draw(t, "seed"))
 		largest := rapid.Float64Range(1, 20000).Draw(t, "largest")
 		now := start
 		restarts := 0
@@ -108,65 +110,65 @@
 			switch rapid.IntRange(0, 30).Draw(t, "event") {
 			case 0:
 				restarts++
-				n.keepers[rapid.SampledFrom(n.names).Draw(t, "restarted")] = NewKeeper(now)
+				s.servers[rapid.SampledFrom(s.serverNames).Draw(t, "restarted")] = NewServer(now)
 			default:
-				router := rapid.IntRange(0, len(n.askers)-1).Draw(t, "router")
-				n.request(now, router, rapid.Float64Range(0, largest).Draw(t, "amount"), func() bool { return false })
+				router := rapid.IntRange(0, len(s.requesters)-1).Draw(t, "router")
+				s.request(now, router, rapid.Float64Range(0, largest).Draw(t, "amount"), func() bool { return false })
 			}
 		}
-		allowed := limit.Most() + float64(3+restarts)*largest
+		allowed := limit.MaxPerWindow() + float64(3+restarts)*largest
 		if restarts > 0 {
 			allowed += limit.Burst
 		}
-		if n.worst(window) > allowed*1.000001 {
-			t.Fatalf("spent %.0f in a window, allowed %.0f", n.worst(window), allowed)
+		if s.maxSpentInWindow(window) > allowed*1.000001 {
+			t.Fatalf("spent %.0f within a window, the maximum is %.0f", s.maxSpentInWindow(window), allowed)
 		}
 	})
 }
 
-// With lost answers and routers cut off as well, what routers spend alone stays
-// within an equal part for each and one request beyond it.
-func TestLimitHoldsWithRoutersCutOff(t *testing.T) {
+// With lost replies and partitioned routers, what routers spend by local decisions stays within an
+// equal share each plus one request.
+func TestLimitHoldsWithPartitionedRouters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: 40000, Burst: 40000, Window: window}
-		n := newNetwork(12, limit, rapid.Uint64().Draw(t, "seed"))
+		s := newSimulation(12, limit, rapid.Uint64().Draw(t, "seed"))
 		const largest = 4000.0
-		cutOff := rapid.IntRange(0, 4).Draw(t, "cut off")
-		for router := range cutOff {
-			for keeper := range n.names {
-				n.cut[[2]int{router, keeper}] = true
+		partitioned := rapid.IntRange(0, 4).Draw(t, "partitioned routers")
+		for router := range partitioned {
+			for server := range s.serverNames {
+				s.unreachable[[2]int{router, server}] = true
 			}
 		}
-		losses := rapid.IntRange(0, 10).Draw(t, "losses in a hundred")
+		losses := rapid.IntRange(0, 10).Draw(t, "percentage of lost replies")
 		random := rand.New(rand.NewPCG(7, rapid.Uint64().Draw(t, "losses")))
 		for at := 0; at < 16000; at += 5 {
-			n.request(after(at), random.IntN(len(n.askers)), random.Float64()*largest, func() bool { return random.IntN(100) < losses })
+			s.request(atMillis(at), random.IntN(len(s.requesters)), random.Float64()*largest, func() bool { return random.IntN(100) < losses })
 		}
-		// Each router alone adds its part at most, and what is in its bucket.
-		allowed := limit.Most()*(1+float64(cutOff)/12) + 3*largest + float64(len(n.askers))*largest
-		if n.worst(window) > allowed {
-			t.Fatalf("spent %.0f in a window, allowed %.0f", n.worst(window), allowed)
+		// Each partitioned router adds at most its share and what is in its bucket.
+		allowed := limit.MaxPerWindow()*(1+float64(partitioned)/12) + 3*largest + float64(len(s.requesters))*largest
+		if s.maxSpentInWindow(window) > allowed {
+			t.Fatalf("spent %.0f within a window, the maximum is %.0f", s.maxSpentInWindow(window), allowed)
 		}
 	})
 }
 
-// A tenant at half of its limit, in random moments and sizes: fewer than one request
-// in 1,000 is refused while all keepers answer.
+// A tenant spends about half of its limit, at random times and in random amounts. Fewer than one
+// request in 1000 is refused while all servers reply.
 func TestTenantsBelowTheirLimitAreNotRefused(t *testing.T) {
 	const routers, size = 79, 9200.0
 	limit := Limit{Rate: 139000, Burst: 139000, Window: window}
-	refused, asked := 0, 0
+	refused, requested := 0, 0
 	for seed := range uint64(20) {
-		n := newNetwork(routers, limit, seed)
+		s := newSimulation(routers, limit, seed)
 		random := rand.New(rand.NewPCG(11, seed))
-		now := after(14000)
-		for now.Before(after(14000 + 34000)) {
+		now := atMillis(14000)
+		for now.Before(atMillis(14000 + 34000)) {
 			now = now.Add(time.Duration(random.ExpFloat64() * float64(time.Second) * size / (limit.Rate / 1.8)))
-			n.request(now, random.IntN(routers), size*random.ExpFloat64(), func() bool { return false })
+			s.request(now, random.IntN(routers), size*random.ExpFloat64(), func() bool { return false })
 		}
-		refused, asked = refused+n.refused, asked+n.asked
+		refused, requested = refused+s.refusals, requested+s.requests
 	}
-	if refused*1000 >= asked {
-		t.Fatalf("%d of %d requests refused", refused, asked)
+	if refused*1000 >= requested {
+		t.Fatalf("%d of %d requests refused", refused, requested)
 	}
 }
