--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -176,7 +176,7 @@
 		m.quotaDecisions, m.quotaFalseRefusals, m.quotaCalls, m.quotaWaits, &runnerStates{gateway: g}, &copyAges{gateway: g}, &contentStates{gateway: g}, &serviceWork{gateway: g},
 		gauge("placed_requests", "Open requests that this router has placed for others.", func() float64 { return g.schedulers.open() }),
 		gauge("routers", "Routers that there seem to be, by which budgets and limits are shared out; 0 when unknown.", func() float64 { return float64(g.routers.Load()) }),
-		gauge("quota_tenants", "Tenants whose limits this router keeps a part of.", func() float64 { return g.limits.Tenants() }),
+		gauge("quota_tenants", "Tenants whose limits this router keeps a part of.", func() float64 { return g.limits.TenantCount() }),
 		gauge("share_tenants", "Tenants of whose recent use of services this router keeps a sum.", func() float64 { return g.shares.tenants() }),
 		gauge("store_era", "Era of the store: how often it came back from a copy, counted by itself; 0 when unknown.", func() float64 { return float64(g.era.newest()) }),
 		gauge("config_version", "Version of the configuration in force.", g.configVersion),
@@ -318,7 +318,7 @@
 	if decision.Granted {
 		outcome = "granted"
 	}
-	m.quotaDecisions.WithLabelValues(string(decision.By), outcome).Inc()
+	m.quotaDecisions.WithLabelValues(string(decision.DecidedBy), outcome).Inc()
 	if decision.BelowLimit && !decision.Granted {
 		m.quotaFalseRefusals.Inc()
 	}
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -15,9 +15,9 @@
 // limitsConfig says what keeps tenants to their limits.
 func (g *Gateway) limitsConfig() limits.Config {
 	return limits.Config{
-		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, Started: g.started,
-		Peers: g.relays, Routers: g.routerCount,
-		Asked: func(answered bool, taken time.Duration) {
+		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, StartTime: g.started,
+		Peers: g.relays, RouterCount: g.routerCount,
+		ObserveCall: func(answered bool, taken time.Duration) {
 			g.metrics.quotaCalls.WithLabelValues(outcomeOf(answered)).Observe(taken.Seconds())
 		},
 	}
@@ -48,22 +48,22 @@
 	close(c.bodyArrived)
 	decision := <-c.quotaDecided
 	waited := time.Since(began)
-	c.spentAt = decision.Keeper
+	c.spentAt = decision.Server
 	c.gateway.metrics.quotaDecided(decision, waited)
 	c.note(events.QuotaDecided, events.Fields{
 		"tenant": c.spending.Tenant, "amount": c.spending.Amount, "rate": c.spending.Limit.Rate, "burst": c.spending.Limit.Burst, "granted": decision.Granted,
-		"by": decision.By, "keeper": decision.Keeper, "left": int64(decision.Level), "waited_us": waited.Microseconds(),
+		"by": decision.DecidedBy, "keeper": decision.Server, "left": int64(decision.Level), "waited_us": waited.Microseconds(),
 		"spent": int64(decision.SpentInWindow), "below_limit": decision.BelowLimit,
 	})
 	if decision.Granted {
 		return nil
 	}
 	refused := &refusal{status: http.StatusTooManyRequests, reason: "the tenant's limit is reached"}
-	if decision.By == limits.BySize {
+	if decision.DecidedBy == limits.BySize {
 		refused.reason = "the request is larger than the tenant's limit allows"
 		return refused
 	}
-	if decision.By == limits.ByItself {
+	if decision.DecidedBy == limits.ByLocalBucket {
 		// The tenant may well be below its limit.
 		return unavailable("no router that keeps the tenant's limit answers", busyRetryAfter)
 	}
@@ -78,8 +78,8 @@
 	}
 	close(c.bodyArrived)
 	go func() {
-		if decision := <-c.quotaDecided; decision.Keeper != "" {
-			c.gateway.limits.GiveBack(c.spending, decision.Keeper)
+		if decision := <-c.quotaDecided; decision.Server != "" {
+			c.gateway.limits.RefundGrant(c.spending, decision.Server)
 		}
 	}()
 }
@@ -89,6 +89,6 @@
 	if c.spentAt == "" {
 		return
 	}
-	c.gateway.limits.GiveBack(c.spending, c.spentAt)
+	c.gateway.limits.RefundGrant(c.spending, c.spentAt)
 	c.spentAt = ""
 }
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -49,7 +49,7 @@
 		deltas, _ := r.unpack(body.CopyPush.GetDeltas())
 		r.applyDeltas(deltas, proof{})
 	case *wire.Envelope_QuotaAsk:
-		return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: r.gateway.limits.Answer(body.QuotaAsk)}}
+		return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: r.gateway.limits.HandleAsk(body.QuotaAsk)}}
 	case *wire.Envelope_RunnerAsk:
 		return &wire.Envelope{Body: &wire.Envelope_RunnerAnswer{RunnerAnswer: r.gateway.schedulers.place(envelope, body.RunnerAsk)}}
 	case *wire.Envelope_SendNotice:
@@ -61,7 +61,7 @@
 	case *wire.Envelope_SignalNews:
 		r.gateway.signals.learn(body.SignalNews.GetSignals())
 	case *wire.Envelope_QuotaReturn:
-		r.gateway.limits.Returned(body.QuotaReturn)
+		r.gateway.limits.HandleReturn(body.QuotaReturn)
 	}
 	return nil
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -17,7 +17,7 @@
 	g.relays.mutex.Lock()
 	g.relays.chooser.SetSeeds(settings.Seeds)
 	g.relays.mutex.Unlock()
-	g.limits.SetKeepers(settings.Seeds)
+	g.limits.SetServers(settings.Seeds)
 	g.schedulers.setSchedulers(settings.Seeds)
 	g.log.Log(events.SettingsReloaded, events.Fields{"seeds": len(settings.Seeds), "need_restart": g.settings.needRestart(settings)})
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,7 +1,7 @@
-// Package limits keeps tenants to their limits over all routers: it asks those routers that
-// keep the limits, the nearest first, and keeps a part itself if it is one of them. It knows
-// nothing of requests, configurations or runners; how a limit is split and judged is package
-// quota's, which has no I/O.
+// Package limits enforces the limits of tenants across all routers. It requests each spending from
+// the routers that serve shares of the limits, the nearest first, and serves a share itself if this
+// router is one of them. The division of limits and the decisions are in package quota, which has
+// no I/O. This package does not depend on requests of callers, configurations or runners.
 package limits
 
 import (
@@ -14,176 +14,181 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Peers carries messages to other routers.
+// Peers sends messages to other routers.
 type Peers interface {
-	// Call returns the reply, nil without one, and how long it took.
-	Call(address string, question *wire.Envelope) (*wire.Envelope, time.Duration)
-	// Send sends a message that may be lost.
+	// Call returns the reply, or nil if there was none, and how long it took.
+	Call(address string, request *wire.Envelope) (*wire.Envelope, time.Duration)
+	// Send sends a message without a reply. It may be lost.
 	Send(address string, message *wire.Envelope)
 }
 
-// Config is what a client needs.
+// Config configures a Client.
 type Config struct {
-	// PeerAddress is where other routers reach this one; empty for a router alone.
+	// PeerAddress is the address at which other routers reach this one. It is empty for a single
+	// router.
 	PeerAddress string
 	Zone        string
-	// Seeds are the routers that keep limits.
-	Seeds   []string
-	Started time.Time
-	Peers   Peers
-	// Routers returns how many routers there seem to be, this one included.
-	Routers func() int
-	// Asked is told how long each question to a keeper took, and whether it was answered.
-	Asked func(answered bool, taken time.Duration)
+	// Seeds are the routers that serve shares of the limits.
+	Seeds     []string
+	StartTime time.Time
+	Peers     Peers
+	// RouterCount returns the estimated number of routers, including this one.
+	RouterCount func() int
+	// ObserveCall is called with the duration of each call to a server and whether it was answered.
+	ObserveCall func(answered bool, elapsed time.Duration)
 }
 
-// Client decides for the calls of one router whether their tenants are within their limits.
-// It is safe for concurrent use.
+// Client decides for the calls of one router whether their tenants are within their limits, and
+// serves a share of the limits to other routers. It is safe for concurrent use.
 type Client struct {
-	config Config
-	mutex  sync.Mutex
-	asker  *quota.Requester
-	keeper *quota.Server
+	config    Config
+	mutex     sync.Mutex
+	requester *quota.Requester
+	server    *quota.Server
 }
 
-// New returns a client that asks the seeds.
+// New returns a client that uses the seeds of the config as servers.
 func New(config Config) *Client {
 	c := &Client{
-		config: config, keeper: quota.NewServer(config.Started),
-		asker: quota.NewRequester(config.PeerAddress, config.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		config: config, server: quota.NewServer(config.StartTime),
+		requester: quota.NewRequester(config.PeerAddress, config.Zone, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 	}
-	c.asker.RecordContact(config.Started)
-	c.SetKeepers(config.Seeds)
+	c.requester.RecordContact(config.StartTime)
+	c.SetServers(config.Seeds)
 	return c
 }
 
-// SetKeepers takes over the routers that keep limits. A router without any others
-// keeps them alone.
-func (c *Client) SetKeepers(seeds []string) {
+// SetServers replaces the routers that serve shares of the limits. A router without a peer address
+// is its own only server.
+func (c *Client) SetServers(seeds []string) {
 	if c.config.PeerAddress == "" {
 		seeds = []string{c.config.PeerAddress}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asker.Servers().Set(seeds)
+	c.requester.Servers().Set(seeds)
 }
 
-// Spending is what one call spends of its tenant's limit.
+// Spending is the amount that one call spends of its tenant's limit.
 type Spending struct {
 	Tenant string
 	Amount float64
 	Limit  quota.Limit
 }
 
-// Decider names who decided about a spending, in logs and counters.
+// Decider identifies who decided about a spending, in logs and metrics.
 type Decider string
 
-// The deciders.
+// Values of Decider.
 const (
-	ByKeeper Decider = "keeper"
-	// ByEarlierRefusal: all keepers have just refused the tenant.
-	ByEarlierRefusal Decider = "earlier refusal"
-	// ByItself: no keeper answered in time.
-	ByItself Decider = "alone"
-	// BySize: the request is larger than the limit ever allows.
+	// ByServer means that a quota server decided.
+	ByServer Decider = "keeper"
+	// ByCachedRefusal means that the last refusals of all servers for the tenant are still valid.
+	ByCachedRefusal Decider = "earlier refusal"
+	// ByLocalBucket means that no server replied in time and this router decided itself.
+	ByLocalBucket Decider = "alone"
+	// BySize means that the amount is larger than the limit ever allows.
 	BySize Decider = "size"
 )
 
 // Decision is the outcome for one call.
 type Decision struct {
 	quota.Result
-	By Decider
-	// Keeper is whose part was spent from, empty when none was.
-	Keeper string
-	// SpentInWindow is what the keepers that refused had granted within the window, and BelowLimit
-	// is set when all parts refused though the limit as a whole had room.
+	DecidedBy Decider
+	// Server is the address of the server that granted the amount, or empty if none did.
+	Server string
+	// SpentInWindow is what the servers that refused had granted within the window. BelowLimit is
+	// set if all servers refused although the limit as a whole would have allowed the amount.
 	SpentInWindow float64
 	BelowLimit    bool
 }
 
-// Decide asks the keepers, the nearest first, until one grants the spending, all
-// have refused it or the time to wait is over. That time begins when the caller's
-// request is there: until then answers may queue behind it on this router's link.
-func (c *Client) Decide(ctx context.Context, s Spending, arrived <-chan struct{}) Decision {
+// Decide sends the request to the servers, the nearest first, until one grants the spending, all
+// have refused it or two hedge delays have passed. The first delay starts when received is closed,
+// which means that the caller's request has been received completely. Until then replies may queue
+// behind it on this router's link.
+func (c *Client) Decide(ctx context.Context, s Spending, received <-chan struct{}) Decision {
 	now := time.Now()
 	if s.Amount > s.Limit.MaxPerWindow() {
-		return Decision{By: BySize}
+		return Decision{DecidedBy: BySize}
 	}
 	c.mutex.Lock()
-	order, retryAfter := c.asker.Order(now, s.Tenant)
-	parts := c.asker.ShareCount()
-	hedge, reachable := c.asker.Servers().HedgeDelay(), c.asker.Servers().Reachable(now)
+	order, retryAfter := c.requester.Order(now, s.Tenant)
+	shareCount := c.requester.ShareCount()
+	hedgeDelay, reachable := c.requester.Servers().HedgeDelay(), c.requester.Servers().Reachable(now)
 	c.mutex.Unlock()
-	earlier := Decision{By: ByEarlierRefusal, Result: quota.Result{RetryAfter: retryAfter}}
+	cachedRefusal := Decision{DecidedBy: ByCachedRefusal, Result: quota.Result{RetryAfter: retryAfter}}
 	if len(order) == 0 {
-		return earlier
+		return cachedRefusal
 	}
 	if reachable {
-		if decision, answered := c.askInOrder(ctx, s, order, parts, hedge, arrived); answered {
+		if decision, answered := c.requestHedged(ctx, s, order, shareCount, hedgeDelay, received); answered {
 			return decision
 		}
 	} else {
 		c.probe(s, order[0])
 	}
 	if retryAfter > 0 {
-		// Some have just refused, and the others do not answer.
-		return earlier
+		// Some refusals are still valid, and the other servers do not reply.
+		return cachedRefusal
 	}
-	return Decision{By: ByItself, Result: c.decideAlone(s)}
+	return Decision{DecidedBy: ByLocalBucket, Result: c.decideLocally(s)}
 }
 
-// probe asks a silent keeper without waiting for it, to find out when it is back.
-func (c *Client) probe(s Spending, keeper string) {
+// probe sends a request to a silent server without waiting for the reply, to detect when the server
+// is available again.
+func (c *Client) probe(s Spending, server string) {
 	done := make(chan struct{})
 	close(done)
-	go c.ask(s, keeper, nil, done)
+	go c.requestFrom(s, server, nil, done)
 }
 
-func (c *Client) decideAlone(s Spending) quota.Result {
+// decideLocally decides without servers.
+func (c *Client) decideLocally(s Spending) quota.Result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.asker.DecideLocally(time.Now(), s.Tenant, s.Amount, s.Limit, c.config.Routers())
+	return c.requester.DecideLocally(time.Now(), s.Tenant, s.Amount, s.Limit, c.config.RouterCount())
 }
 
-// GiveBack returns a grant that was not used.
-func (c *Client) GiveBack(s Spending, keeper string) {
-	if keeper == c.config.PeerAddress {
+// RefundGrant returns a grant that was not used to the server.
+func (c *Client) RefundGrant(s Spending, server string) {
+	if server == c.config.PeerAddress {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.keeper.Refund(time.Now(), s.Tenant, s.Amount)
+		c.server.Refund(time.Now(), s.Tenant, s.Amount)
 		return
 	}
-	// One that is lost costs the tenant the amount once, which its rate makes up for.
-	c.config.Peers.Send(keeper, &wire.Envelope{Body: &wire.Envelope_QuotaReturn{
+	// If the message is lost, the tenant loses the amount once, which its rate makes up for.
+	c.config.Peers.Send(server, &wire.Envelope{Body: &wire.Envelope_QuotaReturn{
 		QuotaReturn: &wire.QuotaReturn{Tenant: s.Tenant, Amount: s.Amount},
 	}})
 }
 
-// Answer serves another router's question.
-func (c *Client) Answer(ask *wire.QuotaAsk) *wire.QuotaAnswer {
-	limit := quota.Limit{Rate: ask.GetRate(), Burst: ask.GetBurst(), Revision: ask.GetRevision(), Window: time.Duration(ask.GetWindowMillis()) * time.Millisecond}
+// HandleAsk handles a request of another router.
+func (c *Client) HandleAsk(request *wire.QuotaAsk) *wire.QuotaAnswer {
+	limit := quota.Limit{Rate: request.GetRate(), Burst: request.GetBurst(), Revision: request.GetRevision(), Window: time.Duration(request.GetWindowMillis()) * time.Millisecond}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.asker.Servers().IncludesSelf() {
+	if !c.requester.Servers().IncludesSelf() {
 		return &wire.QuotaAnswer{NotKeeper: true}
 	}
-	answer := c.keeper.Spend(time.Now(), ask.GetTenant(), ask.GetAmount(), limit, c.asker.ShareCount())
+	result := c.server.Spend(time.Now(), request.GetTenant(), request.GetAmount(), limit, c.requester.ShareCount())
 	return &wire.QuotaAnswer{
-		Granted: answer.Granted, Level: answer.Level, Spent: answer.Spent, Zone: c.config.Zone,
-		EmptyMicros: uint64(answer.ExhaustedFor.Microseconds()), RetryAfterMicros: uint64(answer.RetryAfter.Microseconds()),
+		Granted: result.Granted, Level: result.Level, Spent: result.Spent, Zone: c.config.Zone,
+		EmptyMicros: uint64(result.ExhaustedFor.Microseconds()), RetryAfterMicros: uint64(result.RetryAfter.Microseconds()),
 	}
 }
 
-// Returned takes back what another router did not use.
-func (c *Client) Returned(unused *wire.QuotaReturn) {
+// HandleReturn handles a refund of another router.
+func (c *Client) HandleReturn(refund *wire.QuotaReturn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.keeper.Refund(time.Now(), unused.GetTenant(), unused.GetAmount())
+	c.server.Refund(time.Now(), refund.GetTenant(), refund.GetAmount())
 }
 
-// Tenants counts the tenants whose limits this router keeps a part of.
-func (c *Client) Tenants() float64 {
+// TenantCount returns the number of tenants whose limits this router holds a share of.
+func (c *Client) TenantCount() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return float64(c.keeper.TenantCount())
+	return float64(c.server.TenantCount())
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,29 +11,31 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// fakeKeeper answers questions with a grant or not at all, and keeps what is given back.
-type fakeKeeper struct {
-	silent   bool
-	returned chan *wire.QuotaReturn
+// fakePeers grants every request, or does not reply if silent, and records refunds.
+type fakePeers struct {
+	silent  bool
+	refunds chan *wire.QuotaReturn
 }
 
-func (k *fakeKeeper) Call(string, *wire.Envelope) (*wire.Envelope, time.Duration) {
-	if k.silent {
+func (p *fakePeers) Call(string, *wire.Envelope) (*wire.Envelope, time.Duration) {
+	if p.silent {
 		return nil, time.Millisecond
 	}
 	return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: &wire.QuotaAnswer{Granted: true}}}, time.Millisecond
 }
 
-func (k *fakeKeeper) Send(_ string, message *wire.Envelope) { k.returned <- message.GetQuotaReturn() }
+func (p *fakePeers) Send(_ string, message *wire.Envelope) { p.refunds <- message.GetQuotaReturn() }
 
-func newClient(keeper *fakeKeeper) *Client {
+// newClient returns a client with one server that is reached through the peers.
+func newClient(peers *fakePeers) *Client {
 	return New(Config{
-		PeerAddress: "10.0.0.1:1", Zone: "a", Seeds: []string{"10.0.0.2:1"}, Started: time.Now().Add(-time.Minute), Peers: keeper,
-		Routers: func() int { return 2 }, Asked: func(bool, time.Duration) {},
+		PeerAddress: "10.0.0.1:1", Zone: "a", Seeds: []string{"10.0.0.2:1"}, StartTime: time.Now().Add(-time.Minute), Peers: peers,
+		RouterCount: func() int { return 2 }, ObserveCall: func(bool, time.Duration) {},
 	})
 }
 
-func arrived() <-chan struct{} {
+// closedChannel returns a channel that is closed.
+func closedChannel() <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
@@ -41,26 +43,26 @@
 
 var spending = Spending{Tenant: "t", Amount: 10, Limit: quota.Limit{Rate: 100, Burst: 100, Window: time.Second}}
 
-func TestGrantOfAKeeperIsTakenAndGivenBack(t *testing.T) {
+func TestDecideReturnsGrantOfServerAndRefundsIt(t *testing.T) {
 	g := NewWithT(t)
-	keeper := &fakeKeeper{returned: make(chan *wire.QuotaReturn, 1)}
-	c := newClient(keeper)
-	decision := c.Decide(context.Background(), spending, arrived())
+	peers := &fakePeers{refunds: make(chan *wire.QuotaReturn, 1)}
+	c := newClient(peers)
+	decision := c.Decide(context.Background(), spending, closedChannel())
 	g.Expect(decision.Granted).To(BeTrue())
-	g.Expect(decision.By).To(Equal(ByKeeper))
-	c.GiveBack(spending, decision.Keeper)
-	g.Expect((<-keeper.returned).GetAmount()).To(Equal(10.0))
+	g.Expect(decision.DecidedBy).To(Equal(ByServer))
+	c.RefundGrant(spending, decision.Server)
+	g.Expect((<-peers.refunds).GetAmount()).To(Equal(10.0))
 }
 
-func TestRouterDecidesAloneWhenNoKeeperAnswers(t *testing.T) {
+func TestDecideUsesLocalBucketWithoutReply(t *testing.T) {
 	g := NewWithT(t)
-	decision := newClient(&fakeKeeper{silent: true}).Decide(context.Background(), spending, arrived())
-	g.Expect(decision.By).To(Equal(ByItself))
+	decision := newClient(&fakePeers{silent: true}).Decide(context.Background(), spending, closedChannel())
+	g.Expect(decision.DecidedBy).To(Equal(ByLocalBucket))
 }
 
-func TestRequestLargerThanTheLimitIsRefusedAtOnce(t *testing.T) {
+func TestDecideRefusesRequestLargerThanLimit(t *testing.T) {
 	large := spending
 	large.Amount = 1000
-	decision := newClient(&fakeKeeper{silent: true}).Decide(context.Background(), large, arrived())
-	NewWithT(t).Expect(decision.By).To(Equal(BySize))
+	decision := newClient(&fakePeers{silent: true}).Decide(context.Background(), large, closedChannel())
+	NewWithT(t).Expect(decision.DecidedBy).To(Equal(BySize))
 }
