--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -254,15 +254,15 @@
 	model, version := object.Weights.Model, object.Weights.Version
 	news := g.newsOfWeights(now, object.Revision)
 	g.mutex.Lock()
-	known := g.bounds.Of(model)
-	if version <= known.Named() {
+	known := g.bounds.ForModel(model)
+	if version <= known.NamedVersion() {
 		g.mutex.Unlock()
 		return
 	}
-	known.Learn(version, news)
-	g.runners.Weights().Name(model, version, namings.Older(g.settings.namingTimes(), news))
+	known.RecordNaming(version, news)
+	g.runners.Weights().Name(model, version, namings.OlderVersionDeadlines(g.settings.namingTimes(), news))
 	g.countOlder(model, known)
-	until := known.OlderUntil(g.settings.namingTimes())
+	until := known.OldestExpiry(g.settings.namingTimes())
 	g.mutex.Unlock()
 	g.log.Log(events.WeightsNamed, events.Fields{
 		"model": model, "version": version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -23,16 +23,16 @@
 
 // namingTimes are the times by which older weights are used.
 func (s *Settings) namingTimes() namings.Config {
-	return namings.Config{Deadline: s.WeightDeadline, Grace: s.WeightGrace, Settle: s.SettleTime, LostNews: lostNews}
+	return namings.Config{Deadline: s.WeightDeadline, GracePeriod: s.WeightGrace, SettlePeriod: s.SettleTime, MaxLossDelay: lostNews}
 }
 
 // newsOfWeights returns what is known of weights that were named at the revision, before
 // they are taken into the copy.
-func (g *Gateway) newsOfWeights(now time.Time, revision storerev.Revision) namings.News {
+func (g *Gateway) newsOfWeights(now time.Time, revision storerev.Revision) namings.Observation {
 	proven := g.copies.provenAt(WeightObjects)
-	return namings.News{
-		Learned: now, Started: g.started, Disturbed: g.disturbance.latest(), Alone: g.relays.alone(),
-		Proven: proven, Before: namings.Later(proven, g.copies.checkpoints.before(revision)),
+	return namings.Observation{
+		LearnedAt: now, StartedAt: g.started, StoreFailures: g.disturbance.latest(), SingleRouter: g.relays.alone(),
+		CopyCurrentAt: proven, NotNamedAt: namings.Later(proven, g.copies.checkpoints.before(revision)),
 	}
 }
 
--- a/internal/gateway/weighttold.go
+++ b/internal/gateway/weighttold.go
@@ -17,8 +17,8 @@
 	defer g.mutex.Unlock()
 	now := g.now()
 	var told []*wire.WeightBound
-	for _, bound := range g.bounds.Firm(g.settings.namingTimes(), now, toldLifetimes*g.settings.WeightDeadline) {
-		told = append(told, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeMillis(now.Sub(bound.Before()))})
+	for _, bound := range g.bounds.ReportableBounds(g.settings.namingTimes(), now, toldLifetimes*g.settings.WeightDeadline) {
+		told = append(told, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeMillis(now.Sub(bound.NotNamedAt()))})
 	}
 	return told
 }
@@ -35,16 +35,16 @@
 func (g *Gateway) takeBound(model string, version uint64, before time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	known := g.bounds.Of(model)
-	if !known.Take(g.settings.namingTimes(), version, before) {
+	known := g.bounds.ForModel(model)
+	if !known.RecordReport(g.settings.namingTimes(), version, before) {
 		return
 	}
 	g.countOlder(model, known)
-	g.log.Log(events.WeightsBounded, events.Fields{"model": model, "version": known.Named(), "told": version, "older_until_ms": g.until(known.OlderUntil(g.settings.namingTimes())).Milliseconds()})
+	g.log.Log(events.WeightsBounded, events.Fields{"model": model, "version": known.NamedVersion(), "told": version, "older_until_ms": g.until(known.OldestExpiry(g.settings.namingTimes())).Milliseconds()})
 }
 
 // countOlder puts the deadlines of the model's older weights in force. The mutex is held.
-func (g *Gateway) countOlder(model string, known *namings.Model) {
+func (g *Gateway) countOlder(model string, known *namings.History) {
 	deadlines := known.Deadlines(g.settings.namingTimes())
 	g.runners.Weights().SetDeadlines(model, deadlines)
 	for _, older := range deadlines {
--- a/internal/namings/table.go
+++ b/internal/namings/table.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Table holds what is known of when the weights of each model were named. A router that was
-// held up alone learns from the others how much time older weights have left: not what it
-// would count by itself, and not none. It is not safe for concurrent use.
-type Table map[string]*Model
+// Table holds the naming history of each model by name. A router that learned late because it was
+// paused gets from the reports of others how much time older weights really have left, which is
+// more than its own observation implies. A Table is not safe for concurrent use.
+type Table map[string]*History
 
-// Of returns what is known of the model's weights.
-func (t Table) Of(model string) *Model {
+// ForModel returns the history of a model and adds it if it is missing.
+func (t Table) ForModel(model string) *History {
 	if t[model] == nil {
-		t[model] = &Model{}
+		t[model] = &History{}
 	}
 	return t[model]
 }
 
-// ModelBound is a bound with the name of its model.
+// ModelBound is a bound and the name of its model.
 type ModelBound struct {
 	Bound
 	Model string
 }
 
-// Firm returns what may be told to others, for as long as older weights may be in use.
-func (t Table) Firm(c Config, now time.Time, kept time.Duration) []ModelBound {
+// ReportableBounds returns the bounds of all models to report to other routers that are not older
+// than maxAge.
+func (t Table) ReportableBounds(c Config, now time.Time, maxAge time.Duration) []ModelBound {
 	var bounds []ModelBound
-	for model, known := range t {
-		for _, bound := range known.Firm(c, now, kept) {
+	for model, history := range t {
+		for _, bound := range history.ReportableBounds(c, now, maxAge) {
 			bounds = append(bounds, ModelBound{bound, model})
 		}
 	}
