--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -49,7 +49,7 @@
 		deltas, _ := r.unpack(body.CopyPush.GetDeltas())
 		r.applyDeltas(deltas, proof{})
 	case *wire.Envelope_QuotaAsk:
-		return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: r.gateway.limits.Answer(body.QuotaAsk)}}
+		return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: r.gateway.limits.HandleAsk(body.QuotaAsk)}}
 	case *wire.Envelope_RunnerAsk:
 		return &wire.Envelope{Body: &wire.Envelope_RunnerAnswer{RunnerAnswer: r.gateway.schedulers.place(envelope, body.RunnerAsk)}}
 	case *wire.Envelope_SendNotice:
@@ -61,7 +61,7 @@
 	case *wire.Envelope_SignalNews:
 		r.gateway.signals.learn(body.SignalNews.GetSignals())
 	case *wire.Envelope_QuotaReturn:
-		r.gateway.limits.Returned(body.QuotaReturn)
+		r.gateway.limits.HandleReturn(body.QuotaReturn)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	own = r.routersBehind(now)
-	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.Seeds(), own)))
+	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.SeedCount(), own)))
 	return own
 }
 
@@ -181,7 +181,7 @@
 func (r *relays) toldBehind(seed string, routers int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter.Told(r.gateway.now(), seed, routers)
+	r.counter.Report(r.gateway.now(), seed, routers)
 }
 
 // referral returns whom the asking router is to pull from: at a seed one of the
@@ -192,9 +192,9 @@
 		return ""
 	}
 	if !r.chooser.IsSeed() {
-		return r.chooser.Referred()
+		return r.chooser.Relay()
 	}
-	asker := relay.Asker{
+	asker := relay.Router{
 		Address: pull.GetPeerAddress(), Zone: pull.GetZone(),
 		Capacity: int(pull.GetCapacity()), Followers: int(pull.GetFollowers()),
 	}
