--- a/internal/gateway/copyproofs.go
+++ b/internal/gateway/copyproofs.go
@@ -77,7 +77,7 @@
 		if !known {
 			continue
 		}
-		proofs = append(proofs, &wire.CopyProof{Kind: uint32(kind), AgeMillis: wire.AgeMillis(age), Revision: uint64(c.revision(kind))})
+		proofs = append(proofs, &wire.CopyProof{Kind: uint32(kind), AgeMillis: wire.AgeToMillis(age), Revision: uint64(c.revision(kind))})
 	}
 	return proofs
 }
@@ -86,11 +86,11 @@
 // with some slack those of runners and weights.
 func recent(answer *wire.CopyAnswer, oldest time.Duration) bool {
 	for _, told := range answer.GetProofs() {
-		if wire.Age(told.GetAgeMillis()) > oldest+copySlack {
+		if wire.AgeFromMillis(told.GetAgeMillis()) > oldest+copySlack {
 			return false
 		}
 	}
-	return wire.Age(answer.GetProofAgeMillis()) <= oldest
+	return wire.AgeFromMillis(answer.GetProofAgeMillis()) <= oldest
 }
 
 // checkProofs takes another router's word on how old its copies may be. A version of the
@@ -99,7 +99,7 @@
 func (r *relays) checkProofs(answer *wire.CopyAnswer, sent time.Time, configAge time.Duration) {
 	copies := r.gateway.copies
 	if answer.GetStoreRevision() > 0 {
-		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sent.Add(-wire.Age(answer.GetStoreAgeMillis()))})
+		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sent.Add(-wire.AgeFromMillis(answer.GetStoreAgeMillis()))})
 	}
 	if !answer.GetTellsProofs() {
 		newest, _ := copies.checkpoints.newest()
@@ -111,7 +111,7 @@
 	for _, told := range answer.GetProofs() {
 		kind := ObjectKind(told.GetKind())
 		if int(kind) < len(objectKinds) && kind != ConfigObjects {
-			copies.check(kind, checkpoint{revision: storerev.Revision(told.GetRevision()), at: sent.Add(-wire.Age(told.GetAgeMillis()))})
+			copies.check(kind, checkpoint{revision: storerev.Revision(told.GetRevision()), at: sent.Add(-wire.AgeFromMillis(told.GetAgeMillis()))})
 		}
 	}
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -186,7 +186,7 @@
 func (r *relays) pullFrom(address string) bool {
 	answer, sent := r.askFor(address)
 	now := r.gateway.now()
-	age := wire.Age(answer.GetProofAgeMillis())
+	age := wire.AgeFromMillis(answer.GetProofAgeMillis())
 	known := answer.GetProven() || answer.GetUnconfigured()
 	deltas, readable := r.unpack(answer.GetDeltas())
 	// A router that knows nothing of the era of this one's copies proves none of them.
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -86,15 +86,15 @@
 	// The proof is read before the copies: what is given is at least as new.
 	if current := g.view.Load(); current != nil && !current.provenAt.IsZero() {
 		answer.Proven = true
-		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(current.provenAt))
+		answer.ProofAgeMillis = wire.AgeToMillis(r.gateway.since(current.provenAt))
 	} else if empty := g.unconfigured.Load(); empty != nil {
 		answer.Unconfigured = true
-		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(*empty))
+		answer.ProofAgeMillis = wire.AgeToMillis(r.gateway.since(*empty))
 	}
 	answer.Suspects, answer.Signals = g.suspects.answer(pull), g.signals.answer(pull)
 	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.firmBounds()
 	if newest, known := g.copies.checkpoints.newest(); known {
-		answer.StoreRevision, answer.StoreAgeMillis = uint64(newest.revision), wire.AgeMillis(r.gateway.since(newest.at))
+		answer.StoreRevision, answer.StoreAgeMillis = uint64(newest.revision), wire.AgeToMillis(r.gateway.since(newest.at))
 	}
 	for _, have := range pull.GetHave() {
 		kind := ObjectKind(have.GetKind())
--- a/internal/gateway/signalnews.go
+++ b/internal/gateway/signalnews.go
@@ -25,7 +25,7 @@
 	if moment.IsZero() {
 		return false, 0
 	}
-	return true, wire.AgeMillis(now.Sub(moment))
+	return true, wire.AgeToMillis(now.Sub(moment))
 }
 
 // signalsOf reads what signalMessages wrote.
@@ -50,5 +50,5 @@
 	if !known {
 		return time.Time{}
 	}
-	return now.Add(-wire.Age(ageMillis))
+	return now.Add(-wire.AgeFromMillis(ageMillis))
 }
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -149,7 +149,7 @@
 	if !answer.Proven || answer.StoreOnly {
 		return answer
 	}
-	answer.ProofAgeMillis = wire.AgeMillis(g.since(current.provenAt))
+	answer.ProofAgeMillis = wire.AgeToMillis(g.since(current.provenAt))
 	for _, have := range pull.GetHave() {
 		if kind := ObjectKind(have.GetKind()); int(kind) < len(objectKinds) {
 			answer.Deltas = append(answer.Deltas, g.relays.changes(kind, 0))
--- a/internal/gateway/suspectnews.go
+++ b/internal/gateway/suspectnews.go
@@ -18,12 +18,12 @@
 	for _, record := range records {
 		message := &wire.SuspectRecord{Tenant: record.Content.Tenant, Digest: record.Content.Digest, Outlived: !record.OutlivedAt.IsZero()}
 		if message.Outlived {
-			message.OutlivedAgeMillis = wire.AgeMillis(now.Sub(record.OutlivedAt))
+			message.OutlivedAgeMillis = wire.AgeToMillis(now.Sub(record.OutlivedAt))
 		}
 		for _, end := range record.Ends {
 			message.Ends = append(message.Ends, &wire.RunnerEnd{
 				Runner: end.Runner.ID, Incarnation: end.Runner.Incarnation,
-				AgeMillis: wire.AgeMillis(now.Sub(end.At)), BeganAgeMillis: wire.AgeMillis(now.Sub(end.Began)),
+				AgeMillis: wire.AgeToMillis(now.Sub(end.At)), BeganAgeMillis: wire.AgeToMillis(now.Sub(end.Began)),
 			})
 		}
 		messages = append(messages, message)
@@ -37,12 +37,12 @@
 	for _, message := range messages {
 		record := quarantine.Record{Content: quarantine.Content{Tenant: message.GetTenant(), Digest: message.GetDigest()}}
 		if message.GetOutlived() {
-			record.OutlivedAt = now.Add(-wire.Age(message.GetOutlivedAgeMillis()))
+			record.OutlivedAt = now.Add(-wire.AgeFromMillis(message.GetOutlivedAgeMillis()))
 		}
 		for _, end := range message.GetEnds() {
 			record.Ends = append(record.Ends, quarantine.End{
 				Runner: quarantine.Runner{ID: end.GetRunner(), Incarnation: end.GetIncarnation()},
-				At:     now.Add(-wire.Age(end.GetAgeMillis())), Began: now.Add(-wire.Age(end.GetBeganAgeMillis())),
+				At:     now.Add(-wire.AgeFromMillis(end.GetAgeMillis())), Began: now.Add(-wire.AgeFromMillis(end.GetBeganAgeMillis())),
 			})
 		}
 		records = append(records, record)
--- a/internal/gateway/weighttold.go
+++ b/internal/gateway/weighttold.go
@@ -18,7 +18,7 @@
 	now := g.now()
 	var told []*wire.WeightBound
 	for _, bound := range g.bounds.Firm(g.settings.namingTimes(), now, toldLifetimes*g.settings.WeightDeadline) {
-		told = append(told, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeMillis(now.Sub(bound.Before()))})
+		told = append(told, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeToMillis(now.Sub(bound.Before()))})
 	}
 	return told
 }
@@ -28,7 +28,7 @@
 // the kind: one may be read long after it was sent, and ages count from the sending.
 func (g *Gateway) takeBounds(bounds []*wire.WeightBound, sent time.Time) {
 	for _, bound := range bounds {
-		g.takeBound(bound.GetModel(), bound.GetVersion(), sent.Add(-wire.Age(bound.GetAgeMillis())))
+		g.takeBound(bound.GetModel(), bound.GetVersion(), sent.Add(-wire.AgeFromMillis(bound.GetAgeMillis())))
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -280,7 +280,7 @@
 func (n *Node) Revision() uint64 { return n.snapshot.Load().Revision }
 
 // SetCut cuts the router off from the named routers; it is a fault setting.
-func (n *Node) SetCut(nodes []string) { n.transport.SetCut(nodes) }
+func (n *Node) SetCut(nodes []string) { n.transport.SetPartitioned(nodes) }
 
 // Stop ends the router as planned: it announces that it leaves, hands its
 // duties over, finishes every open request and then returns.
--- a/internal/wire/accept.go
+++ b/internal/wire/accept.go
@@ -20,18 +20,18 @@
 			connection.Close()
 			return
 		}
-		t.accepted[connection] = struct{}{}
+		t.acceptedConnections[connection] = struct{}{}
 		t.mutex.Unlock()
 		go t.serve(connection)
 	}
 }
 
-// serve reads frames from an accepted connection and writes replies to it.
+// serve handles the frames of an accepted connection in order, until it ends.
 func (t *Transport) serve(connection net.Conn) {
 	defer func() {
 		connection.Close()
 		t.mutex.Lock()
-		delete(t.accepted, connection)
+		delete(t.acceptedConnections, connection)
 		t.mutex.Unlock()
 	}()
 	replies := newConnectionWriter(connection)
@@ -44,13 +44,14 @@
 			t.countMalformed(err)
 			return
 		}
-		if t.isCut(envelope.GetFrom()) {
+		if t.isPartitioned(envelope.GetFrom()) {
 			continue
 		}
 		t.handle(envelope, replies)
 	}
 }
 
+// countMalformed counts err if it is caused by a malformed frame.
 func (t *Transport) countMalformed(err error) {
 	for _, malformed := range []error{ErrFrameTooLarge, ErrFrameEmpty, ErrFrameVersion, ErrFrameMalformed} {
 		if errors.Is(err, malformed) {
@@ -59,6 +60,8 @@
 	}
 }
 
+// handle passes one message to the handler and queues the reply, if the sender expects one and
+// its deadline has not passed.
 func (t *Transport) handle(envelope *Envelope, replies *connectionWriter) {
 	ctx := context.Background()
 	if envelope.GetDeadlineMillis() > 0 {
@@ -67,8 +70,8 @@
 		defer cancel()
 	}
 	reply := t.handler(ctx, envelope)
-	if reply == nil && asksAcknowledgement(envelope) {
-		reply = acknowledgement()
+	if reply == nil && requestsAck(envelope) {
+		reply = newAck()
 	}
 	if reply == nil || envelope.GetCallId() == 0 || ctx.Err() != nil {
 		return
@@ -81,7 +84,7 @@
 	if err != nil {
 		return
 	}
-	if replies.offer(frame) {
+	if replies.tryEnqueue(frame) {
 		t.counters.FramesSent.Add(1)
 		t.counters.BytesSent.Add(uint64(len(frame)))
 	} else {
--- a/internal/wire/age.go
+++ b/internal/wire/age.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// AgeMillis is an age as messages tell it: whole milliseconds, rounded up, so that nothing
-// is taken for newer than it is.
-func AgeMillis(age time.Duration) uint64 { return uint64(max(age.Milliseconds(), 0)) + 1 }
+// AgeToMillis encodes an age for a message in whole milliseconds. It rounds up, so that the
+// receiver never takes anything for newer than it is.
+func AgeToMillis(age time.Duration) uint64 { return uint64(max(age.Milliseconds(), 0)) + 1 }
 
-// Age is the age that a message tells in milliseconds.
-func Age(millis uint64) time.Duration { return time.Duration(millis) * time.Millisecond }
+// AgeFromMillis decodes an age from a message.
+func AgeFromMillis(millis uint64) time.Duration { return time.Duration(millis) * time.Millisecond }
--- a/internal/wire/age_test.go
+++ b/internal/wire/age_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestToldAgesAreNeverBelowTheTrueOnes(t *testing.T) {
+func TestEncodedAgeIsNeverBelowActualAge(t *testing.T) {
 	g := NewWithT(t)
 	for _, age := range []time.Duration{-time.Second, 0, time.Microsecond, time.Millisecond, 1999500 * time.Microsecond} {
-		told := Age(AgeMillis(age))
-		g.Expect(told).To(BeNumerically(">", age))
-		g.Expect(told).To(BeNumerically("<=", max(age, 0)+time.Millisecond))
+		decoded := AgeFromMillis(AgeToMillis(age))
+		g.Expect(decoded).To(BeNumerically(">", age))
+		g.Expect(decoded).To(BeNumerically("<=", max(age, 0)+time.Millisecond))
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,19 +10,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Frame layout: 4 bytes big-endian length of what follows, 1 byte protocol
-// version, then the encoded Envelope.
+// A frame consists of a 4-byte big-endian length of the rest of the frame, a 1-byte protocol
+// version and the encoded Envelope.
 const (
 	// ProtocolVersion is the version byte of every frame.
 	ProtocolVersion = 1
-	// MaxFrameBytes bounds a frame after its length field. A full configuration
-	// of 22,000 tenants is about 8 MB.
+	// MaxFrameBytes bounds a frame without its length field. A full configuration of 22,000
+	// tenants takes about 8 MB.
 	MaxFrameBytes = 32 << 20
 
-	lengthBytes = 4
+	lengthFieldBytes = 4
 )
 
-// Errors of malformed frames. Each of them closes the connection it came on.
+// Errors of malformed frames. Each of them closes the connection on which the frame arrived.
 var (
 	ErrFrameTooLarge  = errors.New("frame is longer than the limit")
 	ErrFrameEmpty     = errors.New("frame has no version byte")
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	length := len(buffer) - start - lengthBytes
+	length := len(buffer) - start - lengthFieldBytes
 	if length > MaxFrameBytes {
 		return nil, trace.Wrap(ErrFrameTooLarge)
 	}
@@ -46,10 +46,10 @@
 	return buffer, nil
 }
 
-// ReadFrame reads one frame. io.EOF means that the peer closed between frames;
-// any other error means that the connection can no longer be used.
+// ReadFrame reads one frame. It returns io.EOF if the peer closed the connection between two
+// frames. After any other error the connection can no longer be used.
 func ReadFrame(reader *bufio.Reader) (*Envelope, error) {
-	var header [lengthBytes]byte
+	var header [lengthFieldBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, err
 	}
@@ -77,15 +77,15 @@
 	return envelope, nil
 }
 
-// readPayload grows its buffer as bytes arrive, so that a false length field
-// cannot make the process allocate what was never sent.
+// readPayload reads length bytes. It grows its buffer as bytes arrive, so that a false length
+// field cannot make the process allocate memory for bytes that are never sent.
 func readPayload(reader io.Reader, length int) ([]byte, error) {
-	const step = 64 << 10
-	payload := make([]byte, 0, min(length, step))
+	const maxChunkBytes = 64 << 10
+	payload := make([]byte, 0, min(length, maxChunkBytes))
 	for len(payload) < length {
-		chunk := min(length-len(payload), step)
+		chunkBytes := min(length-len(payload), maxChunkBytes)
 		start := len(payload)
-		payload = append(payload, make([]byte, chunk)...)
+		payload = append(payload, make([]byte, chunkBytes)...)
 		if _, err := io.ReadFull(reader, payload[start:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil, io.ErrUnexpectedEOF
--- a/internal/wire/longcall_test.go
+++ b/internal/wire/longcall_test.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// directoryTime is the time of a first pull of the whole directory.
-	directoryTime = 2 * time.Second
-	// slowSequence is the sequence of the heartbeat that slowly answers late.
+	// directoryPullTimeout is the timeout of a first pull of the whole directory.
+	directoryPullTimeout = 2 * time.Second
+	// slowSequence is the sequence number of the heartbeat that slowHandler answers late.
 	slowSequence = 1
-	// slowTime is over the time of a silent connection.
-	slowTime = 600 * time.Millisecond
+	// slowHandlerDelay is longer than silenceTimeout.
+	slowHandlerDelay = 600 * time.Millisecond
 )
 
-// slowly takes its time over one message, as a router that many ask for the whole
-// directory. Later messages on the connection wait for it.
-func slowly(ctx context.Context, envelope *Envelope) *Envelope {
+// slowHandler answers one message after slowHandlerDelay, like a router from which many others
+// pull the whole directory. Later messages on the connection wait for it.
+func slowHandler(ctx context.Context, envelope *Envelope) *Envelope {
 	if envelope.GetHeartbeat().GetSequence() != slowSequence {
 		return nil
 	}
-	time.Sleep(slowTime)
+	time.Sleep(slowHandlerDelay)
 	return echo(ctx, envelope)
 }
 
-// sendOften sends one-way messages until the returned function is called.
-func (p *path) sendOften(interval time.Duration) (stop func()) {
+// sendPeriodically sends one-way messages until the returned function is called.
+func (p *proxiedPair) sendPeriodically(interval time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for ctx.Err() == nil {
@@ -41,62 +41,62 @@
 	return cancel
 }
 
-// A connection was closed by its one-way messages while an answer was due that had
-// more time than a connection may bring nothing.
-func TestLongCallOutlastsOneWayMessagesOnItsConnection(t *testing.T) {
+// Guards against closing a connection during a long call: unanswered one-way messages made it
+// look silent before the reply to the call was due.
+func TestOneWayMessagesDoNotCloseConnectionWithLongCall(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	p := newPath(t, slowly)
-	defer p.sendOften(50 * time.Millisecond)()
-	g.Expect(p.call(slowSequence, directoryTime)).To(BeTrue())
-	g.Expect(p.listener.accepted.Load()).To(BeNumerically("==", 1))
-	g.Expect(p.client.Counters().SilentConnections.Load()).To(BeZero())
+	pair := newProxiedPair(t, slowHandler)
+	defer pair.sendPeriodically(50 * time.Millisecond)()
+	g.Expect(pair.call(slowSequence, directoryPullTimeout)).To(BeTrue())
+	g.Expect(pair.listener.accepted.Load()).To(BeNumerically("==", 1))
+	g.Expect(pair.client.Counters().SilentConnections.Load()).To(BeZero())
 }
 
-// A long call does not keep a silent connection once its time has run out, nor after
-// it was answered.
-func TestSilentConnectionIsReplacedAfterALongCall(t *testing.T) {
+// A long call must not keep a silent connection open after its timeout or after its reply.
+func TestSilentConnectionIsReplacedAfterLongCallEnds(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	p := newPath(t, echo)
-	g.Expect(p.call(1, directoryTime)).To(BeTrue())
-	p.proxy.Set(faultproxy.Mute)
-	g.Expect(p.call(2, pullTime)).To(BeFalse())
-	g.Expect(p.call(3, pullTime)).To(BeTrue(), "the answered call does not keep it")
-	p.proxy.Set(faultproxy.Mute)
-	g.Expect(p.call(4, time.Second)).To(BeFalse())
-	g.Expect(p.call(5, pullTime)).To(BeTrue(), "the call whose time has run out does not keep it")
+	pair := newProxiedPair(t, echo)
+	g.Expect(pair.call(1, directoryPullTimeout)).To(BeTrue())
+	pair.proxy.Set(faultproxy.Mute)
+	g.Expect(pair.call(2, pullTimeout)).To(BeFalse())
+	g.Expect(pair.call(3, pullTimeout)).To(BeTrue(), "the connection was not replaced after an answered long call")
+	pair.proxy.Set(faultproxy.Mute)
+	g.Expect(pair.call(4, time.Second)).To(BeFalse())
+	g.Expect(pair.call(5, pullTimeout)).To(BeTrue(), "the connection was not replaced after a long call timed out")
 }
 
-// Nothing comes on a connection that was closed, so calls on it need not wait any more.
-func TestCallsOnASilentConnectionEndWithIt(t *testing.T) {
+// No reply can arrive on a closed connection, so calls on it must fail when it closes and not
+// only at their deadlines.
+func TestPendingCallsFailWhenSilentConnectionCloses(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	p := newPath(t, echo)
-	g.Expect(p.call(1, time.Second)).To(BeTrue())
-	p.proxy.Set(faultproxy.Mute)
-	began := time.Now()
-	ended := make(chan bool, 1)
-	go func() { ended <- p.call(2, 2*pullTime) }()
+	pair := newProxiedPair(t, echo)
+	g.Expect(pair.call(1, time.Second)).To(BeTrue())
+	pair.proxy.Set(faultproxy.Mute)
+	start := time.Now()
+	answered := make(chan bool, 1)
+	go func() { answered <- pair.call(2, 2*pullTimeout) }()
 	time.Sleep(10 * time.Millisecond)
-	g.Expect(p.call(3, pullTime)).To(BeFalse())
-	g.Expect(<-ended).To(BeFalse())
-	t.Logf("ended after %v", time.Since(began).Round(time.Millisecond))
-	g.Expect(time.Since(began)).To(BeNumerically("<", 2*pullTime-50*time.Millisecond))
+	g.Expect(pair.call(3, pullTimeout)).To(BeFalse())
+	g.Expect(<-answered).To(BeFalse())
+	t.Logf("call failed after %v", time.Since(start).Round(time.Millisecond))
+	g.Expect(time.Since(start)).To(BeNumerically("<", 2*pullTimeout-50*time.Millisecond))
 }
 
-func TestLimitOfSilenceOfAConnectionWithALongCall(t *testing.T) {
+func TestSilenceTimeoutDuringLongCalls(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	s := newSilence(silentTime)
-	s.opened(now)
-	s.called(now)
-	s.longCallBegan()
-	s.longCallBegan()
-	g.Expect(s.tooLong(now.Add(longCallSilentTime - 1))).To(BeFalse())
-	g.Expect(s.tooLong(now.Add(longCallSilentTime))).To(BeTrue(), "calls one after another do not keep it for ever")
-	s.longCallEnded()
-	g.Expect(s.tooLong(now.Add(silentTime))).To(BeFalse(), "one is still open")
-	s.longCallEnded()
-	g.Expect(s.tooLong(now.Add(silentTime))).To(BeTrue())
+	detector := newSilenceDetector(silenceTimeout)
+	detector.recordOpened(now)
+	detector.recordRequest(now)
+	detector.beginLongCall()
+	detector.beginLongCall()
+	g.Expect(detector.detectSilence(now.Add(longCallSilenceTimeout - 1))).To(BeFalse())
+	g.Expect(detector.detectSilence(now.Add(longCallSilenceTimeout))).To(BeTrue(), "consecutive long calls must not keep the connection open indefinitely")
+	detector.endLongCall()
+	g.Expect(detector.detectSilence(now.Add(silenceTimeout))).To(BeFalse(), "one long call is still open")
+	detector.endLongCall()
+	g.Expect(detector.detectSilence(now.Add(silenceTimeout))).To(BeTrue())
 }
--- a/internal/wire/packed.go
+++ b/internal/wire/packed.go
@@ -8,17 +8,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Sizes of packed changes.
+// Sizes of encoded configuration deltas, in bytes.
 const (
-	// packFrom is the size in bytes from which changes are compressed.
-	packFrom = 4 << 10
-	// maxUnpacked bounds what a packed message may unpack to, in bytes.
-	maxUnpacked = 64 << 20
+	// compressionThreshold is the minimum size of a delta that is compressed.
+	compressionThreshold = 4 << 10
+	// maxDecompressedBytes bounds the size of a decompressed delta.
+	maxDecompressedBytes = 64 << 20
 )
 
-// PackCopyDelta encodes changes of one kind, compressed if they are large.
+// PackCopyDelta returns the message for a delta of one kind of objects. A delta of at least
+// compressionThreshold bytes is compressed with DEFLATE.
 func PackCopyDelta(kind uint32, delta *ConfigDelta) (*CopyDelta, error) {
-	if proto.Size(delta) < packFrom {
+	if proto.Size(delta) < compressionThreshold {
 		return &CopyDelta{Kind: kind, Delta: delta}, nil
 	}
 	encoded, err := proto.Marshal(delta)
@@ -39,17 +40,18 @@
 	return &CopyDelta{Kind: kind, Packed: packed.Bytes()}, nil
 }
 
-// UnpackCopyDelta returns the changes in the message.
+// UnpackCopyDelta returns the delta in the message. It returns ErrFrameTooLarge if the delta
+// decompresses to more than maxDecompressedBytes.
 func UnpackCopyDelta(message *CopyDelta) (*ConfigDelta, error) {
 	if len(message.GetPacked()) == 0 {
 		return message.GetDelta(), nil
 	}
 	reader := flate.NewReader(bytes.NewReader(message.GetPacked()))
-	encoded, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	encoded, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(encoded) > maxUnpacked {
+	if len(encoded) > maxDecompressedBytes {
 		return nil, ErrFrameTooLarge
 	}
 	delta := &ConfigDelta{}
--- a/internal/wire/packed_test.go
+++ b/internal/wire/packed_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func TestLargeChangesArePackedAndComeBack(t *testing.T) {
+func TestPackCopyDeltaRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	for _, objects := range []int{0, 1, 200} {
 		delta := &ConfigDelta{FromRevision: 3, ThroughRevision: 9, Full: objects > 1}
@@ -25,10 +25,10 @@
 	}
 }
 
-func TestSpoiltPackedChangesAreRefused(t *testing.T) {
+func TestUnpackCopyDeltaRejectsCorruptData(t *testing.T) {
 	g := NewWithT(t)
-	for _, spoilt := range [][]byte{{1}, []byte("not compressed at all")} {
-		_, err := UnpackCopyDelta(&CopyDelta{Packed: spoilt})
+	for _, corrupt := range [][]byte{{1}, []byte("not compressed at all")} {
+		_, err := UnpackCopyDelta(&CopyDelta{Packed: corrupt})
 		g.Expect(err).To(HaveOccurred())
 	}
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -10,61 +10,61 @@
 	"github.com/clovertiller/clovertiller/internal/tcpoption"
 )
 
-// peer owns the outgoing connection to one address. It ends when the
-// connection breaks, idles or answers nothing; the transport then makes a new one
-// on demand.
+// peer owns the outgoing connection to one address. It ends when the connection breaks,
+// becomes idle or falls silent. The transport then creates a new peer on demand.
 type peer struct {
 	transport *Transport
 	address   string
 	queue     chan []byte
 	stop      chan struct{}
 	stopOnce  sync.Once
-	silence   *silence
-	// silent is closed when the connection is closed since it fell silent.
-	silent     chan struct{}
-	silentOnce sync.Once
+	detector  *silenceDetector
+	// silenceDetected is closed when the connection is closed because it fell silent.
+	silenceDetected chan struct{}
+	silenceOnce     sync.Once
 }
 
-func newPeer(transport *Transport, address string, silence *silence) *peer {
+func newPeer(transport *Transport, address string, detector *silenceDetector) *peer {
 	return &peer{
-		transport: transport,
-		address:   address,
-		queue:     make(chan []byte, queueFrames),
-		stop:      make(chan struct{}),
-		silence:   silence,
-		silent:    make(chan struct{}),
+		transport:       transport,
+		address:         address,
+		queue:           make(chan []byte, maxQueuedFrames),
+		stop:            make(chan struct{}),
+		detector:        detector,
+		silenceDetected: make(chan struct{}),
 	}
 }
 
 func (p *peer) close() { p.stopOnce.Do(func() { close(p.stop) }) }
 
-// closeSilent closes the connection since it fell silent; calls on it end.
-func (p *peer) closeSilent() {
-	p.silentOnce.Do(func() {
+// closeAsSilent closes the connection because it fell silent. Calls that wait for a reply on
+// it fail.
+func (p *peer) closeAsSilent() {
+	p.silenceOnce.Do(func() {
 		p.transport.counters.SilentConnections.Add(1)
-		close(p.silent)
+		close(p.silenceDetected)
 	})
 	p.close()
 }
 
-// await waits for the answer to a call until the context ends or the connection is
-// closed since it fell silent. It returns why no answer came.
-func (p *peer) await(ctx context.Context, answer <-chan *Envelope, isLong bool) (*Envelope, error) {
+// awaitReply waits for the reply to a call until the context ends or the connection is closed
+// because it fell silent. It returns the context's error or errConnectionSilent.
+func (p *peer) awaitReply(ctx context.Context, replies <-chan *Envelope, isLong bool) (*Envelope, error) {
 	if isLong {
-		p.silence.longCallBegan()
-		defer p.silence.longCallEnded()
+		p.detector.beginLongCall()
+		defer p.detector.endLongCall()
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-replies:
 		return reply, nil
-	case <-p.silent:
-		return nil, errSilent
+	case <-p.silenceDetected:
+		return nil, errConnectionSilent
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (p *peer) done() bool {
+func (p *peer) isClosed() bool {
 	select {
 	case <-p.stop:
 		return true
@@ -73,26 +73,27 @@
 	}
 }
 
-// run dials, then writes queued frames until the connection ends. Frames that
-// were queued when it ends are lost, as on any broken connection.
+// run dials, then writes queued frames until the connection ends. Frames still queued at that
+// time are lost, as on any broken connection.
 func (p *peer) run() {
 	defer p.close()
 	dialer := tcpoption.Dialer(dialTimeout)
 	connection, err := dialer.Dial("tcp", p.address)
 	if err != nil {
-		p.pause()
+		p.waitBeforeRedial()
 		return
 	}
 	defer connection.Close()
-	p.silence.opened(time.Now())
+	p.detector.recordOpened(time.Now())
 	go p.readReplies(connection)
 	writeFrames(connection, p.queue, p.stop)
 }
 
-// pause keeps a dead address from being dialled in a tight loop.
-func (p *peer) pause() {
+// waitBeforeRedial delays the end of the peer after a failed dial, so that an unreachable
+// address is not dialled in a tight loop.
+func (p *peer) waitBeforeRedial() {
 	select {
-	case <-time.After(redialPause):
+	case <-time.After(redialDelay):
 	case <-p.stop:
 	}
 }
@@ -100,7 +101,7 @@
 func (p *peer) readReplies(connection net.Conn) {
 	defer p.close()
 	defer connection.Close()
-	reader := bufio.NewReaderSize(hearingReader{Reader: connection, silence: p.silence, lost: p.transport.lostConnection}, 4<<10)
+	reader := bufio.NewReaderSize(monitoredReader{Reader: connection, detector: p.detector, onLost: p.transport.reportLostConnection}, 4<<10)
 	for {
 		connection.SetReadDeadline(time.Now().Add(idleTimeout))
 		envelope, err := ReadFrame(reader)
@@ -108,14 +109,14 @@
 			p.transport.countMalformed(err)
 			return
 		}
-		if !p.transport.isCut(envelope.GetFrom()) && envelope.GetReply() {
+		if !p.transport.isPartitioned(envelope.GetFrom()) && envelope.GetReply() {
 			p.transport.deliverReply(envelope)
 		}
 	}
 }
 
-// writeFrames writes frames as they come and flushes when the queue is empty,
-// so that frames that wait together leave in one system call.
+// writeFrames writes queued frames until stop is closed or a write fails. It flushes when the
+// queue is empty, so that frames that are queued together leave in one system call.
 func writeFrames(connection net.Conn, queue <-chan []byte, stop <-chan struct{}) {
 	writer := bufio.NewWriterSize(connection, 8<<10)
 	for {
@@ -135,14 +136,14 @@
 	}
 }
 
-// connectionWriter queues replies on an accepted connection.
+// connectionWriter queues replies and writes them to an accepted connection.
 type connectionWriter struct {
 	queue chan []byte
 	stop  chan struct{}
 }
 
 func newConnectionWriter(connection net.Conn) *connectionWriter {
-	w := &connectionWriter{queue: make(chan []byte, queueFrames), stop: make(chan struct{})}
+	w := &connectionWriter{queue: make(chan []byte, maxQueuedFrames), stop: make(chan struct{})}
 	go func() {
 		writeFrames(connection, w.queue, w.stop)
 		connection.Close()
@@ -150,7 +151,8 @@
 	return w
 }
 
-func (w *connectionWriter) offer(frame []byte) bool {
+// tryEnqueue queues the frame, or returns false if the queue is full.
+func (w *connectionWriter) tryEnqueue(frame []byte) bool {
 	select {
 	case w.queue <- frame:
 		return true
--- a/internal/wire/silence.go
+++ b/internal/wire/silence.go
@@ -7,212 +7,224 @@
 	"time"
 )
 
-// Times of a connection that owes answers.
+// Timeouts for connections with outstanding requests.
 const (
-	// silentTime is how long a connection with unanswered calls may bring nothing: over
-	// the 200 ms after which TCP first sends a lost packet again, under the 250 ms of a
-	// pull, so that one pull without an answer shows it.
-	silentTime = 220 * time.Millisecond
-	// lostAnswerTime is within which a new connection is answered to tell that the one before
-	// it was lost: sound routers answer within 20 ms. One that stood still for as long as a
-	// connection may be silent, and this much longer, is told apart.
-	lostAnswerTime = 50 * time.Millisecond
-	// longestSilentTime bounds the time of connections that replace silent ones, so
-	// that one of them that falls silent too is replaced within a second and a pull.
-	longestSilentTime = 4 * silentTime
-	// longCallTime is over which time a call is long: connections with one open are kept.
-	// It is over the 500 ms of questions on behalf of callers' requests, which some
-	// connections always have open, and under the 2 s of a first pull of the directory.
-	longCallTime = longestSilentTime
-	// longCallSilentTime is the least time of a connection with a long call open. It
-	// is the longest time of a pull, and bounds that of long calls one after another.
-	longCallSilentTime = 2 * time.Second
-	// youngTime is the age below which a silent connection tells of a slow peer rather
-	// than of the connection: the next one has twice the time.
-	youngTime = 5 * time.Second
-	// acknowledgedInterval is how often at most one-way messages on a connection ask for
-	// an acknowledgement: one in forty of the loads that schedulers share each 5 ms.
-	acknowledgedInterval = 200 * time.Millisecond
-	// noDeadline is the time in milliseconds of a call without a deadline, as none is that
-	// of one-way messages.
+	// silenceTimeout is how long a connection with unanswered requests may deliver no data
+	// before it counts as silent. It is longer than the 200 ms after which TCP first
+	// retransmits a lost packet, and shorter than the 250 ms timeout of a pull, so that a
+	// single unanswered pull reveals a silent connection.
+	silenceTimeout = 220 * time.Millisecond
+	// lostConnectionWindow is the time from the opening of a new connection within which
+	// its first data shows that the silent connection before it was lost while the peer was
+	// healthy. Healthy routers answer within 20 ms. A router that was paused for at least
+	// silenceTimeout plus this window is not mistaken for a lost connection.
+	lostConnectionWindow = 50 * time.Millisecond
+	// maxSilenceTimeout bounds the doubled timeout of connections that replace silent
+	// ones, so that a replacement that falls silent too is itself replaced within one
+	// second plus the duration of a pull.
+	maxSilenceTimeout = 4 * silenceTimeout
+	// longCallThreshold is the timeout above which a call is long. A connection with an open
+	// long call gets a longer silence timeout. The threshold is above the 500 ms timeout of
+	// calls made for callers' requests, of which some connections always have one open, and
+	// below the 2 s timeout of a first pull of the directory.
+	longCallThreshold = maxSilenceTimeout
+	// longCallSilenceTimeout is the minimum silence timeout of a connection with an open
+	// long call. It equals the longest timeout of a pull, and it ensures that a series of
+	// long calls cannot keep a silent connection open indefinitely.
+	longCallSilenceTimeout = 2 * time.Second
+	// youngConnectionAge is the age below which the silence of a connection suggests a slow
+	// peer rather than a broken connection. The connection that replaces it gets twice the
+	// silence timeout.
+	youngConnectionAge = 5 * time.Second
+	// ackInterval is the minimum interval at which one-way messages on a connection request
+	// an acknowledgement: one in forty of the load messages that schedulers send every 5 ms.
+	ackInterval = 200 * time.Millisecond
+	// noDeadline is the value of Envelope.DeadlineMillis for a call without a deadline. Zero
+	// would mark the call as a one-way message.
 	noDeadline = math.MaxUint32
 )
 
-// silence watches whether a connection that owes answers brings anything. TCP shows a
-// machine that is gone, but not a connection that something on the path or a hung
-// process holds open.
+// silenceDetector detects that an outgoing connection with unanswered requests has stopped
+// delivering data. TCP keep-alive detects a machine that is gone, but not a connection that
+// a middlebox or a hung process holds open.
 //
-// Calls are answered, and of one-way messages those that ask for an acknowledgement:
-// some connections carry pushed changes or loads only. What was lost on a connection
-// until its silence showed is told again by the senders, with a follower's next pull or
-// the next message that holds all loads.
-type silence struct {
+// A request is a call or a one-way message that requests an acknowledgement. One-way
+// messages request them because some connections carry only pushed changes or loads.
+// Messages lost before the silence is detected need no retransmission: a follower's next
+// pull or the next message with all loads repeats their content.
+type silenceDetector struct {
 	mutex sync.Mutex
-	// limit is how long the connection may bring nothing.
-	limit time.Duration
+	// timeout is how long the connection may deliver no data while requests are unanswered.
+	timeout time.Duration
 	// openedAt is zero until the connection is open.
 	openedAt time.Time
-	// owesSince is when the first call or question for an acknowledgement after the last
-	// byte received was sent, zero without one.
-	owesSince time.Time
-	// askedAt is when a call or a message that asks for an acknowledgement was last sent.
-	askedAt time.Time
-	// longCalls counts the long calls that are open. What handles them may take as long
-	// as they have, and messages of one connection are handled in order, so that
-	// acknowledgements wait for them too.
-	longCalls int
-	// next is the limit of the connection that replaces this one.
-	next time.Duration
-	// fellSilent is since when this connection had owed answers when it was found silent,
-	// zero if it was not, or too young to tell anything.
-	fellSilent time.Time
-	// replaced is the same of the connection that this one replaces, until this one has
-	// brought something.
-	replaced time.Time
-}
-
-func newSilence(limit time.Duration) *silence {
-	return &silence{limit: limit, next: silentTime}
-}
-
-// successor watches the connection that replaces this one.
-func (s *silence) successor() *silence {
-	created := newSilence(s.nextLimit())
+	// awaitingSince is when the first request after the last received byte was sent, zero if
+	// there was none.
+	awaitingSince time.Time
+	// lastRequestAt is when the last request was sent.
+	lastRequestAt time.Time
+	// openLongCalls counts the long calls in progress. Their handlers may run until the
+	// calls' deadlines, and the peer handles the messages of one connection in order, so
+	// acknowledgements are delayed as well.
+	openLongCalls int
+	// nextTimeout is the timeout of the connection that replaces this one.
+	nextTimeout time.Duration
+	// silentSince is the value of awaitingSince when the connection was found silent. It is
+	// zero if it was not, or if it was too young for its silence to be conclusive.
+	silentSince time.Time
+	// predecessorSilentSince is silentSince of the connection that this one replaces. It is
+	// cleared when the first data arrives.
+	predecessorSilentSince time.Time
+}
+
+func newSilenceDetector(timeout time.Duration) *silenceDetector {
+	return &silenceDetector{timeout: timeout, nextTimeout: silenceTimeout}
+}
+
+// successor returns the detector for the connection that replaces this one.
+func (s *silenceDetector) successor() *silenceDetector {
+	next := newSilenceDetector(s.timeoutOfSuccessor())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	created.replaced = s.fellSilent
-	return created
+	next.predecessorSilentSince = s.silentSince
+	return next
 }
 
-// opened begins to count; the time of the dial has a limit of its own.
-func (s *silence) opened(now time.Time) {
+// recordOpened records that the connection is established. The timeout of requests that were
+// queued earlier starts now, because the dial has its own timeout.
+func (s *silenceDetector) recordOpened(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.openedAt = now
-	if !s.owesSince.IsZero() {
-		s.owesSince = now
+	if !s.awaitingSince.IsZero() {
+		s.awaitingSince = now
 	}
 }
 
-// wantsAcknowledgement tells whether a one-way message is to ask for one.
-func (s *silence) wantsAcknowledgement(now time.Time) bool {
+// ackDue reports whether the next one-way message should request an acknowledgement.
+func (s *silenceDetector) ackDue(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return now.Sub(s.askedAt) >= acknowledgedInterval
+	return now.Sub(s.lastRequestAt) >= ackInterval
 }
 
-// called notes that a call, or a message that asks for an acknowledgement, is sent.
-func (s *silence) called(now time.Time) {
+// recordRequest records that a call, or a one-way message that requests an acknowledgement,
+// is sent.
+func (s *silenceDetector) recordRequest(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.askedAt = now
-	if s.owesSince.IsZero() {
-		s.owesSince = now
+	s.lastRequestAt = now
+	if s.awaitingSince.IsZero() {
+		s.awaitingSince = now
 	}
 }
 
-// heard notes that something was received. An answer that is not late ends the longer
-// time of a connection that replaced a silent one. If it is the first one, the peer was
-// well and the connection before was lost: its silence is returned then, zero otherwise.
-func (s *silence) heard(now time.Time) (lostSince time.Time) {
+// recordReceived records that data was received. Data within silenceTimeout of the request
+// resets the longer timeout of a connection that replaced a silent one. If it is the first
+// data and arrives within lostConnectionWindow of the opening, the peer was healthy and the
+// previous connection was lost: recordReceived then returns since when that one was silent.
+// Otherwise it returns the zero time.
+func (s *silenceDetector) recordReceived(now time.Time) (lostSince time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now.Sub(s.openedAt) < lostAnswerTime {
-		lostSince = s.replaced
+	if now.Sub(s.openedAt) < lostConnectionWindow {
+		lostSince = s.predecessorSilentSince
 	}
-	s.replaced = time.Time{}
-	if !s.owesSince.IsZero() && now.Sub(s.owesSince) < silentTime {
-		s.limit = silentTime
+	s.predecessorSilentSince = time.Time{}
+	if !s.awaitingSince.IsZero() && now.Sub(s.awaitingSince) < silenceTimeout {
+		s.timeout = silenceTimeout
 	}
-	s.owesSince = time.Time{}
+	s.awaitingSince = time.Time{}
 	return lostSince
 }
 
-// longCallBegan notes that a long call is open, until longCallEnded.
-func (s *silence) longCallBegan() {
+// beginLongCall records that a long call is in progress until endLongCall.
+func (s *silenceDetector) beginLongCall() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.longCalls++
+	s.openLongCalls++
 }
 
-func (s *silence) longCallEnded() {
+func (s *silenceDetector) endLongCall() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.longCalls--
+	s.openLongCalls--
 }
 
-// currentLimit returns how long the connection may bring nothing with the calls that
-// are open. The mutex is held.
-func (s *silence) currentLimit() time.Duration {
-	if s.longCalls > 0 {
-		return max(s.limit, longCallSilentTime)
+// currentTimeout returns the silence timeout that applies with the calls in progress. The
+// caller holds the mutex.
+func (s *silenceDetector) currentTimeout() time.Duration {
+	if s.openLongCalls > 0 {
+		return max(s.timeout, longCallSilenceTimeout)
 	}
-	return s.limit
+	return s.timeout
 }
 
-// tooLong tells whether the connection owes answers for longer than its limit. The
-// limit of the next one is set then.
-func (s *silence) tooLong(now time.Time) bool {
+// detectSilence reports whether requests have been unanswered for longer than the timeout. If
+// so, it also records what successor passes on to the replacing connection.
+func (s *silenceDetector) detectSilence(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.openedAt.IsZero() || s.owesSince.IsZero() || now.Sub(s.owesSince) < s.currentLimit() {
+	if s.openedAt.IsZero() || s.awaitingSince.IsZero() || now.Sub(s.awaitingSince) < s.currentTimeout() {
 		return false
 	}
-	if now.Sub(s.openedAt) < youngTime {
-		s.next = min(2*s.limit, longestSilentTime)
+	if now.Sub(s.openedAt) < youngConnectionAge {
+		s.nextTimeout = min(2*s.timeout, maxSilenceTimeout)
 		return true
 	}
-	s.fellSilent = s.owesSince
+	s.silentSince = s.awaitingSince
 	return true
 }
 
-// nextLimit returns the limit of the connection that replaces this one.
-func (s *silence) nextLimit() time.Duration {
+// timeoutOfSuccessor returns the silence timeout of the connection that replaces this one.
+func (s *silenceDetector) timeoutOfSuccessor() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.next
+	return s.nextTimeout
 }
 
-// hearingReader notes each read that brings something.
-type hearingReader struct {
+// monitoredReader reports each read that returns data to the detector.
+type monitoredReader struct {
 	io.Reader
-	silence *silence
-	// lost is told since when a connection was silent that this one replaces.
-	lost func(since time.Time)
+	detector *silenceDetector
+	// onLost is called when the previous connection turns out to have been lost, with the
+	// time since which it was silent.
+	onLost func(since time.Time)
 }
 
-func (r hearingReader) Read(buffer []byte) (int, error) {
+func (r monitoredReader) Read(buffer []byte) (int, error) {
 	n, err := r.Reader.Read(buffer)
 	if n == 0 {
 		return n, err
 	}
-	if since := r.silence.heard(time.Now()); !since.IsZero() {
-		r.lost(since)
+	if since := r.detector.recordReceived(time.Now()); !since.IsZero() {
+		r.onLost(since)
 	}
 	return n, err
 }
 
-// asksAcknowledgement tells whether the message is a one-way message that asks for an
-// acknowledgement: it has an id, but nobody waits for it.
-func asksAcknowledgement(envelope *Envelope) bool {
+// requestsAck reports whether the envelope is a one-way message that requests an
+// acknowledgement: it has a call id but no deadline.
+func requestsAck(envelope *Envelope) bool {
 	return envelope.GetCallId() != 0 && envelope.GetDeadlineMillis() == 0
 }
 
-// isLongCall tells whether the call has more time than connections may bring nothing.
+// isLongCall reports whether the call's timeout is above longCallThreshold.
 func isLongCall(call *Envelope) bool {
-	return call.GetDeadlineMillis() > uint32(longCallTime.Milliseconds())
+	return call.GetDeadlineMillis() > uint32(longCallThreshold.Milliseconds())
 }
 
-// acknowledgement is the reply to a one-way message. Routers of earlier versions send
-// none; a connection to one that carries one-way messages only is replaced now and then.
-func acknowledgement() *Envelope {
+// newAck returns the reply to a one-way message that requests an acknowledgement. Routers of
+// earlier versions send none, so a connection to such a router that carries only one-way
+// messages is replaced from time to time.
+func newAck() *Envelope {
 	return &Envelope{Body: &Envelope_HeartbeatAck{HeartbeatAck: &Heartbeat{}}}
 }
 
-// closeIfSilent closes a connection that has answered nothing for too long, so that
-// the next message is sent on a new one.
+// closeIfSilent closes the connection if it is silent, so that the next message is sent on a
+// new one. target may be nil.
 func (t *Transport) closeIfSilent(target *peer) {
-	if target != nil && !target.done() && target.silence.tooLong(time.Now()) {
-		target.closeSilent()
+	if target != nil && !target.isClosed() && target.detector.detectSilence(time.Now()) {
+		target.closeAsSilent()
 	}
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -11,59 +11,61 @@
 	"github.com/gravitational/trace"
 )
 
-// Sizes and times of the transport.
+// Limits and timeouts of the transport.
 const (
-	// queueFrames bounds the frames waiting for one peer; more are dropped, so
-	// that a slow peer costs bounded memory and never blocks a sender.
-	queueFrames = 512
-	// dialTimeout is short: a lost opening packet is sent again after a second only,
-	// and a new dial is quicker.
+	// maxQueuedFrames bounds the frames queued for one peer. Further frames are dropped, so
+	// that a slow peer uses bounded memory and never blocks a sender.
+	maxQueuedFrames = 512
+	// dialTimeout is short because TCP retransmits a lost SYN only after one second, and a
+	// new dial is faster.
 	dialTimeout = 300 * time.Millisecond
-	// writeTimeout closes the connection to a peer that stops reading.
+	// writeTimeout is the time after which the connection to a peer that does not read is
+	// closed.
 	writeTimeout = 5 * time.Second
-	// idleTimeout closes a connection without traffic.
+	// idleTimeout is the time without an incoming frame after which a connection is closed.
 	idleTimeout = 90 * time.Second
-	// redialPause is the least time between two failed dials of a peer.
-	redialPause = 100 * time.Millisecond
+	// redialDelay is the minimum time between two failed dials to a peer.
+	redialDelay = 100 * time.Millisecond
 )
 
-// Errors of sending and calling.
+// Errors of Send and Call.
 var (
-	ErrQueueFull = errors.New("queue to the peer is full")
-	ErrClosed    = errors.New("transport is closed")
-	ErrNoReply   = errors.New("no reply within the deadline")
-	errSilent    = errors.New("connection was closed since it fell silent")
-	ErrCut       = errors.New("path to the peer is cut by a fault setting")
+	ErrQueueFull        = errors.New("queue to the peer is full")
+	ErrClosed           = errors.New("transport is closed")
+	ErrNoReply          = errors.New("no reply within the deadline")
+	errConnectionSilent = errors.New("connection was closed because it fell silent")
+	ErrPartitioned      = errors.New("peer is partitioned by fault injection")
 )
 
-// Handler takes an incoming message. For a call it returns the reply, or nil
-// for no reply. Messages of one connection are handled in order, so it must not
-// block.
+// Handler handles an incoming message. For a call it returns the reply, or nil to send none.
+// Messages of one connection are handled in order, so it must not block.
 type Handler func(ctx context.Context, envelope *Envelope) *Envelope
 
-// Identity names the local process in every envelope.
+// Identity identifies the local process in every envelope that it sends.
 type Identity struct {
-	Node        string
+	Node string
+	// Incarnation differs for each start of the process.
 	Incarnation uint64
 }
 
-// Transport sends envelopes to peers over one connection each.
+// Transport exchanges envelopes with other routers. It sends over one connection per peer
+// address and accepts connections on a listener.
 type Transport struct {
 	identity Identity
 	handler  Handler
 	listener net.Listener
 
-	callID  atomic.Uint64
-	pending sync.Map // call id -> chan *Envelope
+	lastCallID   atomic.Uint64
+	pendingCalls sync.Map // call id -> chan *Envelope
 
-	mutex    sync.Mutex
-	peers    map[string]*peer
-	accepted map[net.Conn]struct{}
-	cut      map[string]bool
-	closed   bool
+	mutex               sync.Mutex
+	peers               map[string]*peer
+	acceptedConnections map[net.Conn]struct{}
+	partitioned         map[string]bool
+	closed              bool
 
 	counters Counters
-	// onLost is told of lost connections, nil for nobody.
+	// onLost is the callback for lost connections, nil if none is set.
 	onLost atomic.Pointer[func(since time.Time)]
 }
 
@@ -74,89 +76,93 @@
 	FramesSent      atomic.Uint64
 	FramesDropped   atomic.Uint64
 	MalformedFrames atomic.Uint64
-	// SilentConnections counts those closed since calls on them were not answered.
+	// SilentConnections counts connections that were closed because requests on them were
+	// not answered.
 	SilentConnections atomic.Uint64
 }
 
-// NewTransport serves incoming frames on the listener until Close.
+// NewTransport returns a transport that passes messages from connections accepted on the
+// listener to the handler, until Close.
 func NewTransport(identity Identity, listener net.Listener, handler Handler) *Transport {
 	t := &Transport{
-		identity: identity,
-		handler:  handler,
-		listener: listener,
-		peers:    map[string]*peer{},
-		accepted: map[net.Conn]struct{}{},
-		cut:      map[string]bool{},
+		identity:            identity,
+		handler:             handler,
+		listener:            listener,
+		peers:               map[string]*peer{},
+		acceptedConnections: map[net.Conn]struct{}{},
+		partitioned:         map[string]bool{},
 	}
 	go t.acceptLoop()
 	return t
 }
 
-// OnLostConnection has the function called when a connection turns out to have been lost,
-// silent since the moment, though its peer was well: a new one to the same peer is answered
-// at once. Other connections of this machine may have been lost with it.
-func (t *Transport) OnLostConnection(lost func(since time.Time)) { t.onLost.Store(&lost) }
+// OnLostConnection sets the callback for lost connections. A connection counts as lost if it
+// was silent while its peer was healthy, which shows when a new connection to the same peer
+// is answered at once. The callback gets the time since which the connection was silent. Other
+// connections of this machine may have been lost at the same time.
+func (t *Transport) OnLostConnection(callback func(since time.Time)) { t.onLost.Store(&callback) }
 
-func (t *Transport) lostConnection(since time.Time) {
-	if lost := t.onLost.Load(); lost != nil {
-		(*lost)(since)
+func (t *Transport) reportLostConnection(since time.Time) {
+	if callback := t.onLost.Load(); callback != nil {
+		(*callback)(since)
 	}
 }
 
-// Counters returns the live counters.
+// Counters returns the transport's counters, which continue to be updated.
 func (t *Transport) Counters() *Counters { return &t.counters }
 
 // Address returns the address that peers dial.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// SetCut drops all traffic to and from the listed nodes; it is a fault
-// setting for tests of cut networks, off by default.
-func (t *Transport) SetCut(nodes []string) {
+// SetPartitioned sets the nodes to and from which all traffic is dropped. It injects network
+// partitions in tests and is off by default.
+func (t *Transport) SetPartitioned(nodes []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.cut = make(map[string]bool, len(nodes))
+	t.partitioned = make(map[string]bool, len(nodes))
 	for _, node := range nodes {
-		t.cut[node] = true
+		t.partitioned[node] = true
 	}
 }
 
-func (t *Transport) isCut(node string) bool {
+func (t *Transport) isPartitioned(node string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.cut[node]
+	return t.partitioned[node]
 }
 
 // Send queues a one-way message. It never blocks.
 func (t *Transport) Send(node, address string, envelope *Envelope) error {
 	envelope.CallId, envelope.DeadlineMillis = 0, 0
-	// A message that is lost is not sent again, so this one is not to be queued on a
-	// connection that has fallen silent.
-	t.closeIfSilent(t.existing(address))
+	// A lost one-way message is not sent again, so it must not be queued on a silent
+	// connection.
+	t.closeIfSilent(t.lookupPeer(address))
 	_, err := t.enqueue(node, address, envelope)
 	return err
 }
 
-// enqueue queues a message and returns the peer whose queue was tried, if any.
+// enqueue queues a message and returns the peer whose queue was tried, if any, also when that
+// queue is full.
 func (t *Transport) enqueue(node, address string, envelope *Envelope) (*peer, error) {
 	envelope.From = t.identity.Node
 	envelope.FromIncarnation = t.identity.Incarnation
-	if t.isCut(node) {
-		return nil, ErrCut
+	if t.isPartitioned(node) {
+		return nil, ErrPartitioned
 	}
-	target, err := t.peer(address)
+	target, err := t.getOrCreatePeer(address)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	if envelope.GetCallId() == 0 && target.silence.wantsAcknowledgement(now) {
-		envelope.CallId = t.callID.Add(1)
+	if envelope.GetCallId() == 0 && target.detector.ackDue(now) {
+		envelope.CallId = t.lastCallID.Add(1)
 	}
 	frame, err := AppendFrame(nil, envelope)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if envelope.GetCallId() != 0 {
-		target.silence.called(now)
+		target.detector.recordRequest(now)
 	}
 	select {
 	case target.queue <- frame:
@@ -169,28 +175,29 @@
 	}
 }
 
-// Call sends a message and waits for its reply until the context ends, or the connection
-// is closed since it fell silent.
+// Call sends a message and waits for its reply until the context ends or the connection is
+// closed because it fell silent. In both cases it returns ErrNoReply.
 func (t *Transport) Call(ctx context.Context, node, address string, envelope *Envelope) (*Envelope, error) {
-	id := t.callID.Add(1)
-	envelope.CallId, envelope.DeadlineMillis = id, noDeadline
-	if deadline, has := ctx.Deadline(); has {
+	callID := t.lastCallID.Add(1)
+	envelope.CallId, envelope.DeadlineMillis = callID, noDeadline
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		envelope.DeadlineMillis = uint32(max(time.Until(deadline).Milliseconds(), 1))
 	}
-	answer := make(chan *Envelope, 1)
-	t.pending.Store(id, answer)
-	defer t.pending.Delete(id)
+	replies := make(chan *Envelope, 1)
+	t.pendingCalls.Store(callID, replies)
+	defer t.pendingCalls.Delete(callID)
 	isLong := isLongCall(envelope)
 	if isLong {
-		// It would keep a connection that has fallen silent from being replaced.
-		t.closeIfSilent(t.existing(address))
+		// Once the call is open, a silent connection is closed only after
+		// longCallSilenceTimeout.
+		t.closeIfSilent(t.lookupPeer(address))
 	}
 	target, err := t.enqueue(node, address, envelope)
 	if err != nil {
 		t.closeIfSilent(target)
 		return nil, err
 	}
-	reply, err := target.await(ctx, answer, isLong)
+	reply, err := target.awaitReply(ctx, replies, isLong)
 	if errors.Is(err, context.DeadlineExceeded) {
 		t.closeIfSilent(target)
 	}
@@ -209,7 +216,7 @@
 	}
 	t.closed = true
 	t.listener.Close()
-	for connection := range t.accepted {
+	for connection := range t.acceptedConnections {
 		connection.Close()
 	}
 	for _, peer := range t.peers {
@@ -217,35 +224,38 @@
 	}
 }
 
-// deliverReply hands a reply to the call that waits for it; a late reply finds none.
+// deliverReply passes a reply to the call that waits for it. A reply to a call that has ended
+// is dropped.
 func (t *Transport) deliverReply(envelope *Envelope) {
-	if waiting, found := t.pending.LoadAndDelete(envelope.GetCallId()); found {
-		waiting.(chan *Envelope) <- envelope
+	if replies, found := t.pendingCalls.LoadAndDelete(envelope.GetCallId()); found {
+		replies.(chan *Envelope) <- envelope
 	}
 }
 
-// existing returns the peer of the address, nil without one.
-func (t *Transport) existing(address string) *peer {
+// lookupPeer returns the peer for the address, or nil if there is none.
+func (t *Transport) lookupPeer(address string) *peer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.peers[address]
 }
 
-func (t *Transport) peer(address string) (*peer, error) {
+// getOrCreatePeer returns the peer for the address. It creates one if there is none or if the
+// previous one has ended.
+func (t *Transport) getOrCreatePeer(address string) (*peer, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
 		return nil, ErrClosed
 	}
 	existing, found := t.peers[address]
-	if found && !existing.done() {
+	if found && !existing.isClosed() {
 		return existing, nil
 	}
-	watch := newSilence(silentTime)
+	nextDetector := newSilenceDetector(silenceTimeout)
 	if found {
-		watch = existing.silence.successor()
+		nextDetector = existing.detector.successor()
 	}
-	created := newPeer(t, address, watch)
+	created := newPeer(t, address, nextDetector)
 	t.peers[address] = created
 	go created.run()
 	return created, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,7 +19,7 @@
 	return &Envelope{From: "a", Body: &Envelope_Heartbeat{Heartbeat: &Heartbeat{Sequence: sequence}}}
 }
 
-func listen(t *testing.T, handler Handler) *Transport {
+func startTransport(t *testing.T, handler Handler) *Transport {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	return &Envelope{Body: &Envelope_HeartbeatAck{HeartbeatAck: &Heartbeat{Sequence: envelope.GetHeartbeat().GetSequence()}}}
 }
 
-func TestFramesSurviveTheRoundTrip(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	buffer, err := AppendFrame(nil, heartbeat(1))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -49,7 +49,7 @@
 	g.Expect(err).To(Equal(io.EOF))
 }
 
-func TestMalformedFramesAreTypedErrors(t *testing.T) {
+func TestReadFrameErrors(t *testing.T) {
 	frame := func(length uint32, payload ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, length), payload...)
 	}
@@ -60,11 +60,11 @@
 	}{
 		{"length over the limit", frame(MaxFrameBytes + 1), ErrFrameTooLarge},
 		{"no version byte", frame(0), ErrFrameEmpty},
-		{"another version", frame(1, 9), ErrFrameVersion},
+		{"unknown version", frame(1, 9), ErrFrameVersion},
 		{"not protobuf", frame(3, ProtocolVersion, 0xff, 0xff), ErrFrameMalformed},
 		{"no body", frame(1, ProtocolVersion), ErrFrameMalformed},
-		{"cut in the header", []byte{0, 0}, io.ErrUnexpectedEOF},
-		{"cut in the payload", frame(100, ProtocolVersion, 1), io.ErrUnexpectedEOF},
+		{"truncated header", []byte{0, 0}, io.ErrUnexpectedEOF},
+		{"truncated payload", frame(100, ProtocolVersion, 1), io.ErrUnexpectedEOF},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -93,9 +93,9 @@
 	})
 }
 
-func TestCallGetsItsOwnReply(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnReplies(t *testing.T) {
 	g := NewWithT(t)
-	server, client := listen(t, echo), listen(t, echo)
+	server, client := startTransport(t, echo), startTransport(t, echo)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	replies := make(chan error, 50)
@@ -103,7 +103,7 @@
 		go func() {
 			reply, err := client.Call(ctx, "server", server.Address(), heartbeat(sequence))
 			if err == nil && reply.GetHeartbeatAck().GetSequence() != sequence {
-				err = errors.New("crossed reply")
+				err = errors.New("got the reply to another call")
 			}
 			replies <- err
 		}()
@@ -115,14 +115,14 @@
 
 func TestMalformedFrameClosesOnlyItsConnection(t *testing.T) {
 	g := NewWithT(t)
-	server, client := listen(t, echo), listen(t, echo)
-	bad, err := net.Dial("tcp", server.Address())
+	server, client := startTransport(t, echo), startTransport(t, echo)
+	badConnection, err := net.Dial("tcp", server.Address())
 	g.Expect(err).NotTo(HaveOccurred())
-	defer bad.Close()
-	_, err = bad.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3})
+	defer badConnection.Close()
+	_, err = badConnection.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3})
 	g.Expect(err).NotTo(HaveOccurred())
-	bad.SetReadDeadline(time.Now().Add(5 * time.Second))
-	_, err = bad.Read(make([]byte, 1))
+	badConnection.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_, err = badConnection.Read(make([]byte, 1))
 	var timeout net.Error
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(errors.As(err, &timeout) && timeout.Timeout()).To(BeFalse(), "the connection stayed open")
@@ -133,30 +133,30 @@
 	g.Expect(server.Counters().MalformedFrames.Load()).To(Equal(uint64(1)))
 }
 
-func TestSilentPeerDoesNotBlockSenders(t *testing.T) {
+func TestUnresponsivePeerDoesNotBlockSenders(t *testing.T) {
 	g := NewWithT(t)
-	client := listen(t, echo)
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	client := startTransport(t, echo)
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	defer silent.Close()
-	big := &Envelope{Body: &Envelope_ConfigDelta{ConfigDelta: &ConfigDelta{Objects: []*ConfigObject{{Spec: make([]byte, 64<<10)}}}}}
+	defer unresponsive.Close()
+	largeMessage := &Envelope{Body: &Envelope_ConfigDelta{ConfigDelta: &ConfigDelta{Objects: []*ConfigObject{{Spec: make([]byte, 64<<10)}}}}}
 	full := false
-	for range 20 * queueFrames {
-		if errors.Is(client.Send("silent", silent.Addr().String(), big), ErrQueueFull) {
+	for range 20 * maxQueuedFrames {
+		if errors.Is(client.Send("silent", unresponsive.Addr().String(), largeMessage), ErrQueueFull) {
 			full = true
 			break
 		}
 	}
-	g.Expect(full).To(BeTrue(), "the queue has no bound")
+	g.Expect(full).To(BeTrue(), "the queue is unbounded")
 }
 
-func TestCutStopsBothDirections(t *testing.T) {
+func TestPartitionBlocksBothDirections(t *testing.T) {
 	g := NewWithT(t)
-	server, client := listen(t, echo), listen(t, echo)
-	client.SetCut([]string{"server"})
-	g.Expect(client.Send("server", server.Address(), heartbeat(1))).To(MatchError(ErrCut))
-	client.SetCut(nil)
-	server.SetCut([]string{t.Name()})
+	server, client := startTransport(t, echo), startTransport(t, echo)
+	client.SetPartitioned([]string{"server"})
+	g.Expect(client.Send("server", server.Address(), heartbeat(1))).To(MatchError(ErrPartitioned))
+	client.SetPartitioned(nil)
+	server.SetPartitioned([]string{t.Name()})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err := client.Call(ctx, "server", server.Address(), heartbeat(1))
