--- a/cmd/clovertiller/gateway.go
+++ b/cmd/clovertiller/gateway.go
@@ -22,10 +22,10 @@
 
 // newGatewayCommand returns the subcommands for operators of gateways.
 func newGatewayCommand(parent command, f *flags, env func() *cli.Env) command {
-	values := &gatewayFlags{settings: os.Getenv(platform.SettingsVariable)}
+	values := &gatewayFlags{settings: os.Getenv(platform.SettingsEnvVar)}
 	check := flaggy.NewSubcommand("check")
 	check.Description = "Report every fault of a gateway's settings, and of what its store holds."
-	check.String(&values.settings, "s", "settings", "Settings file; "+platform.SettingsVariable+" without it.")
+	check.String(&values.settings, "s", "settings", "Settings file; "+platform.SettingsEnvVar+" without it.")
 	check.Bool(&values.store, "", "store", "Also check what the store of the settings holds.")
 	status := flaggy.NewSubcommand("status")
 	status.Description = "Print what gateways believe."
@@ -55,6 +55,6 @@
 	if code := cli.CheckGateway(env, settings); code != cli.ExitOK || !values.store {
 		return code
 	}
-	store := &platform.Store{Address: settings.StoreAddress, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
+	store := &platform.StoreClient{Address: settings.StoreAddress, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
 	return cli.CheckStored(ctx, env, gateway.Ports{Store: store, Decode: platform.Decode})
 }
--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -40,7 +40,7 @@
 	door, err := store.Open()
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
-	ports := gateway.Ports{Store: &platform.Store{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}, Decode: platform.Decode}
+	ports := gateway.Ports{Store: &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}, Decode: platform.Decode}
 	route := map[string]any{"name": "a", "host": "h", "path_prefix": "/", "kind": "safe", "service": "s", "timeout_ms": 1000, "target_latency_ms": 100, "max_attempts": 1}
 	config := map[string]any{"version": 1, "routes": []any{route}, "services": []any{map[string]any{"name": "s"}}}
 	store.Put(platform.KindConfig, "main", config)
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -89,7 +89,7 @@
 			r.logs("runner changed state")
 		},
 		"it is not listed": func(r *router, holder *runnerstand.Runner) {
-			r.fleet.store.Remove(platform.KindServers, holder.ID)
+			r.fleet.store.Remove(platform.KindRunners, holder.ID)
 			r.logs("runner removed")
 		},
 		"it has started again": func(r *router, holder *runnerstand.Runner) {
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -88,11 +88,11 @@
 func TestSeedsThatTheStoreTurnsAwaySpareLeavingRunners(t *testing.T) {
 	t.Parallel()
 	f, seeds := turnedAwayFleet(t, storestand.Busy)
-	found, _ := f.store.Get(platform.KindServers, "p1")
+	found, _ := f.store.Get(platform.KindRunners, "p1")
 	var entry map[string]any
 	f.g.Expect(json.Unmarshal(found.Spec, &entry)).To(Succeed())
 	entry["state"] = "draining"
-	f.store.Put(platform.KindServers, "p1", entry)
+	f.store.Put(platform.KindRunners, "p1", entry)
 	left := time.Now()
 	time.Sleep(2200 * time.Millisecond)
 	leaving := f.runnerAt(entry["address"].(string))
@@ -115,7 +115,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	held, store := holdingStore(f, platform.KindVersions, platform.KindServers)
+	held, store := holdingStore(f, platform.KindWeightVersions, platform.KindRunners)
 	addresses := []string{loopback.FreeAddress()}
 	asSeed := func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses }
 	former := f.servingRouter("former", asSeed)
--- a/internal/gateway/cachereader_test.go
+++ b/internal/gateway/cachereader_test.go
@@ -80,7 +80,7 @@
 func sentTo(runners []*runnerstand.Runner, before map[string]int) (string, string) {
 	for _, runner := range runners {
 		if runs := runner.Runs(); len(runs) > before[runner.ID] {
-			return runner.ID, runs[len(runs)-1].Header.Get(platform.HeaderFetch)
+			return runner.ID, runs[len(runs)-1].Header.Get(platform.HeaderKVFetch)
 		}
 	}
 	return "", ""
--- a/internal/gateway/cachestore_test.go
+++ b/internal/gateway/cachestore_test.go
@@ -58,7 +58,7 @@
 		got := r.call("/stream/x", withPrompt(fmt.Sprintf("aa:100,b%d:200,cc:50", family)))
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
 		runs := runner.Runs()
-		return runs[len(runs)-1].Header.Get(platform.HeaderFetch)
+		return runs[len(runs)-1].Header.Get(platform.HeaderKVFetch)
 	}
 	// So many that each store has some whatever the stores' ports are: with 12 one
 	// of the three was left out in 2.6 of 100 draws of ports.
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -42,11 +42,11 @@
 	f, r, runners := plainFleet(t)
 	got := r.call("/safe/a%20b?x=1&y", func(request *http.Request) {
 		request.Header.Set(platform.HeaderTenant, "somebody else")
-		request.Header.Set(platform.HeaderSalt, "stolen")
+		request.Header.Set(platform.HeaderCacheSalt, "stolen")
 		request.Header.Set("X-Own", "kept")
 	})
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(got.header.Get(platform.HeaderStamp)).NotTo(BeEmpty())
+	f.g.Expect(got.header.Get(platform.HeaderResponseStamp)).NotTo(BeEmpty())
 	f.g.Expect(runsOf(runners)).To(Equal(1))
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
 	f.g.Expect(got.body).To(Equal("answer to " + run.Request))
@@ -54,9 +54,9 @@
 	f.g.Expect(run.Body).To(Equal("the body"))
 	f.g.Expect(run.Header.Get("X-Own")).To(Equal("kept"))
 	f.g.Expect(run.Header.Get(platform.HeaderTenant)).To(Equal("tenant-one"))
-	f.g.Expect(run.Header.Get(platform.HeaderSalt)).To(BeEmpty())
+	f.g.Expect(run.Header.Get(platform.HeaderCacheSalt)).To(BeEmpty())
 	f.g.Expect(run.Header.Get("Authorization")).To(BeEmpty())
-	remaining, err := strconv.Atoi(run.Header.Get(platform.HeaderDeadline))
+	remaining, err := strconv.Atoi(run.Header.Get(platform.HeaderDeadlineMillis))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.g.Expect(remaining).To(BeNumerically("~", 2450, 60))
 }
@@ -164,7 +164,7 @@
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
 	}
 	f.g.Expect(runners[0].Runs()).To(BeEmpty())
-	f.store.Remove(platform.KindServers, "p2")
+	f.store.Remove(platform.KindRunners, "p2")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner removed"))
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "nobody is left")
@@ -187,7 +187,7 @@
 	got = r.call("/stream/x", longPrompt)
 	f.g.Expect(got.cut).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(whole))
-	f.g.Expect(got.header.Get(platform.HeaderStamp)).To(HavePrefix(runners[home].ID), "the head of the first runner stands")
+	f.g.Expect(got.header.Get(platform.HeaderResponseStamp)).To(HavePrefix(runners[home].ID), "the head of the first runner stands")
 	other := runners[1-home].Runs()
 	f.g.Expect(other).To(HaveLen(1))
 	f.g.Expect(other[0].Header.Get("Last-Event-Id")).To(Equal("1"), "after the last whole event")
@@ -210,10 +210,10 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", nil)
-	r.call("/stream/x", func(request *http.Request) { request.Header.Set(platform.HeaderSalt, "stolen") })
+	r.call("/stream/x", func(request *http.Request) { request.Header.Set(platform.HeaderCacheSalt, "stolen") })
 	run := runner.Runs()[0]
-	f.g.Expect(run.Header.Get(platform.HeaderSalt)).To(Equal("tenant/tenant-one/1"))
-	f.g.Expect(run.Header.Get(platform.HeaderExpectVersion)).To(Equal("1"))
+	f.g.Expect(run.Header.Get(platform.HeaderCacheSalt)).To(Equal("tenant/tenant-one/1"))
+	f.g.Expect(run.Header.Get(platform.HeaderExpectWeightVersion)).To(Equal("1"))
 }
 
 // An attempt that found nobody at a runner's address has not arrived anywhere, so
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -84,7 +84,7 @@
 			if change != nil {
 				change(request)
 			}
-			request.Header.Set(platform.HeaderDeadline, "20000")
+			request.Header.Set(platform.HeaderDeadlineMillis, "20000")
 		})
 	}()
 	return answers
@@ -93,7 +93,7 @@
 // The call may run once only: that another runner gets it shows that nothing was sent.
 func TestRunnerThatLeavesDuringTheDialGetsNothing(t *testing.T) {
 	drains := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
-	goes := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindServers, r.ID) }
+	goes := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindRunners, r.ID) }
 	t.Run("draining", func(t *testing.T) { testLeavingDuringTheDial(t, drains, "runner changed state") })
 	t.Run("gone", func(t *testing.T) { testLeavingDuringTheDial(t, goes, "runner removed") })
 }
@@ -136,7 +136,7 @@
 	f.g.Eventually(answers, unhurried).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(runner.Arrivals()).To(Equal(1))
-	f.g.Expect(runner.Runs()[0].Header.Get(platform.HeaderExpectVersion)).To(Equal("2"))
+	f.g.Expect(runner.Runs()[0].Header.Get(platform.HeaderExpectWeightVersion)).To(Equal("2"))
 }
 
 // A copy is made where the stream began, so its runner may leave before it is needed.
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -42,7 +42,7 @@
 	f, r, runners := plainFleet(t)
 	r.door.Set(storestand.Reset)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("store does not answer well"))
-	f.store.Remove(platform.KindServers, "p1")
+	f.store.Remove(platform.KindRunners, "p1")
 	f.configure(2, defaultRoutes(), "key-two")
 	f.store.Forget()
 	r.door.Set(storestand.Healthy)
@@ -108,13 +108,13 @@
 func TestUnreadableObjectsAreIgnored(t *testing.T) {
 	f, r, _ := plainFleet(t)
 	f.store.Put(configKind, configName, "not a configuration")
-	f.store.Put(platform.KindServers, "odd", map[string]any{"service": 7})
+	f.store.Put(platform.KindRunners, "odd", map[string]any{"service": 7})
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("cannot be read"))
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK), "the last usable state stays")
 }
 
 func name(f *fleet, version uint64) {
-	f.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": version})
+	f.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": version})
 }
 
 func TestRunnersAreBroughtToTheNamedWeights(t *testing.T) {
--- a/internal/gateway/forgedheaders_test.go
+++ b/internal/gateway/forgedheaders_test.go
@@ -17,7 +17,7 @@
 
 // onlyRouters are headers that only routers may set, with values that would let a
 // caller take memory, a slot or another run's state.
-var onlyRouters = []string{platform.HeaderHold, platform.HeaderPin, platform.HeaderBackup, platform.HeaderCopyFrom}
+var onlyRouters = []string{platform.HeaderHold, platform.HeaderPinMillis, platform.HeaderKVBackup, platform.HeaderKVFrom}
 
 // sendRaw writes bytes as they are and returns the answers until the connection ends
 // or rests.
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -131,7 +131,7 @@
 }
 
 func (f *fleet) list(runner *runnerstand.Runner, state string) {
-	f.store.Put(platform.KindServers, runner.ID, runner.Entry(state))
+	f.store.Put(platform.KindRunners, runner.ID, runner.Entry(state))
 }
 
 // router is one gateway with its own door to the store.
@@ -209,8 +209,8 @@
 	}
 	log, clock := &logBuffer{}, &suspendedClock{}
 	started, err := gateway.Start(settings, gateway.Ports{
-		Protocol: platform.Protocol{}, Decode: platform.Decode, Store: &platform.Store{Address: settings.StoreAddress, Pool: calls},
-		Runners: &platform.Runners{Pool: calls}, Caches: f.caches, ReadyPath: platform.PathReadiness, RunnerPool: runnerPool, Clock: clock,
+		Protocol: platform.Protocol{}, Decode: platform.Decode, Store: &platform.StoreClient{Address: settings.StoreAddress, Pool: calls},
+		Runners: &platform.RunnerClient{Pool: calls}, Caches: f.caches, ReadyPath: platform.PathReadiness, RunnerPool: runnerPool, Clock: clock,
 	}, events.NewLogger(log, name, logrus.InfoLevel))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(started.Kill)
@@ -269,9 +269,9 @@
 	request.Host = "h.example"
 	request.Header.Set("Authorization", "Bearer "+goodKey)
 	request.Header.Set(platform.HeaderRequestID, newRequestID())
-	request.Header.Set(platform.HeaderDeadline, "2500")
+	request.Header.Set(platform.HeaderDeadlineMillis, "2500")
 	request.Header.Set(platform.HeaderModel, modelName)
-	request.Header.Set(platform.HeaderPrompt, "aa:100,bb:200,cc:50")
+	request.Header.Set(platform.HeaderPromptPrefix, "aa:100,bb:200,cc:50")
 	if change != nil {
 		change(request)
 	}
@@ -301,5 +301,5 @@
 
 // withPrompt gives a call the parts of a prompt, as ID:TOKENS with commas between.
 func withPrompt(parts string) func(*http.Request) {
-	return func(request *http.Request) { request.Header.Set(platform.HeaderPrompt, parts) }
+	return func(request *http.Request) { request.Header.Set(platform.HeaderPromptPrefix, parts) }
 }
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -37,7 +37,7 @@
 // changeBoth has a runner leave and newer weights named.
 func (f *fleet) changeBoth() {
 	entry := map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 8, "state": "draining", "cold_remaining_ms": 0, "seq": 2}
-	f.store.Put(platform.KindServers, "p1", entry)
+	f.store.Put(platform.KindRunners, "p1", entry)
 	name(f, 2)
 }
 
@@ -64,7 +64,7 @@
 // The watch of the configuration goes on, and what it tells of the store's revision shows
 // that another watch is behind. Routers that ask this one learn of it too.
 func TestNewsArrivesThoughOneWatchFellSilent(t *testing.T) {
-	for _, kind := range []string{platform.KindServers, platform.KindVersions} {
+	for _, kind := range []string{platform.KindRunners, platform.KindWeightVersions} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
@@ -130,13 +130,13 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	past := f.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": 1})
+	past := f.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": 1})
 	figuresAt := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, figuresAt
 	})
 	time.Sleep(time.Second)
-	r.door.AnswerAt(past, platform.KindConfig, platform.KindVersions)
+	r.door.AnswerAt(past, platform.KindConfig, platform.KindWeightVersions)
 	f.changeBoth()
 	named := time.Now()
 	r.logs(lineDraining)
@@ -165,7 +165,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	held, store := holdingStore(f, platform.KindServers)
+	held, store := holdingStore(f, platform.KindRunners)
 	held.Store(false)
 	seedAt, silentAt, figuresAt := loopback.FreeAddress(), silentAddress(f), loopback.FreeAddress()
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -24,7 +24,7 @@
 
 // leaves has the runners say in all their answers that they leave, and returns from when on.
 func leaves(runners ...*runnerstand.Runner) (announced time.Time) {
-	announce(runners, platform.HeaderLeaving, "1")
+	announce(runners, platform.HeaderServerLeaving, "1")
 	return time.Now()
 }
 
@@ -97,7 +97,7 @@
 		}
 	}
 	ask(10)
-	f.store.Remove(platform.KindServers, leaving.ID)
+	f.store.Remove(platform.KindRunners, leaving.ID)
 	r.logs("runner removed")
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -94,7 +94,7 @@
 		case <-p.t.Context().Done():
 			return
 		}
-		p.store.Remove(platform.KindServers, runner.ID)
+		p.store.Remove(platform.KindRunners, runner.ID)
 		p.start()
 	})
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -178,7 +178,7 @@
 	door, err := p.store.Open()
 	p.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
-	client := &platform.Store{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
+	client := &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
 	p.g.Expect(client.KeepQuarantine(t.Context(), record)).To(Succeed())
 	p.servingRouter("r1", nil)
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, 2*time.Second, 5*time.Millisecond).Should(BeEmpty())
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -29,7 +29,7 @@
 }
 
 func counts(value string) func(*http.Request) {
-	return func(request *http.Request) { request.Header.Set(platform.HeaderTokens, value) }
+	return func(request *http.Request) { request.Header.Set(platform.HeaderTokenCounts, value) }
 }
 
 // limitedFleet has three keepers of limits and more routers that ask them.
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -113,16 +113,16 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.startedRunner("p1", "plain")
 	r := f.servingRouter("r1", nil)
-	listed, found := f.store.Get(platform.KindServers, "p1")
+	listed, found := f.store.Get(platform.KindRunners, "p1")
 	f.g.Expect(found).To(BeTrue())
 	runner.Restart()
 	f.list(runner, "ready")
 	r.logs("runner started again")
 	f.list(runner, "draining")
 	r.logs("runner changed state")
-	r.door.AnswerAt(listed.Metadata.Revision, platform.KindServers)
+	r.door.AnswerAt(listed.Metadata.Revision, platform.KindRunners)
 	time.Sleep(300 * time.Millisecond)
-	f.store.Put(platform.KindServers, "p9", runner.Entry("draining"))
+	f.store.Put(platform.KindRunners, "p9", runner.Entry("draining"))
 	f.g.Consistently(r.log.String, time.Second, 50*time.Millisecond).ShouldNot(ContainSubstring(fmt.Sprintf(`"incarnation":%d`, firstIncarnation)))
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "it still leaves")
 }
@@ -180,7 +180,7 @@
 	runner.Restart()
 	entry := runner.Entry("ready")
 	entry["address"] = "127.0.0.1:1"
-	f.store.Put(platform.KindServers, "e1", entry)
+	f.store.Put(platform.KindRunners, "e1", entry)
 	f.g.Eventually(func() bool { return kept.readAt("127.0.0.1:1") }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
 }
 
@@ -190,9 +190,9 @@
 	overAllWays(t, func(f *fleet, way func(f *fleet, change func()) *router) {
 		known, sound := f.startedRunner("p1", "plain"), f.startedRunner("p2", "plain")
 		r := way(f, func() {
-			f.store.Put(platform.KindServers, "a-odd", "\xff\xfe{")
-			f.store.Put(platform.KindServers, "odd-list", []int{7})
-			f.store.Put(platform.KindServers, "odd-null", nil)
+			f.store.Put(platform.KindRunners, "a-odd", "\xff\xfe{")
+			f.store.Put(platform.KindRunners, "odd-list", []int{7})
+			f.store.Put(platform.KindRunners, "odd-null", nil)
 			for name, change := range map[string]map[string]any{
 				"odd-state": {"state": "resting"}, "odd-service": {"service": 7}, "odd-slots": {"slots": "many"},
 				"odd-start": {"born": "1785310070397"}, "p1": {"zone": nil},
@@ -201,11 +201,11 @@
 				for field, value := range change {
 					entry[field] = value
 				}
-				f.store.Put(platform.KindServers, name, entry)
+				f.store.Put(platform.KindRunners, name, entry)
 			}
 			stranger := known.Entry("ready")
 			stranger["service"] = "nobody's"
-			f.store.Put(platform.KindServers, "stranger", stranger)
+			f.store.Put(platform.KindRunners, "stranger", stranger)
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(MatchRegexp(`"cause":"entry cannot be read".*"runner":"p1"`))
 		f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"stranger"`))
@@ -233,7 +233,7 @@
 	r := f.servingRouter("r1", nil)
 	entry := runner.Entry("ready")
 	delete(entry, "born")
-	f.store.Put(platform.KindServers, "p1", entry)
+	f.store.Put(platform.KindRunners, "p1", entry)
 	r.logs("entry cannot be read")
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 }
@@ -247,7 +247,7 @@
 	stranger := f.startedRunner("e2", "engines")
 	entry := stranger.Entry("ready")
 	entry["service"] = "nobody's"
-	f.store.Put(platform.KindServers, "e2", entry)
+	f.store.Put(platform.KindRunners, "e2", entry)
 	f.servingRouter("r1", nil)
 	name(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
@@ -264,10 +264,10 @@
 	r := f.servingRouter("r1", nil)
 	entry := runner.Entry("ready")
 	delete(entry, "born")
-	f.store.Put(platform.KindServers, "p1", entry)
+	f.store.Put(platform.KindRunners, "p1", entry)
 	r.logs("entry cannot be read")
 	entry["seq"] = 77
-	f.store.Put(platform.KindServers, "p1", entry)
+	f.store.Put(platform.KindRunners, "p1", entry)
 	f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 500*time.Millisecond, 20*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
 	f.list(runner, "ready")
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK))
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -21,7 +21,7 @@
 func withLostRunner(t *testing.T) (*restorable, *runnerstand.Runner) {
 	f := newRestorable(t, 3, nil)
 	f.plain.Close()
-	f.store.Remove(platform.KindServers, f.plain.ID)
+	f.store.Remove(platform.KindRunners, f.plain.ID)
 	kept := f.store.Copy()
 	joined := f.runner("joined", "plain")
 	f.grow(lostWrites)
@@ -76,7 +76,7 @@
 	}
 	kept := f.store.Copy()
 	f.list(leaving, "draining")
-	f.store.Remove(platform.KindServers, gone.ID)
+	f.store.Remove(platform.KindRunners, gone.ID)
 	f.grow(lostWrites)
 	for _, r := range f.routers {
 		r.logs(`"draining":true`)
@@ -92,7 +92,7 @@
 		f.g.Expect([]int{len(leaving.Runs()), len(gone.Runs())}).To(Equal(ran))
 	}
 
-	f.store.Put(platform.KindServers, gone.ID, gone.Entry("ready"))
+	f.store.Put(platform.KindRunners, gone.ID, gone.Entry("ready"))
 	f.g.Eventually(func() int {
 		f.routers[0].call("/safe/x", nil)
 		return len(gone.Runs())
@@ -155,7 +155,7 @@
 	follower.logs(`"runner":"gone"`)
 	follower.door.Set(storestand.Reset)
 	cut(faultproxy.Reset)
-	f.store.Remove(platform.KindServers, gone.ID)
+	f.store.Remove(platform.KindRunners, gone.ID)
 	seed.logs("runner removed")
 	f.store.Restore(f.store.Copy())
 	seed.logs(`"event":829`)
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -36,7 +36,7 @@
 		count++
 	})
 	f.plain.Close()
-	f.store.Remove(platform.KindServers, f.plain.ID)
+	f.store.Remove(platform.KindRunners, f.plain.ID)
 	kept := f.store.Copy()
 	f.runner("joined", "plain")
 	f.configure(2, added("fresh"), goodKey)
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -211,7 +211,7 @@
 			f.inForce(changed, "/fresh/x", "key-two")
 			f.haveWeights(2)
 			f.plain.Close()
-			f.store.Remove(platform.KindServers, f.plain.ID)
+			f.store.Remove(platform.KindRunners, f.plain.ID)
 			f.serves()
 			f.g.Expect(joined.Runs()).NotTo(BeEmpty(), "the runner that joined is known")
 		})
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -54,7 +54,7 @@
 	runner := f.runner("e1", "engines")
 	runner.Behave(runnerstand.Pauses)
 	if byAnswer {
-		runner.Announce(platform.HeaderLeaving, "1")
+		runner.Announce(platform.HeaderServerLeaving, "1")
 	}
 	at := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -146,7 +146,7 @@
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
 			f.load(f.routers, time.Second)
 			limited, named := f.busiest(test.limited), time.Now()
-			announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
+			announce(limited, platform.HeaderServerLimit, strconv.Itoa(limitedRate))
 			counted := named.Add(contactTime)
 			got := f.load(f.routers, contactTime+3*limitWindow)
 			lasted := time.Since(counted).Seconds()
@@ -174,7 +174,7 @@
 	f := newSignalFleet(t, 4, 3, 2)
 	f.load(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
+	announce(limited, platform.HeaderServerLimit, strconv.Itoa(limitedRate))
 	f.load(f.routers, 6*time.Second)
 	announce(limited)
 	f.load(f.routers, 8*time.Second)
@@ -190,7 +190,7 @@
 	f := newSignalFleet(t, 4, 1, 4)
 	f.load(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
+	announce(limited, platform.HeaderServerLimit, strconv.Itoa(limitedRate))
 	named := time.Now()
 	f.load(f.routers, contactTime)
 	f.routers[0].Kill()
@@ -203,7 +203,7 @@
 func TestRefusedForLimitsAreToldWhenThereIsRoom(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
-	announce(f.engines, platform.HeaderLimit, "0.5")
+	announce(f.engines, platform.HeaderServerLimit, "0.5")
 	f.load(f.routers, 4*time.Second)
 	r := f.routers[0]
 	refused := r.call("/once/x", nil)
@@ -224,12 +224,12 @@
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
 	for _, value := range []string{"NaN", "-1", "Inf", "x", "1e999"} {
-		announce(f.engines, platform.HeaderLimit, value, platform.HeaderLeaving, value)
+		announce(f.engines, platform.HeaderServerLimit, value, platform.HeaderServerLeaving, value)
 		got := f.load(f.routers, time.Second)
 		f.g.Expect(got.whole).To(Equal(got.sent), value)
 	}
 	f.routers[0].logs("what a runner says of itself cannot be read")
-	announce(f.engines, platform.HeaderLimit, "1e300")
+	announce(f.engines, platform.HeaderServerLimit, "1e300")
 	got := f.load(f.routers, time.Second)
 	f.g.Expect(got.whole).To(Equal(got.sent), "as good as none")
 }
@@ -241,7 +241,7 @@
 	f := newSignalFleet(t, 4, 1, 3)
 	f.load(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
+	announce(limited, platform.HeaderServerLimit, strconv.Itoa(limitedRate))
 	named := time.Now()
 	f.load(f.routers, contactTime)
 	f.routers[0].Kill()
@@ -259,7 +259,7 @@
 func TestAllRoutersKnowWhatARunnerSays(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 1, 2, 8)
-	announce(f.engines, platform.HeaderLimit, "5", platform.HeaderLeaving, "1")
+	announce(f.engines, platform.HeaderServerLimit, "5", platform.HeaderServerLeaving, "1")
 	f.g.Expect(f.routers[len(f.routers)-1].call("/once/x", nil).status).To(Equal(http.StatusOK))
 	heard := time.Now()
 	for _, r := range f.routers[:len(f.routers)-1] {
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -82,7 +82,7 @@
 	f.t.Cleanup(path.Close)
 	entry := runner.Entry("ready")
 	entry["address"] = path.Address
-	f.store.Put(platform.KindServers, id, entry)
+	f.store.Put(platform.KindRunners, id, entry)
 	return runner, path
 }
 
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -31,7 +31,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	held, store := holdingStore(f, platform.KindVersions)
+	held, store := holdingStore(f, platform.KindWeightVersions)
 	held.Store(false)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = store })
 	time.Sleep(3500 * time.Millisecond) // it has settled
--- a/internal/gateway/slowreaders_test.go
+++ b/internal/gateway/slowreaders_test.go
@@ -27,8 +27,8 @@
 		}
 		header := writer.Header()
 		header.Set(platform.HeaderRequestID, request.Header.Get(platform.HeaderRequestID))
-		header.Set(platform.HeaderStamp, "s")
-		header.Set(platform.HeaderVersions, "1")
+		header.Set(platform.HeaderResponseStamp, "s")
+		header.Set(platform.HeaderWeightVersions, "1")
 		control := http.NewResponseController(writer)
 		for number := range 500 {
 			_ = control.SetWriteDeadline(time.Now().Add(patience))
@@ -38,7 +38,7 @@
 		}
 	}))
 	f.t.Cleanup(server.Close)
-	f.store.Put(platform.KindServers, id, map[string]any{
+	f.store.Put(platform.KindRunners, id, map[string]any{
 		"service": "engines", "address": strings.TrimPrefix(server.URL, "http://"), "zone": "z", "version": "v1", "slots": 8, "state": "ready",
 		"cold_remaining_ms": 0, "seq": 0, "models": []map[string]any{{"name": modelName, "version": 1}},
 	})
@@ -58,7 +58,7 @@
 	f.g.Expect(err).NotTo(HaveOccurred())
 	defer connection.Close()
 	_, err = fmt.Fprintf(connection, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n%s: %s\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\n",
-		platform.HeaderRequestID, newRequestID(), platform.HeaderModel, modelName, platform.HeaderDeadline, goodKey)
+		platform.HeaderRequestID, newRequestID(), platform.HeaderModel, modelName, platform.HeaderDeadlineMillis, goodKey)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	time.Sleep(patience + 300*time.Millisecond)
 	// It reads on, up to the end of what the runner has ended.
--- a/internal/gateway/unreadcalls_test.go
+++ b/internal/gateway/unreadcalls_test.go
@@ -20,7 +20,7 @@
 	connection, err := net.Dial("tcp", r.address)
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	_, err = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: h.example\r\nContent-Length: 8\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\nthe body",
-		path, platform.HeaderRequestID, newRequestID(), platform.HeaderDeadline, goodKey)
+		path, platform.HeaderRequestID, newRequestID(), platform.HeaderDeadlineMillis, goodKey)
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	r.fleet.g.Expect(connection.Close()).To(Succeed())
 }
@@ -61,7 +61,7 @@
 			got, err := io.ReadAll(connection)
 			f.g.Expect(err).NotTo(HaveOccurred())
 			if strings.HasPrefix(string(got), "HTTP/1.1 200") {
-				f.g.Expect(string(got)).To(ContainSubstring(platform.HeaderStamp))
+				f.g.Expect(string(got)).To(ContainSubstring(platform.HeaderResponseStamp))
 			}
 		})
 	}
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -155,7 +155,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	f.g.Expect(r.door.Calls()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
-	f.store.Put(platform.KindServers, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
+	f.store.Put(platform.KindRunners, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
 	f.configure(1, defaultRoutes(), goodKey)
 	configured := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
--- a/internal/gatewaymain/gatewaymain.go
+++ b/internal/gatewaymain/gatewaymain.go
@@ -32,7 +32,7 @@
 // settings file, and returns the exit code.
 func Run(clock gateway.Clock) int {
 	debug.SetGCPercent(gcPercent)
-	path := os.Getenv(platform.SettingsVariable)
+	path := os.Getenv(platform.SettingsEnvVar)
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -68,9 +68,9 @@
 	return gateway.Ports{
 		Protocol:     platform.Protocol{},
 		Decode:       platform.Decode,
-		Store:        &platform.Store{Address: settings.StoreAddress, Pool: calls},
-		Runners:      &platform.Runners{Pool: calls},
-		Caches:       &platform.Caches{Pool: calls},
+		Store:        &platform.StoreClient{Address: settings.StoreAddress, Pool: calls},
+		Runners:      &platform.RunnerClient{Pool: calls},
+		Caches:       &platform.CacheClient{Pool: calls},
 		ReadyPath:    platform.PathReadiness,
 		DroppedLines: output.Dropped,
 		RunnerPool:   httpconn.NewPool(httpconn.DefaultDialTimeout),
--- a/internal/lab/runnerstand/answers.go
+++ b/internal/lab/runnerstand/answers.go
@@ -26,12 +26,12 @@
 // stream sends events after the one that the caller has; BreaksOff ends it in
 // the middle of the second event it sends.
 func (r *Runner) stream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
-	if backup := request.Header.Get(platform.HeaderBackup); backup != "" && r.Peer != nil {
+	if backup := request.Header.Get(platform.HeaderKVBackup); backup != "" && r.Peer != nil {
 		if peer := r.Peer(backup); peer != nil {
 			peer.holdCopy(request.Header.Get(platform.HeaderRequestID))
 		}
 	}
-	first, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEvent))
+	first, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
 	writer.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(writer)
 	for id := first + 1; id <= r.Events; id++ {
--- a/internal/lab/runnerstand/poison.go
+++ b/internal/lab/runnerstand/poison.go
@@ -33,8 +33,8 @@
 	if !r.Poison.Silent {
 		header := writer.Header()
 		header.Set(platform.HeaderRequestID, run.Request)
-		header.Set(platform.HeaderVersions, strconv.FormatUint(r.Version(), 10))
-		header.Set(platform.HeaderStamp, r.ID+"."+run.Request)
+		header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.Version(), 10))
+		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.Request)
 		fmt.Fprint(writer, eventText(1))
 		// The end of the runner follows in any case.
 		_ = http.NewResponseController(writer).Flush()
--- a/internal/lab/runnerstand/runner.go
+++ b/internal/lab/runnerstand/runner.go
@@ -206,8 +206,8 @@
 }
 
 func (r *Runner) serve(writer http.ResponseWriter, request *http.Request) {
-	if expected := request.Header.Get(platform.HeaderExpect); expected != "" && expected != r.ID {
-		writer.Header().Set(platform.HeaderInstance, r.ID)
+	if expected := request.Header.Get(platform.HeaderExpectInstance); expected != "" && expected != r.ID {
+		writer.Header().Set(platform.HeaderInstanceID, r.ID)
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -216,7 +216,7 @@
 		r.report(writer)
 	case platform.PathOrder:
 		r.order(writer, request)
-	case platform.PathKept, platform.PathKeptList:
+	case platform.PathCacheEvents, platform.PathCacheList:
 		// The stand-in has no cache that could be listed.
 		writer.WriteHeader(http.StatusNotFound)
 	default:
@@ -299,11 +299,11 @@
 		Request: request.Header.Get(platform.HeaderRequestID), Header: request.Header.Clone(), Path: request.RequestURI,
 		Body: string(body), Version: r.version, Began: time.Now(), Ended: make(chan struct{}),
 	}
-	expected := request.Header.Get(platform.HeaderExpectVersion)
+	expected := request.Header.Get(platform.HeaderExpectWeightVersion)
 	if expected != "" && expected != strconv.FormatUint(r.version, 10) {
 		return Sheds, run
 	}
-	if from := request.Header.Get(platform.HeaderCopyFrom); from != "" {
+	if from := request.Header.Get(platform.HeaderKVFrom); from != "" {
 		if from != r.Address+"/"+run.Request || !r.copies[run.Request] {
 			return Sheds, run
 		}
@@ -334,7 +334,7 @@
 	header := writer.Header()
 	r.announce(header)
 	header.Set(platform.HeaderRequestID, run.Request)
-	header.Set(platform.HeaderVersions, strconv.FormatUint(r.Version(), 10))
+	header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.Version(), 10))
 	switch behaviour {
 	case Sheds:
 		header.Set(platform.HeaderNotExecuted, "1")
@@ -352,7 +352,7 @@
 		header.Set("Connection", "close")
 	}
 	if behaviour != Unstamped {
-		header.Set(platform.HeaderStamp, r.ID+"."+run.Request)
+		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.Request)
 	}
 	if behaviour == Fails {
 		writer.WriteHeader(http.StatusInternalServerError)
--- a/internal/lab/soak/calls.go
+++ b/internal/lab/soak/calls.go
@@ -145,9 +145,9 @@
 	request.Host = hostName
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set(platform.HeaderRequestID, call.id)
-	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(callDeadline.Milliseconds()))
+	request.Header.Set(platform.HeaderDeadlineMillis, fmt.Sprint(callDeadline.Milliseconds()))
 	request.Header.Set(platform.HeaderModel, modelName)
-	request.Header.Set(platform.HeaderPrompt, "aa:100,bb:200,cc:50")
+	request.Header.Set(platform.HeaderPromptPrefix, "aa:100,bb:200,cc:50")
 	began := time.Now()
 	call.sent = began
 	response, err := client.Do(request)
@@ -175,7 +175,7 @@
 
 // checkAnswer checks a success: its own, whole, in order.
 func (s *Soak) checkAnswer(call *callRecord, header http.Header, body string) {
-	if header.Get(platform.HeaderRequestID) != call.id || header.Get(platform.HeaderStamp) == "" {
+	if header.Get(platform.HeaderRequestID) != call.id || header.Get(platform.HeaderResponseStamp) == "" {
 		s.fail("own answer: %s got the head of %q", call.id, header.Get(platform.HeaderRequestID))
 	}
 	want := "answer to " + call.id
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -67,7 +67,7 @@
 }
 
 func (c *configuration) putWeights() {
-	c.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": c.named})
+	c.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": c.named})
 }
 
 func (c *configuration) put() {
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -84,7 +84,7 @@
 	defer f.listing.Unlock()
 	for _, runner := range f.all() {
 		if f.hasEnded(runner.ID) {
-			f.store.Remove(platform.KindServers, runner.ID)
+			f.store.Remove(platform.KindRunners, runner.ID)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	}
 	entry := runner.Entry(state)
 	entry["address"] = f.proxy(runner.ID).Address
-	f.store.Put(platform.KindServers, runner.ID, entry)
+	f.store.Put(platform.KindRunners, runner.ID, entry)
 }
 
 func (f *fleet) proxy(id string) *faultproxy.Proxy {
--- a/internal/lab/soak/news_test.go
+++ b/internal/lab/soak/news_test.go
@@ -160,7 +160,7 @@
 	s.runners.leaves[runner.ID][0].from = time.Now().Add(-2 * drainTime)
 	s.runners.list(runner)
 	s.runners.leave(runner)()
-	object, _ := s.store.Get(platform.KindServers, runner.ID)
+	object, _ := s.store.Get(platform.KindRunners, runner.ID)
 	NewWithT(t).Expect(string(object.Spec)).To(ContainSubstring(`"draining"`))
 	comeBack()
 	send(t, runner)
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -78,7 +78,7 @@
 	id, pause := fmt.Sprintf("%s-%d", runner.Service, p.started), reviveLeast+time.Duration(p.random.Int64N(int64(reviveMost-reviveLeast)))
 	p.group.Go(func() {
 		time.Sleep(pause)
-		s.store.Remove(platform.KindServers, runner.ID)
+		s.store.Remove(platform.KindRunners, runner.ID)
 		if err := s.runners.add(id, runner.Service, s.config.weights(), p.of()); err != nil {
 			s.fail("start of a runner: %v", err)
 		}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	command := exec.Command(p.program[0], p.program[1:]...)
-	command.Env = append(os.Environ(), platform.SettingsVariable+"="+p.settingsPath(), SuspendedVariable+"="+p.suspendedPath())
+	command.Env = append(os.Environ(), platform.SettingsEnvVar+"="+p.settingsPath(), SuspendedVariable+"="+p.suspendedPath())
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		log.Close()
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -132,7 +132,7 @@
 
 func (f *signals) limit(runner *runnerstand.Runner, rate float64, duration time.Duration) {
 	f.soak.say("signal: %s takes %v requests a second for %v", runner.ID, rate, duration.Round(time.Millisecond))
-	runner.Announce(platform.HeaderLimit, strconv.FormatFloat(rate, 'f', -1, 64))
+	runner.Announce(platform.HeaderServerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	time.Sleep(duration)
 	runner.Announce()
 }
@@ -140,7 +140,7 @@
 // leave has the runner leave, which its entry says later or not at all, and start again.
 func (f *signals) leave(runner *runnerstand.Runner, listedAfter, duration time.Duration) {
 	f.soak.say("signal: %s leaves for %v, by its entry after %v", runner.ID, duration.Round(time.Millisecond), listedAfter.Round(time.Millisecond))
-	runner.Announce(platform.HeaderLeaving, "1")
+	runner.Announce(platform.HeaderServerLeaving, "1")
 	comeBack := func() {}
 	time.Sleep(min(listedAfter, duration))
 	if listedAfter < duration {
@@ -164,17 +164,17 @@
 
 // hear notes what an answer said that the gateway passed on.
 func (f *signals) hear(gateway string, header http.Header) {
-	runner, _, stamped := strings.Cut(header.Get(platform.HeaderStamp), ".")
+	runner, _, stamped := strings.Cut(header.Get(platform.HeaderResponseStamp), ".")
 	if !stamped {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	key := told{gateway, runner}
-	if header.Get(platform.HeaderLeaving) != "" {
+	if header.Get(platform.HeaderServerLeaving) != "" {
 		f.passedOn[saysLeaving][key] = append(f.passedOn[saysLeaving][key], time.Now())
 	}
-	if header.Get(platform.HeaderLimit) != "" {
+	if header.Get(platform.HeaderServerLimit) != "" {
 		f.passedOn[saysLimit][key] = append(f.passedOn[saysLimit][key], time.Now())
 	}
 }
--- a/internal/lab/soak/silences.go
+++ b/internal/lab/soak/silences.go
@@ -54,7 +54,7 @@
 // drawSilence draws what falls silent for good.
 func (s *Soak) drawSilence() step {
 	p, runner := s.anyProcess(), s.anyRunner()
-	kinds := []string{platform.KindServers, platform.KindVersions}
+	kinds := []string{platform.KindRunners, platform.KindWeightVersions}
 	kind := kinds[s.random.IntN(len(kinds))]
 	silences := []step{
 		{name: "open connections to the store of " + p.name + " fall silent", do: func() { s.muteStore(p) }},
