--- a/internal/gateway/suspectnews.go
+++ b/internal/gateway/suspectnews.go
@@ -18,12 +18,12 @@
 	for _, record := range records {
 		message := &wire.SuspectRecord{Tenant: record.Content.Tenant, Digest: record.Content.Digest, Outlived: !record.SurvivedAt.IsZero()}
 		if message.Outlived {
-			message.OutlivedAgeMillis = wire.AgeMillis(now.Sub(record.SurvivedAt))
+			message.OutlivedAgeMillis = wire.AgeToMillis(now.Sub(record.SurvivedAt))
 		}
 		for _, end := range record.Crashes {
 			message.Ends = append(message.Ends, &wire.RunnerEnd{
 				Runner: end.Runner.ID, Incarnation: end.Runner.Incarnation,
-				AgeMillis: wire.AgeMillis(now.Sub(end.DetectedAt)), BeganAgeMillis: wire.AgeMillis(now.Sub(end.SentAt)),
+				AgeMillis: wire.AgeToMillis(now.Sub(end.DetectedAt)), BeganAgeMillis: wire.AgeToMillis(now.Sub(end.SentAt)),
 			})
 		}
 		messages = append(messages, message)
@@ -37,12 +37,12 @@
 	for _, message := range messages {
 		record := quarantine.Record{Content: quarantine.ContentID{Tenant: message.GetTenant(), Digest: message.GetDigest()}}
 		if message.GetOutlived() {
-			record.SurvivedAt = now.Add(-wire.Age(message.GetOutlivedAgeMillis()))
+			record.SurvivedAt = now.Add(-wire.AgeFromMillis(message.GetOutlivedAgeMillis()))
 		}
 		for _, end := range message.GetEnds() {
 			record.Crashes = append(record.Crashes, quarantine.Crash{
 				Runner:     quarantine.Runner{ID: end.GetRunner(), Incarnation: end.GetIncarnation()},
-				DetectedAt: now.Add(-wire.Age(end.GetAgeMillis())), SentAt: now.Add(-wire.Age(end.GetBeganAgeMillis())),
+				DetectedAt: now.Add(-wire.AgeFromMillis(end.GetAgeMillis())), SentAt: now.Add(-wire.AgeFromMillis(end.GetBeganAgeMillis())),
 			})
 		}
 		records = append(records, record)
