--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -44,12 +44,12 @@
 mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.uncertain = true/r.uncertain = false/g' ./internal/attempt
 mutant "1 lost memories keep the old horizon" internal/claim/handover.go 's/handover.Horizon = now/handover.Horizon = time.Time{}/' ./test/prove -ginkgo.focus "when all routers restart"
 mutant "2 frames of any attempt and offset pass" internal/attempt/attempt.go 's/attempt != r.attempts \|\| offset != r.offset \|\| //' ./test/prove -ginkgo.focus "passes on only the frames"
-mutant "2 frames of any request pass" internal/node/relay.go 's/string\(frame.Request\) != x.call.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
+mutant "2 frames of any request pass" internal/node/relay.go 's/string\(frame.Request\) != x.request.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
 mutant "2 streams are not resumed or continued" internal/attempt/attempt.go 's/r.phase = Ready\n\treturn Dispatch/r.phase = Failed\n\treturn Stop/' ./test/prove -ginkgo.focus "continues elsewhere when the engine is killed"
 mutant "3 the salt lacks the tenant" internal/prefix/prefix.go 's/s.Tenant, s.Model/"", s.Model/' ./test/prove -ginkgo.focus "never between tenants"
 mutant "3 a dead engine's entries stay" internal/cacheindex/index.go 's/delete\(s.holders, old\)/_ = old/g' ./internal/cacheindex
 mutant "4 the machine list is ignored" internal/placement/placement.go 's/return !c.Leaving/return true/' ./test/prove -ginkgo.focus "machine the list shows as leaving"
-mutant "4 a router stops without finishing" internal/node/node.go 's/\tn.http.Shutdown\(ctx\)\n//' ./test/prove -ginkgo.focus "longer than the grace time"
+mutant "4 a router stops without finishing" internal/node/node.go 's/\tn.httpServer.Shutdown\(ctx\)\n//' ./test/prove -ginkgo.focus "longer than the grace time"
 mutant "5 peers do not give configuration" internal/control/control.go 's/revision >= c.store.Revision\(\) \{/revision >= 0 {/' ./test/prove -ginkgo.focus "one restart, platform down: true"
 mutant "5 every router reads from the platform" internal/node/watch.go 's/watchersPerZone = 2/watchersPerZone = 99/' ./test/prove -ginkgo.focus "few reads of the platform"
 mutant "6 older states apply" internal/config/store.go 's/delta.Through <= s.revision/delta.Through == s.revision/' ./internal/config
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -319,7 +319,7 @@
 				cut = append(cut, other.Name)
 			}
 		}
-		if err := postJSON("http://"+router.HTTP+node.PathCut, node.CutRequest{Nodes: cut}); err != nil {
+		if err := postJSON("http://"+router.HTTP+node.PathPartition, node.PartitionRequest{Nodes: cut}); err != nil {
 			return err
 		}
 	}
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -20,80 +20,88 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times and sizes of the controller.
+// Parameters of the controller.
 const (
 	controllerInterval = 250 * time.Millisecond
 	leaseDuration      = 3 * time.Second
-	// controllerCandidates is how many nodes read the lease at all.
-	controllerCandidates = 2
+	// maxLeaseCandidates is the number of nodes that compete for the controller lease. The other
+	// nodes do not read it.
+	maxLeaseCandidates = 2
 )
 
 var (
-	leaseKey      = v1.Key{Kind: v1.KindLease, Name: "controller"}
-	controllerKey = rendezvous.KeyOf("duty/controller")
+	leaseKey = v1.Key{Kind: v1.KindLease, Name: "controller"}
+	// leaseCandidatesKey is the rendezvous hash key by which the lease candidates are chosen.
+	leaseCandidatesKey = rendezvous.KeyOf("duty/controller")
 )
 
-// controller is the duty of the lease holder: orders to runners and status of
-// resources.
+// controller sends orders to runners and writes the status of resources while its node holds the
+// controller lease.
 type controller struct {
-	node      *Node
-	candidate *lease.Candidate
-	nextRead  time.Time
-	held      bool
-	reported  map[v1.Key]v1.Status
+	node          *Node
+	candidate     *lease.Candidate
+	nextLeaseRead time.Time
+	leaseHeld     bool
+	// writtenStatuses holds the statuses written since the lease was acquired.
+	writtenStatuses map[v1.Key]v1.Status
 }
 
 func (n *Node) controllerLoop() {
-	c := &controller{node: n, candidate: lease.NewCandidate(n.settings.Node, leaseDuration), reported: map[v1.Key]v1.Status{}}
-	for n.pause(controllerInterval) {
+	c := &controller{node: n, candidate: lease.NewCandidate(n.settings.Node, leaseDuration), writtenStatuses: map[v1.Key]v1.Status{}}
+	for n.sleep(controllerInterval) {
 		if n.Revision() == 0 {
 			continue
 		}
-		token, held := c.keepLease()
-		if held != c.held {
-			c.held = held
-			c.logLease(token, held)
+		token, held := c.maintainLease()
+		if held != c.leaseHeld {
+			c.leaseHeld = held
+			c.handleLeaseChange(token, held)
 		}
 		if held {
-			c.giveOrders(token)
-			c.writeStatus()
+			c.sendOrders(token)
+			c.writeStatuses()
 		}
 	}
 }
 
-func (c *controller) logLease(token uint64, held bool) {
+// handleLeaseChange logs that the lease was acquired or lost. A new holder writes all statuses
+// again.
+func (c *controller) handleLeaseChange(token uint64, held bool) {
 	if held {
 		c.node.log.Log(events.LeaseAcquired, events.Fields{"token": token})
-		c.reported = map[v1.Key]v1.Status{}
+		c.writtenStatuses = map[v1.Key]v1.Status{}
 		return
 	}
 	c.node.log.Log(events.LeaseLost, events.Fields{})
 }
 
-func (c *controller) mayHold() bool {
+// isCandidate reports whether this node competes for the lease.
+func (c *controller) isCandidate() bool {
 	n := c.node
 	if n.draining.Load() {
 		return false
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.Contains(rendezvous.Ranked(n.control.UsableNodes(), controllerKey, controllerCandidates), n.settings.Node)
+	return slices.Contains(rendezvous.Ranked(n.control.UsableNodes(), leaseCandidatesKey, maxLeaseCandidates), n.settings.Node)
 }
 
-// keepLease takes, renews or watches the lease, and returns the fencing token
-// while this node holds it.
-func (c *controller) keepLease() (uint64, bool) {
-	if c.mayHold() {
-		c.stepLease()
+// maintainLease acquires, renews or observes the lease if this node is a candidate. It returns
+// the fencing token, and whether this node holds the lease.
+func (c *controller) maintainLease() (uint64, bool) {
+	if c.isCandidate() {
+		c.acquireOrRenewLease()
 	}
 	token, held := c.candidate.Token(time.Now())
 	return uint64(token), held
 }
 
-func (c *controller) stepLease() {
+// acquireOrRenewLease reads the lease when a read is due, and writes it if the candidate's next
+// action is to acquire or renew it.
+func (c *controller) acquireOrRenewLease() {
 	now := time.Now()
-	if now.After(c.nextRead) {
-		c.nextRead = now.Add(leaseDuration / 4)
+	if now.After(c.nextLeaseRead) {
+		c.nextLeaseRead = now.Add(leaseDuration / 4)
 		if !c.readLease() {
 			return
 		}
@@ -107,13 +115,15 @@
 	sent := time.Now()
 	stored, err := c.node.platform.Put(c.node.ctx, v1.Object{Kind: leaseKey.Kind, Name: leaseKey.Name, Version: uint64(c.candidate.LastObservation().Revision), Spec: spec})
 	if err != nil {
-		// Lost or refused: the next read shows what is in place.
-		c.nextRead = time.Time{}
+		// The write was refused or its outcome is unknown. Read the lease before the next write.
+		c.nextLeaseRead = time.Time{}
 		return
 	}
 	c.candidate.RecordWrite(sent, time.Now(), action, storerev.Revision(stored.Version), proposal)
 }
 
+// readLease passes the stored lease to the candidate. It returns false if the lease could not be
+// read.
 func (c *controller) readLease() bool {
 	object, err := c.node.platform.Get(c.node.ctx, leaseKey)
 	now := time.Now()
@@ -132,8 +142,9 @@
 	return true
 }
 
-// giveOrders brings runners to the configured weights, adapters and roles.
-func (c *controller) giveOrders(token uint64) {
+// sendOrders sends the orders that bring the runners of all pools to their configured weights,
+// adapters and roles.
+func (c *controller) sendOrders(token uint64) {
 	snapshot := c.node.snapshot.Load()
 	for name, pool := range snapshot.Pools {
 		limits := rollout.Limits{MaxLoading: pool.MaxLoading, MinServingPercent: pool.MinServingPercent}
@@ -143,27 +154,29 @@
 	}
 }
 
+// poolModels returns the models of a pool with their configured weights and adapters.
 func poolModels(snapshot *config.Snapshot, pool string) []rollout.Model {
 	var models []rollout.Model
 	for name, model := range snapshot.Models {
 		if model.Pool != pool {
 			continue
 		}
-		wanted := rollout.Model{Name: name, WeightVersion: model.WeightVersion}
+		desired := rollout.Model{Name: name, WeightVersion: model.WeightVersion}
 		if weights := snapshot.Weights[model.WeightVersion]; weights != nil {
-			wanted.Source = weights.Source
+			desired.Source = weights.Source
 		}
 		for adapter, spec := range snapshot.Adapters {
 			if spec.Model == name {
-				wanted.Adapters = append(wanted.Adapters, adapter)
+				desired.Adapters = append(desired.Adapters, adapter)
 			}
 		}
-		sort.Strings(wanted.Adapters)
-		models = append(models, wanted)
+		sort.Strings(desired.Adapters)
+		models = append(models, desired)
 	}
 	return models
 }
 
+// poolRunners returns the runners of a pool with their latest reports.
 func (c *controller) poolRunners(snapshot *config.Snapshot, pool string) []rollout.Runner {
 	n := c.node
 	n.mutex.Lock()
@@ -176,6 +189,8 @@
 	return runners
 }
 
+// sendOrder sends one order with the fencing token. A failed order is logged and planned again in
+// the next round.
 func (c *controller) sendOrder(snapshot *config.Snapshot, token uint64, order rollout.Order) {
 	runner := snapshot.Runners[order.Runner]
 	if runner == nil {
@@ -189,12 +204,13 @@
 		return
 	}
 	c.node.log.Log(events.OrderSent, fields)
-	c.noteLoading(order)
+	c.markLoading(order)
 }
 
-// noteLoading keeps the plan from ordering a second runner to load before the
-// first one's own report arrives.
-func (c *controller) noteLoading(order rollout.Order) {
+// markLoading marks a runner as loading weights after it has accepted the order. Without it, the
+// next plan could exceed the limit on loading runners, because the runner's own report has not
+// arrived yet.
+func (c *controller) markLoading(order rollout.Order) {
 	if order.Order.Kind != engineapi.OrderLoadWeights {
 		return
 	}
@@ -206,49 +222,51 @@
 	}
 }
 
-// writeStatus reports, for each resource, whether it was accepted and whether
-// its version is in force on every live router. Unchanged status is not written.
-func (c *controller) writeStatus() {
+// writeStatuses writes the status of each resource: whether it was accepted and whether its
+// version is in force on every live router. Unchanged statuses are not written.
+func (c *controller) writeStatuses() {
 	n := c.node
 	n.mutex.Lock()
-	lowest := n.lowestRevision()
+	revision := n.minRevision()
 	keys := n.control.Store().Keys()
 	statuses := map[v1.Key]v1.Status{}
 	for key, version := range keys {
 		if slices.Contains(v1.OperatorKinds, key.Kind) {
-			statuses[key] = n.statusOf(key, version, lowest)
+			statuses[key] = n.resourceStatus(key, version, revision)
 		}
 	}
 	n.mutex.Unlock()
 	for key, status := range statuses {
-		if statusEqual(c.reported[key], status) {
+		if statusEqual(c.writtenStatuses[key], status) {
 			continue
 		}
 		if n.platform.PutStatus(n.ctx, key, status) != nil {
 			return
 		}
-		c.reported[key] = status
+		c.writtenStatuses[key] = status
 	}
 }
 
-// lowestRevision returns the lowest revision heard to be in force on a usable
-// router. The mutex is held.
-func (n *Node) lowestRevision() uint64 {
-	lowest := uint64(n.control.Store().Revision())
+// minRevision returns the lowest configuration revision that is in force on this or another usable
+// router, as last reported by each. The caller must hold n.mutex.
+func (n *Node) minRevision() uint64 {
+	revision := uint64(n.control.Store().Revision())
 	for _, id := range n.control.UsableNodes() {
 		member, _ := n.control.Members().Member(id)
-		lowest = min(lowest, member.Revision)
+		revision = min(revision, member.Revision)
 	}
-	return lowest
+	return revision
 }
 
-func (n *Node) statusOf(key v1.Key, version, lowest uint64) v1.Status {
+// resourceStatus returns the status of the resource at the given version; revision is the result
+// of minRevision. The caller must hold n.mutex.
+func (n *Node) resourceStatus(key v1.Key, version, revision uint64) v1.Status {
 	accepted := v1.Condition{Type: v1.ConditionAccepted, State: v1.ConditionTrue}
 	if fault := n.control.Store().Fault(key); fault != "" {
 		accepted = v1.Condition{Type: v1.ConditionAccepted, State: v1.ConditionFalse, Reason: "Invalid", Message: fault}
 	}
 	inForce := v1.Condition{Type: v1.ConditionInForce, State: v1.ConditionTrue, Reason: "AllRouters"}
-	if lowest < version {
+	if revision < version {
 		inForce = v1.Condition{Type: v1.ConditionInForce, State: v1.ConditionFalse, Reason: "Spreading"}
 	}
 	status := v1.Status{ObservedVersion: version, Conditions: []v1.Condition{accepted, inForce}}
@@ -258,6 +276,8 @@
 	return status
 }
 
+// servingCondition returns the condition that tells whether the runner is connected and serves a
+// model. The caller must hold n.mutex.
 func (n *Node) servingCondition(runner string) v1.Condition {
 	condition := v1.Condition{Type: v1.ConditionServing, State: v1.ConditionUnknown, Reason: "NotHeardOf"}
 	report, found := n.control.Fleet().Get(runner)
@@ -279,12 +299,13 @@
 	return a.ObservedVersion == b.ObservedVersion && slices.Equal(a.Conditions, b.Conditions)
 }
 
-// cancelAttempt stops an attempt that nobody awaits, without waiting for it.
+// cancelAttempt asks the engine in the background to stop an attempt whose output is not needed
+// any more.
 func (n *Node) cancelAttempt(address, request string, attempt uint32) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		// If it cannot be told, the engine finishes work that nobody reads.
+		// If the call fails, the engine only finishes work that nobody reads.
 		_ = n.engines.Cancel(ctx, address, &engineapi.CancelRequest{Request: request, Attempt: attempt})
 	}()
 }
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -17,75 +17,81 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Silences after which a stream is taken for lost.
+// Timeouts after which an output stream without frames counts as lost.
 const (
-	// startedSilence is for a stream whose engine has begun to compute.
-	startedSilence = 2 * time.Second
-	// queuedSilence is how often a queued request checks that its engine is
-	// still the same process and connected to its home.
-	queuedSilence = 2 * time.Second
+	// startedStreamTimeout applies after each frame.
+	startedStreamTimeout = 2 * time.Second
+	// queuedStreamTimeout applies until the first frame and while the request is queued at its
+	// engine. The stream is kept if the engine is still the same process and connected to the
+	// router that reads its events.
+	queuedStreamTimeout = 2 * time.Second
 )
 
-// execution carries one call through claim, placement, dispatch and relay.
+// execution runs one request: claim, placement, dispatch, relaying and retries.
 type execution struct {
-	node    *Node
-	call    *call
-	request *attempt.Request
-	sink    sink
-	arrived time.Time
+	node *Node
+	// request is the validated request, and state the state machine of its attempts.
+	request    *completionRequest
+	state      *attempt.Request
+	sink       responseSink
+	receivedAt time.Time
 
-	// version is the weight version of the current attempt; family, salt and
-	// anchors belong to it.
-	version string
-	salt    prefix.Salt
-	family  uint64
-	anchors []*wire.IndexEntry
+	// weightVersion is the version of the weights for the current attempt. The salt, family and
+	// anchors depend on it.
+	weightVersion string
+	salt          prefix.Salt
+	family        uint64
+	anchors       []*wire.IndexEntry
 
-	// address and incarnation are the engine process of the current attempt.
+	// address and incarnation identify the engine process of the current attempt.
 	address     string
 	incarnation uint64
-	// generated is the relayed output as escaped JSON text, kept to continue on
-	// another engine or to answer as a whole.
+	// generated is the relayed output as the content of a JSON string, without quotes. It is kept
+	// to continue on another engine and to write a response that is not streamed.
 	generated []byte
-	// begun is true once the current engine has begun to compute.
-	begun     atomic.Bool
-	firstSent bool
-	cached    int
-	// failure is set when the request ends without an attempt's own outcome.
+	// engineStarted is set when the current engine has started to process the prompt.
+	engineStarted atomic.Bool
+	responseBegun bool
+	// reportedCachedTokens is the number of cached prompt tokens that the engine of the first
+	// attempt reported, or the first number above 0 of a later one.
+	reportedCachedTokens int
+	// failure is the error for the client if the last placement failed. It is nil if the outcome
+	// of the last attempt decides.
 	failure *apiError
 }
 
-// execute runs the call and answers the caller.
-func (n *Node) execute(writer http.ResponseWriter, request *http.Request, c *call) {
-	ctx, cancel := context.WithTimeout(request.Context(), c.deadline)
+// execute runs the request and writes the response.
+func (n *Node) execute(writer http.ResponseWriter, httpRequest *http.Request, c *completionRequest) {
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), c.timeout)
 	defer cancel()
 	x := &execution{
-		node: n, call: c, request: attempt.NewRequest(c.repeatable, attempt.DefaultLimits()),
-		sink: newSink(writer, c), arrived: time.Now(),
+		node: n, request: c, state: attempt.NewRequest(c.repeatable, attempt.DefaultLimits()),
+		sink: newResponseSink(writer, c), receivedAt: time.Now(),
 	}
 	if !c.repeatable {
-		if failure := x.takeClaim(ctx); failure != nil {
+		if failure := x.acquireClaim(ctx); failure != nil {
 			x.fail(failure)
 			return
 		}
 	}
-	x.run(ctx)
+	x.runAttempts(ctx)
 }
 
-// takeClaim makes sure that no other attempt runs the request's key.
-func (x *execution) takeClaim(ctx context.Context) *apiError {
-	owner := fmt.Sprintf("%s/%d/%s", x.node.settings.Node, x.node.incarnation, x.call.id)
-	key := x.call.tenant.Name + "/" + x.call.key
-	decision, reason := x.node.claim(ctx, key, x.call.issued, owner)
+// acquireClaim claims the key of an unrepeatable request, so that no other attempt with the same
+// key runs. It returns an error if the claim was not granted.
+func (x *execution) acquireClaim(ctx context.Context) *apiError {
+	attemptID := fmt.Sprintf("%s/%d/%s", x.node.settings.Node, x.node.incarnation, x.request.id)
+	key := x.request.tenant.Name + "/" + x.request.idempotencyKey
+	decision, reason := x.node.claimKey(ctx, key, x.request.issuedAt, attemptID)
 	x.node.metrics.claims.WithLabelValues(reason.String()).Inc()
 	if decision == claim.Won {
 		return nil
 	}
-	// This attempt did not run, but an earlier one with the same key may have.
+	// This request did not run, but an earlier one with the same key may have run.
 	failure := &apiError{status: http.StatusServiceUnavailable, code: codeClaimRefused, runState: attempt.Unknown, retryAfter: time.Second}
 	switch decision {
 	case claim.Duplicate:
-		failure.status, failure.code = http.StatusConflict, codeDuplicate
+		failure.status, failure.code = http.StatusConflict, codeDuplicateRequest
 		failure.message = "a request with this key was taken before; whether it has run is not known here"
 		failure.retryAfter = 0
 	case claim.Refused:
@@ -98,15 +104,15 @@
 	return failure
 }
 
-// run does attempts until there is an outcome.
-func (x *execution) run(ctx context.Context) {
+// runAttempts dispatches and resumes attempts until the outcome of the request is final.
+func (x *execution) runAttempts(ctx context.Context) {
 	next := attempt.Dispatch
 	for next != attempt.Stop {
 		if ctx.Err() != nil {
-			x.giveUp(ctx)
+			x.abort(ctx)
 			return
 		}
-		if x.request.Attempt() > 0 && next == attempt.Dispatch && !x.mayRetry() {
+		if x.state.Attempt() > 0 && next == attempt.Dispatch && !x.withdrawRetry() {
 			break
 		}
 		if next == attempt.Resume {
@@ -115,219 +121,228 @@
 			next = x.dispatch(ctx)
 		}
 	}
-	if x.request.Phase() == attempt.Complete {
-		x.node.metrics.outcome("complete", "complete")
+	if x.state.Phase() == attempt.Complete {
+		x.node.metrics.countRequest("complete", "complete")
 		return
 	}
 	if ctx.Err() != nil {
-		x.giveUp(ctx)
+		x.abort(ctx)
 		return
 	}
-	x.request.Fail()
+	x.state.Fail()
 	if x.failure == nil {
 		x.failure = &apiError{status: http.StatusBadGateway, code: codeEngineFailed, message: "the engine failed and the request could not be continued elsewhere", retryAfter: time.Second}
 	}
-	x.failure.runState = x.request.RunState()
+	x.failure.runState = x.state.RunState()
 	x.fail(x.failure)
 }
 
-func (x *execution) mayRetry() bool {
+// withdrawRetry takes one retry from the router's retry budget and reports whether one was
+// available.
+func (x *execution) withdrawRetry() bool {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	return x.node.retries.TryWithdraw()
+	return x.node.retryBudget.TryWithdraw()
 }
 
-// giveUp ends a request whose caller has gone or whose deadline has passed.
-func (x *execution) giveUp(ctx context.Context) {
+// abort ends a request whose client has disconnected or whose deadline has passed.
+func (x *execution) abort(ctx context.Context) {
 	if x.address != "" {
-		x.node.cancelAttempt(x.address, x.call.id, x.request.Attempt())
+		x.node.cancelAttempt(x.address, x.request.id, x.state.Attempt())
 	}
-	x.request.Fail()
-	failure := &apiError{status: http.StatusGatewayTimeout, code: codeDeadline, message: "the deadline passed before the answer was complete", runState: x.request.RunState(), retryAfter: time.Second}
+	x.state.Fail()
+	failure := &apiError{status: http.StatusGatewayTimeout, code: codeDeadlineExceeded, message: "the deadline passed before the answer was complete", runState: x.state.RunState(), retryAfter: time.Second}
 	if errors.Is(ctx.Err(), context.Canceled) {
 		failure.message = "the caller has gone"
 	}
 	x.fail(failure)
 }
 
+// fail counts and logs the failed request and writes the error to the client.
 func (x *execution) fail(failure *apiError) {
-	x.node.metrics.outcome(failure.code, string(failure.runState))
+	x.node.metrics.countRequest(failure.code, string(failure.runState))
 	x.node.log.Log(events.RequestFailed, events.Fields{
-		"request": x.call.id, "tenant": x.call.tenant.Name, "code": failure.code, "run_state": failure.runState,
-		"attempts": x.request.Attempt(), "offset": x.request.Offset(), "reason": failure.message,
+		"request": x.request.id, "tenant": x.request.tenant.Name, "code": failure.code, "run_state": failure.runState,
+		"attempts": x.state.Attempt(), "offset": x.state.Offset(), "reason": failure.message,
 	})
 	x.sink.fail(failure)
 }
 
-// chooseVersion fixes the weights of the next attempt. Once output has been
-// relayed the version cannot change: an answer never mixes weights.
-func (x *execution) chooseVersion() {
-	if x.request.Offset() > 0 {
+// selectWeightVersion sets the weight version of the next attempt. Once output has been relayed
+// the version cannot change, because a response must not mix output of different weights.
+func (x *execution) selectWeightVersion() {
+	if x.state.Offset() > 0 {
 		return
 	}
 	n := x.node
 	snapshot := n.snapshot.Load()
-	model := snapshot.Models[x.call.model]
+	model := snapshot.Models[x.request.model]
 	if model == nil {
 		return
 	}
-	var names []string
+	var runners []string
 	for _, runner := range snapshot.ByPool[model.Pool] {
-		names = append(names, runner.Name)
+		runners = append(runners, runner.Name)
 	}
 	n.mutex.Lock()
-	version := n.control.Fleet().ActiveVersion(x.call.model, model.WeightVersion, names)
+	version := n.control.Fleet().ActiveVersion(x.request.model, model.WeightVersion, runners)
 	n.mutex.Unlock()
 	pool := snapshot.Pools[model.Pool]
-	if version == x.version || pool == nil {
+	if version == x.weightVersion || pool == nil {
 		return
 	}
-	x.version = version
-	x.salt = prefix.Scope{Tenant: x.call.tenant.Name, Model: x.call.model, Adapter: x.call.adapter, WeightVersion: version}.Salt()
-	chain := prefix.NewChain(x.salt, x.call.prompt, pool.BlockBytes)
+	x.weightVersion = version
+	x.salt = prefix.Scope{Tenant: x.request.tenant.Name, Model: x.request.model, Adapter: x.request.adapter, WeightVersion: version}.Salt()
+	chain := prefix.NewChain(x.salt, x.request.prompt, pool.BlockBytes)
 	x.family = chain.Family(x.salt)
 	x.anchors = anchorsToWire(chain.Anchors(pool.AnchorStride))
 }
 
-func (x *execution) excluded() []string {
+// excludedRunners returns the ejected runners and those that refused or failed this request.
+func (x *execution) excludedRunners() []string {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	return append(x.node.ejector.Ejected(time.Now()), x.request.Excluded()...)
+	return append(x.node.ejector.Ejected(time.Now()), x.state.Excluded()...)
 }
 
-func (x *execution) placeRequest() *wire.PlaceRequest {
+func (x *execution) newPlaceRequest() *wire.PlaceRequest {
 	return &wire.PlaceRequest{
-		Request: x.call.id, Pool: x.call.pool, Model: x.call.model, Adapter: x.call.adapter, WeightVersion: x.version,
-		Family: x.family, Anchors: x.anchors, Ticket: prefix.PromptDigest(x.salt, x.call.prompt),
-		PromptTokens: uint32(x.call.promptTokens + x.request.Offset()), MaxTokens: uint32(x.call.maxTokens),
-		Priority: uint32(x.call.tenant.Tier.Priority), MaxWaitMillis: uint32(x.node.maxWait(x.call).Milliseconds()),
-		Excluded: x.excluded(),
+		Request: x.request.id, Pool: x.request.pool, Model: x.request.model, Adapter: x.request.adapter, WeightVersion: x.weightVersion,
+		Family: x.family, Anchors: x.anchors, Ticket: prefix.PromptDigest(x.salt, x.request.prompt),
+		PromptTokens: uint32(x.request.promptTokens + x.state.Offset()), MaxTokens: uint32(x.request.maxTokens),
+		Priority: uint32(x.request.tenant.Tier.Priority), MaxWaitMillis: uint32(x.node.maxWait(x.request).Milliseconds()),
+		Excluded: x.excludedRunners(),
 	}
 }
 
-// dispatch places the request and sends one attempt.
+// dispatch places the request, sends one attempt to the chosen runner and relays its output.
 func (x *execution) dispatch(ctx context.Context) attempt.Action {
 	n := x.node
-	x.chooseVersion()
-	pick := n.place(ctx, x.placeRequest())
-	if pick.GetRefused() {
-		x.refused(pick)
+	x.selectWeightVersion()
+	response := n.place(ctx, x.newPlaceRequest())
+	if response.GetRefused() {
+		x.recordRefusal(response)
 		return attempt.Stop
 	}
 	snapshot := n.snapshot.Load()
-	runner, pool := snapshot.Runners[pick.GetRunner()], snapshot.Pools[x.call.pool]
+	runner, pool := snapshot.Runners[response.GetRunner()], snapshot.Pools[x.request.pool]
 	if runner == nil || pool == nil {
 		x.failure = &apiError{status: http.StatusServiceUnavailable, code: codeNoRunner, message: "the runner was just removed", retryAfter: time.Second}
 		return attempt.Stop
 	}
-	x.address, x.incarnation = runner.Spec.Address, pick.GetIncarnation()
-	x.begun.Store(false)
-	number := x.request.BeginDispatch(pick.GetRunner())
-	if number > 1 {
-		n.log.Log(events.RequestRetried, events.Fields{"request": x.call.id, "runner": pick.GetRunner(), "attempt": number, "offset": x.request.Offset()})
+	x.address, x.incarnation = runner.Spec.Address, response.GetIncarnation()
+	x.engineStarted.Store(false)
+	attemptNumber := x.state.BeginDispatch(response.GetRunner())
+	if attemptNumber > 1 {
+		n.log.Log(events.RequestRetried, events.Fields{"request": x.request.id, "runner": response.GetRunner(), "attempt": attemptNumber, "offset": x.state.Offset()})
 	}
 	n.metrics.attempts.Inc()
-	stream, err := n.engines.Generate(ctx, x.address, x.generateRequest(number, pool.BlockBytes))
+	stream, err := n.engines.Generate(ctx, x.address, x.newGenerateRequest(attemptNumber, pool.BlockBytes))
 	if err != nil {
-		return x.dispatchFailed(ctx, err)
+		return x.handleDispatchError(ctx, err)
 	}
-	x.request.MarkAccepted()
+	x.state.MarkAccepted()
 	return x.relay(ctx, stream)
 }
 
-func (x *execution) refused(pick *wire.PlaceResponse) {
+// recordRefusal sets the failure for a request that was refused by placement.
+func (x *execution) recordRefusal(response *wire.PlaceResponse) {
 	x.failure = &apiError{
-		status: http.StatusServiceUnavailable, code: codeOverloaded, message: pick.GetReason(),
-		retryAfter: time.Duration(pick.GetRetryAfterMillis()) * time.Millisecond,
+		status: http.StatusServiceUnavailable, code: codeOverloaded, message: response.GetReason(),
+		retryAfter: time.Duration(response.GetRetryAfterMillis()) * time.Millisecond,
 	}
-	if pick.GetNoRunner() {
+	if response.GetNoRunner() {
 		x.failure.code = codeNoRunner
 	}
 }
 
-func (x *execution) generateRequest(number uint32, blockBytes int) *engineapi.GenerateRequest {
+func (x *execution) newGenerateRequest(attemptNumber uint32, blockBytes int) *engineapi.GenerateRequest {
 	return &engineapi.GenerateRequest{
-		Request: x.call.id, Attempt: number, Incarnation: x.incarnation,
-		Model: x.call.model, Adapter: x.call.adapter, WeightVersion: x.version,
-		CacheSalt: string(x.salt), BlockBytes: blockBytes, Prompt: x.call.prompt,
-		Generated: unescape(x.generated), GeneratedTokens: x.request.Offset(), MaxTokens: x.call.maxTokens,
-		Priority: x.call.tenant.Tier.Priority, DeadlineMillis: x.call.deadline.Milliseconds(),
-		Format: x.call.format, ID: x.call.id, Created: x.call.created, DisplayModel: x.call.displayModel,
+		Request: x.request.id, Attempt: attemptNumber, Incarnation: x.incarnation,
+		Model: x.request.model, Adapter: x.request.adapter, WeightVersion: x.weightVersion,
+		CacheSalt: string(x.salt), BlockBytes: blockBytes, Prompt: x.request.prompt,
+		Generated: unescapeJSON(x.generated), GeneratedTokens: x.state.Offset(), MaxTokens: x.request.maxTokens,
+		Priority: x.request.tenant.Tier.Priority, DeadlineMillis: x.request.timeout.Milliseconds(),
+		Format: x.request.format, ID: x.request.id, Created: x.request.created, DisplayModel: x.request.displayModel,
 	}
 }
 
-// dispatchFailed sorts what is known of a dispatch that got no stream.
-func (x *execution) dispatchFailed(ctx context.Context, err error) attempt.Action {
+// handleDispatchError records a dispatch that returned no stream, depending on whether the attempt
+// was refused, was not sent or may be running.
+func (x *execution) handleDispatchError(ctx context.Context, err error) attempt.Action {
 	var refusal *engineapi.RefusedError
 	switch {
 	case errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeDuplicateAttempt:
-		return x.request.ConnectionLost()
+		return x.state.ConnectionLost()
 	case errors.As(err, &refusal):
 		x.reportRejection(refusal.Refusal.Code == engineapi.CodeDraining)
-		return x.request.Reject()
+		return x.state.Reject()
 	case errors.Is(err, engineapi.ErrNotConnected):
 		x.reportRejection(false)
-		x.eject()
-		return x.request.NotSent()
+		x.ejectRunner()
+		return x.state.NotSent()
 	}
 	if ctx.Err() != nil {
 		return attempt.Stop
 	}
-	x.eject()
-	return x.request.ConnectionLost()
+	x.ejectRunner()
+	return x.state.ConnectionLost()
 }
 
-func (x *execution) eject() {
+// ejectRunner excludes the current runner from this router's placements for a while.
+func (x *execution) ejectRunner() {
 	x.node.admissionMutex.Lock()
 	defer x.node.admissionMutex.Unlock()
-	x.node.ejector.RecordFailure(time.Now(), x.request.Runner(), x.incarnation)
+	x.node.ejector.RecordFailure(time.Now(), x.state.Runner(), x.incarnation)
 }
 
+// reportRejection reports to the index owner that the runner did not run the attempt.
 func (x *execution) reportRejection(draining bool) {
-	x.node.sendPlaceResult(&wire.PlaceResult{
-		Request: x.call.id, Runner: x.request.Runner(), Incarnation: x.incarnation,
+	x.node.reportPlaceResult(&wire.PlaceResult{
+		Request: x.request.id, Runner: x.state.Runner(), Incarnation: x.incarnation,
 		Family: x.family, Anchors: x.anchors, Rejected: true, Draining: draining,
 	})
 }
 
-// resume asks the engine process of the current attempt for the rest of the
-// stream. Only that process can say that it never saw the attempt.
+// resume requests the rest of the stream from the engine process of the current attempt. Only that
+// process can prove that it never received the attempt.
 func (x *execution) resume(ctx context.Context) attempt.Action {
 	n := x.node
-	n.log.Log(events.RequestResumed, events.Fields{"request": x.call.id, "runner": x.request.Runner(), "offset": x.request.Offset()})
+	n.log.Log(events.RequestResumed, events.Fields{"request": x.request.id, "runner": x.state.Runner(), "offset": x.state.Offset()})
 	stream, err := n.engines.Resume(ctx, x.address, &engineapi.ResumeRequest{
-		Request: x.call.id, Attempt: x.request.Attempt(), Incarnation: x.incarnation, Offset: x.request.Offset(),
+		Request: x.request.id, Attempt: x.state.Attempt(), Incarnation: x.incarnation, Offset: x.state.Offset(),
 	})
 	if err == nil {
-		x.request.MarkAccepted()
+		x.state.MarkAccepted()
 		return x.relay(ctx, stream)
 	}
 	if ctx.Err() != nil {
 		return attempt.Stop
 	}
-	x.eject()
+	x.ejectRunner()
 	var refusal *engineapi.RefusedError
 	if errors.As(err, &refusal) && refusal.Refusal.Code == engineapi.CodeNeverSeenAndBarred {
-		return x.request.NeverSeen()
+		return x.state.NeverSeen()
 	}
-	// Another process, or none: the attempt's stream is gone with it. If the
-	// old process still lives behind a cut, the cancel stops its useless work.
-	n.cancelAttempt(x.address, x.call.id, x.request.Attempt())
-	return x.request.RunnerGone()
+	// The stream is lost because the process has ended, was replaced or cannot be reached. If it
+	// still runs behind a network partition, the cancellation stops work that nobody reads.
+	n.cancelAttempt(x.address, x.request.id, x.state.Attempt())
+	return x.state.RunnerGone()
 }
 
-// noteStart takes the engine's word that it has begun to compute.
-func (x *execution) noteStart(start engineapi.StartData) {
-	x.begun.Store(true)
-	if x.request.Attempt() == 1 || x.cached == 0 {
-		x.cached = start.CachedTokens
+// recordStart records that the engine has started to process the prompt, and reports its load and
+// its number of cached tokens to the index owner.
+func (x *execution) recordStart(start engineapi.StartData) {
+	x.engineStarted.Store(true)
+	if x.state.Attempt() == 1 || x.reportedCachedTokens == 0 {
+		x.reportedCachedTokens = start.CachedTokens
 	}
 	x.node.admissionMutex.Lock()
-	x.node.ejector.RecordSuccess(x.request.Runner())
+	x.node.ejector.RecordSuccess(x.state.Runner())
 	x.node.admissionMutex.Unlock()
-	x.node.metrics.prompt(x.call.promptTokens, start.CachedTokens)
-	x.node.sendPlaceResult(&wire.PlaceResult{
-		Request: x.call.id, Runner: x.request.Runner(), Incarnation: x.incarnation, Family: x.family, Anchors: x.anchors,
+	x.node.metrics.countPromptTokens(x.request.promptTokens, start.CachedTokens)
+	x.node.reportPlaceResult(&wire.PlaceResult{
+		Request: x.request.id, Runner: x.state.Runner(), Incarnation: x.incarnation, Family: x.family, Anchors: x.anchors,
 		CachedTokens: uint32(start.CachedTokens), Load: control.LoadToWire(loadFromEngine(start.Load)),
 	})
 }
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -29,15 +29,17 @@
 	PathHealth      = "/healthz"
 	PathReady       = "/readyz"
 	PathMetrics     = "/metrics"
-	// PathStatus is for operators and the command line.
+	// PathStatus returns the Status for operators and the command line.
 	PathStatus = "/status"
-	// PathCut is the fault endpoint, open only when the settings say so.
-	PathCut = "/lab/cut"
+	// PathPartition injects a network partition. It is served only if Settings.FaultEndpoint is
+	// set.
+	PathPartition = "/lab/cut"
 )
 
+// idleTimeout is the time after which idle client connections are closed.
 const idleTimeout = 2 * time.Minute
 
-// serveHTTP builds the callers' and operators' interface and serves it.
+// serveHTTP starts serving the HTTP API for clients and operators.
 func (n *Node) serveHTTP(listener net.Listener) error {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -49,23 +51,24 @@
 	app.Get(PathMetrics, iris.FromStd(promhttp.HandlerFor(n.metrics.registry, promhttp.HandlerOpts{})))
 	app.Get(PathStatus, iris.FromStd(n.handleStatus))
 	if n.settings.FaultEndpoint {
-		app.Post(PathCut, iris.FromStd(n.handleCut))
+		app.Post(PathPartition, iris.FromStd(n.handlePartition))
 	}
 	if err := app.Build(); err != nil {
 		return trace.Wrap(err)
 	}
 	limits := n.settings.Limits
-	n.http = &http.Server{
+	n.httpServer = &http.Server{
 		Handler:           app,
 		ReadHeaderTimeout: time.Duration(limits.HeaderTimeoutMillis) * time.Millisecond,
 		ReadTimeout:       time.Duration(limits.BodyTimeoutMillis) * time.Millisecond,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
 	}
-	go n.http.Serve(listener)
+	go n.httpServer.Serve(listener)
 	return nil
 }
 
+// handleReady responds with status 503 before the first configuration and while draining.
 func (n *Node) handleReady(writer http.ResponseWriter, _ *http.Request) {
 	if n.Revision() == 0 || n.draining.Load() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -74,56 +77,59 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// authenticate finds the tenant of the bearer key, of which only the hash is stored.
+// authenticate returns the tenant of the request's bearer key. Keys are looked up by their SHA-256
+// digest, because the keys themselves are not stored.
 func authenticate(request *http.Request, snapshot *config.Snapshot) (*config.Tenant, *apiError) {
 	if snapshot.Revision == 0 {
 		return nil, &apiError{status: http.StatusServiceUnavailable, code: codeNotReady, message: "the router has no configuration yet", runState: attempt.NotRun}
 	}
 	scheme, key, found := strings.Cut(request.Header.Get("Authorization"), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") || key == "" {
-		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidKey, param: "Authorization", message: "a bearer key is required", runState: attempt.NotRun}
+		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "a bearer key is required", runState: attempt.NotRun}
 	}
 	digest := sha256.Sum256([]byte(key))
 	tenant := snapshot.ByKeyHash[hex.EncodeToString(digest[:])]
 	if tenant == nil {
-		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidKey, param: "Authorization", message: "the key is not known", runState: attempt.NotRun}
+		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "the key is not known", runState: attempt.NotRun}
 	}
 	return tenant, nil
 }
 
-// completionHandler serves one of the two completion calls.
+// completionHandler returns the handler of one of the two completion paths. The format is that of
+// the output chunks.
 func (n *Node) completionHandler(format string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		snapshot := n.snapshot.Load()
 		tenant, failure := authenticate(request, snapshot)
 		if failure != nil {
-			n.refuse(writer, "", failure)
+			n.writeError(writer, "", failure)
 			return
 		}
-		c, failure := n.parseCall(request, tenant, snapshot, format)
+		c, failure := n.parseRequest(request, tenant, snapshot, format)
 		if failure != nil {
-			n.refuse(writer, tenant.Name, failure)
+			n.writeError(writer, tenant.Name, failure)
 			return
 		}
 		if failure := n.admit(c); failure != nil {
-			n.refuse(writer, tenant.Name, failure)
+			n.writeError(writer, tenant.Name, failure)
 			return
 		}
 		defer n.release(c)
-		// The read time-out is for the body; from here on the caller only reads.
+		// The read timeout only applies to the body. The client sends nothing after it.
 		_ = http.NewResponseController(writer).SetReadDeadline(time.Time{})
 		n.execute(writer, request, c)
 	}
 }
 
-func (n *Node) refuse(writer http.ResponseWriter, tenant string, failure *apiError) {
-	n.metrics.outcome(failure.code, string(failure.runState))
+// writeError counts, logs and writes an error for a request that was not executed.
+func (n *Node) writeError(writer http.ResponseWriter, tenant string, failure *apiError) {
+	n.metrics.countRequest(failure.code, string(failure.runState))
 	n.log.Log(events.RequestFailed, events.Fields{"tenant": tenant, "code": failure.code, "run_state": failure.runState, "reason": failure.message})
-	failure.write(writer)
+	failure.writeTo(writer)
 }
 
-// admit applies the tenant's limits.
-func (n *Node) admit(c *call) *apiError {
+// admit enforces the tenant's limits. Each admitted request must be ended by release.
+func (n *Node) admit(c *completionRequest) *apiError {
 	n.mutex.Lock()
 	nodes := len(n.control.UsableNodes())
 	n.mutex.Unlock()
@@ -133,57 +139,58 @@
 	defer n.admissionMutex.Unlock()
 	decision := n.limiter.Admit(now, c.tenant.Name, c.tenant.Spec.Tier, limits)
 	if decision.Reason != admission.Admitted {
-		return &apiError{status: http.StatusTooManyRequests, code: codeRateLimited, message: string(decision.Reason), runState: attempt.NotRun, retryAfter: decision.RetryAfter}
+		return &apiError{status: http.StatusTooManyRequests, code: codeRateLimitExceeded, message: string(decision.Reason), runState: attempt.NotRun, retryAfter: decision.RetryAfter}
 	}
 	n.limiter.RecordUsage(now, c.tenant.Name, c.promptTokens)
-	n.retries.Deposit()
+	n.retryBudget.Deposit()
 	return nil
 }
 
-func (n *Node) release(c *call) {
+func (n *Node) release(c *completionRequest) {
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
 	n.limiter.Release(c.tenant.Name)
 }
 
-// maxWait returns the longest expected wait at which the request is accepted.
-func (n *Node) maxWait(c *call) time.Duration {
+// maxWait returns the longest expected queueing time at which the request is accepted.
+func (n *Node) maxWait(c *completionRequest) time.Duration {
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
-	share := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
-	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * share * float64(time.Millisecond))
+	factor := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
+	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * factor * float64(time.Millisecond))
 }
 
-// modelList is the answer to PathModels.
+// modelList is the response body of PathModels.
 type modelList struct {
-	Object string      `json:"object"`
-	Data   []modelItem `json:"data"`
+	Object string           `json:"object"`
+	Data   []modelListEntry `json:"data"`
 }
 
-type modelItem struct {
+type modelListEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
 }
 
+// handleModels lists the models and adapters that the tenant may use.
 func (n *Node) handleModels(writer http.ResponseWriter, request *http.Request) {
 	snapshot := n.snapshot.Load()
 	tenant, failure := authenticate(request, snapshot)
 	if failure != nil {
-		n.refuse(writer, "", failure)
+		n.writeError(writer, "", failure)
 		return
 	}
-	list := modelList{Object: "list", Data: []modelItem{}}
+	list := modelList{Object: "list", Data: []modelListEntry{}}
 	add := func(id string) {
-		list.Data = append(list.Data, modelItem{ID: id, Object: "model", OwnedBy: "clovertiller"})
+		list.Data = append(list.Data, modelListEntry{ID: id, Object: "model", OwnedBy: "clovertiller"})
 	}
 	for name := range snapshot.Models {
-		if mayUse(tenant, name) {
+		if mayUseModel(tenant, name) {
 			add(name)
 		}
 	}
 	for name, adapter := range snapshot.Adapters {
-		if mayUse(tenant, adapter.Model) {
+		if mayUseModel(tenant, adapter.Model) {
 			add(adapter.Model + adapterSeparator + name)
 		}
 	}
@@ -196,7 +203,7 @@
 	json.NewEncoder(writer).Encode(body)
 }
 
-// MemberStatus is one router in a Status.
+// MemberStatus describes one router in a Status.
 type MemberStatus struct {
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
@@ -204,42 +211,48 @@
 	Revision uint64 `json:"revision"`
 }
 
-// RunnerStatus is one runner in a Status.
+// RunnerStatus describes one runner in a Status.
 type RunnerStatus struct {
 	Runner        string `json:"runner"`
 	State         string `json:"state"`
 	Connected     bool   `json:"connected"`
 	Model         string `json:"model"`
 	WeightVersion string `json:"weightVersion"`
-	Home          string `json:"home"`
-	Incarnation   uint64 `json:"incarnation"`
-	Running       int    `json:"running"`
-	Waiting       int    `json:"waiting"`
+	// Home is the router that reads the runner's event stream.
+	Home        string `json:"home"`
+	Incarnation uint64 `json:"incarnation"`
+	Running     int    `json:"running"`
+	Waiting     int    `json:"waiting"`
 }
 
-// Status is what a router knows of itself and of the others.
+// Status is a router's view of itself, the other routers and the runners.
 type Status struct {
-	Node        string         `json:"node"`
-	Incarnation uint64         `json:"incarnation"`
-	Revision    uint64         `json:"revision"`
-	Draining    bool           `json:"draining"`
-	Assignment  uint64         `json:"claimAssignment"`
-	Claims      int            `json:"claims"`
-	Granting    bool           `json:"granting"`
+	Node        string `json:"node"`
+	Incarnation uint64 `json:"incarnation"`
+	// Revision is the configuration revision in force.
+	Revision uint64 `json:"revision"`
+	Draining bool   `json:"draining"`
+	// Assignment is the number of the claim assignment that this node serves or served last.
+	// Granting tells whether it grants claims under it, and Claims is the number of claims that it
+	// remembers.
+	Assignment uint64 `json:"claimAssignment"`
+	Claims     int    `json:"claims"`
+	Granting   bool   `json:"granting"`
+	// IndexBlocks is the number of distinct blocks in this node's index shard.
 	IndexBlocks int            `json:"indexBlocks"`
 	Members     []MemberStatus `json:"members"`
 	Runners     []RunnerStatus `json:"runners"`
 }
 
-// Status describes the router now.
+// Status returns the router's current status.
 func (n *Node) Status() Status {
 	snapshot := n.snapshot.Load()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	number, granting := n.holder.Assignment()
+	number, granting := n.claimHolder.Assignment()
 	status := Status{
 		Node: n.settings.Node, Incarnation: n.incarnation, Revision: snapshot.Revision, Draining: n.draining.Load(),
-		Assignment: number, Claims: n.holder.Len(), Granting: granting, IndexBlocks: n.shard.Len(),
+		Assignment: number, Claims: n.claimHolder.Len(), Granting: granting, IndexBlocks: n.shard.Len(),
 	}
 	for _, member := range n.control.Members().Members() {
 		state := member.State.String()
@@ -264,17 +277,18 @@
 	writeJSON(writer, n.Status())
 }
 
-// CutRequest is the body of PathCut: the routers to be cut off from.
-type CutRequest struct {
+// PartitionRequest is the request body of PathPartition. Nodes are the routers to and from which
+// all traffic is dropped.
+type PartitionRequest struct {
 	Nodes []string `json:"nodes"`
 }
 
-func (n *Node) handleCut(writer http.ResponseWriter, request *http.Request) {
-	var body CutRequest
+func (n *Node) handlePartition(writer http.ResponseWriter, request *http.Request) {
+	var body PartitionRequest
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	n.SetCut(body.Nodes)
+	n.SetPartitionedNodes(body.Nodes)
 	writeJSON(writer, body)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,10 +6,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// firstTokenBuckets are in seconds, dense around the target of 0.47 s.
+// firstTokenBuckets are the histogram buckets of the time to the first token in seconds. They are
+// dense around the target of 0.47 s.
 var firstTokenBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .3, .4, .47, .6, .8, 1, 2, 5, 10}
 
-// metrics are the router's measurements.
+// metrics holds the router's Prometheus metrics.
 type metrics struct {
 	registry       *prometheus.Registry
 	outcomes       *prometheus.CounterVec
@@ -54,13 +55,19 @@
 	return m
 }
 
-func (m *metrics) outcome(code, runState string) { m.outcomes.WithLabelValues(code, runState).Inc() }
+// countRequest counts a finished request by outcome, which is "complete" or an error code, and by
+// run state.
+func (m *metrics) countRequest(outcome, runState string) {
+	m.outcomes.WithLabelValues(outcome, runState).Inc()
+}
 
-func (m *metrics) firstToken(tier string, after time.Duration) {
-	m.firstTokens.WithLabelValues(tier).Observe(after.Seconds())
+// observeFirstToken records the time from a request's arrival to its first token.
+func (m *metrics) observeFirstToken(tier string, elapsed time.Duration) {
+	m.firstTokens.WithLabelValues(tier).Observe(elapsed.Seconds())
 }
 
-func (m *metrics) prompt(tokens, cached int) {
+// countPromptTokens counts the prompt tokens of a started attempt, and how many of them were cached.
+func (m *metrics) countPromptTokens(tokens, cached int) {
 	m.promptTokens.Add(float64(tokens))
 	m.cachedTokens.Add(float64(cached))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node is the shell of one router: it wires the pure parts (control,
-// index, placement, claims, attempts) to the clock, sockets and HTTP.
+// Package node implements the router process. It connects the packages that decide without I/O
+// (control, cacheindex, placement, claim, attempt and others) to the clock, to network connections
+// and to the HTTP API.
 package node
 
 import (
@@ -28,15 +29,18 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of the shell.
+// Intervals and timeouts of a node.
 const (
 	tickInterval = 100 * time.Millisecond
-	// confirmPlacement is how long a noted placement waits for the engine's events.
-	confirmPlacement = 10 * time.Second
-	// dispatchTransit is how long a placed request is on its way to its engine.
-	dispatchTransit = 20 * time.Millisecond
-	// sweepInterval is how often entries of dead engines leave the index's memory.
-	sweepInterval = time.Minute
+	// placementConfirmTimeout is how long an index entry of a new placement remains without
+	// confirmation by the engine's cache events.
+	placementConfirmTimeout = 10 * time.Second
+	// dispatchTransitTime is the assumed time from the placement of a request to its arrival at
+	// the engine.
+	dispatchTransitTime = 20 * time.Millisecond
+	// staleSweepInterval is the interval at which the entries of ended engine processes are removed
+	// from the index to free memory.
+	staleSweepInterval = time.Minute
 )
 
 // Node is one router.
@@ -48,41 +52,45 @@
 	platform    *platform.Client
 	engines     *engineapi.Client
 	transport   *wire.Transport
-	http        *http.Server
-	snapshot    atomic.Pointer[config.Snapshot]
-	draining    atomic.Bool
+	httpServer  *http.Server
+	// snapshot is the configuration in force. Its Revision is 0 until the first one is applied.
+	snapshot atomic.Pointer[config.Snapshot]
+	draining atomic.Bool
 
-	// mutex guards the state machines below; it is never held over I/O.
-	mutex     sync.Mutex
-	control   *control.Core
-	shard     *cacheindex.Shard
-	placer    *placement.Placer
-	holder    *claim.Holder
-	random    *rand.Rand
-	homes     map[string]*home
-	owners    []string
-	nextSweep time.Time
+	// mutex guards the fields below up to nextStaleSweep. It is never held during I/O.
+	mutex       sync.Mutex
+	control     *control.Core
+	shard       *cacheindex.Shard
+	placer      *placement.Placer
+	claimHolder *claim.Holder
+	random      *rand.Rand
+	// eventReaders maps the runners whose home is this node to their readers.
+	eventReaders map[string]*eventReader
+	// indexOwners are the usable nodes among which the index was last distributed.
+	indexOwners    []string
+	nextStaleSweep time.Time
 
-	// admissionMutex guards the limits of this ingress.
+	// admissionMutex guards the fields below up to ejector, which apply to the requests that
+	// clients send to this router.
 	admissionMutex sync.Mutex
 	limiter        *admission.Limiter
-	retries        *admission.RetryBudget
+	retryBudget    *admission.RetryBudget
 	ejector        *placement.Ejector
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	group  sync.WaitGroup
-	// started is when the process began, for the time to the first request.
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	// started is the start time of the process, for logging the time until it serves requests.
 	started time.Time
 }
 
-// Listeners are the open sockets of a router.
+// Listeners are the open listeners of a router.
 type Listeners struct {
 	HTTP net.Listener
 	Peer net.Listener
 }
 
-// Listen opens the sockets that the settings name.
+// Listen opens listeners at the addresses in the settings.
 func Listen(settings Settings) (Listeners, error) {
 	httpListener, err := net.Listen("tcp", settings.HTTPAddress)
 	if err != nil {
@@ -106,54 +114,55 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	started := time.Now()
 	n := &Node{
-		settings:    settings,
-		incarnation: uint64(started.UnixMilli()),
-		log:         events.NewLogger(logOutput, settings.Node, level),
-		platform:    platform.NewClient(settings.Platform),
-		engines:     engineapi.NewClient(),
-		shard:       cacheindex.NewShard(confirmPlacement),
-		holder:      claim.NewHolder(),
-		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		homes:       map[string]*home{},
-		limiter:     admission.NewLimiter(),
-		retries:     admission.NewRetryBudget(admission.DefaultRetryRatio, admission.DefaultRetryCapacity),
-		ejector:     placement.NewEjector(),
-		ctx:         ctx,
-		cancel:      cancel,
-		started:     started,
+		settings:     settings,
+		incarnation:  uint64(started.UnixMilli()),
+		log:          events.NewLogger(logOutput, settings.Node, level),
+		platform:     platform.NewClient(settings.Platform),
+		engines:      engineapi.NewClient(),
+		shard:        cacheindex.NewShard(placementConfirmTimeout),
+		claimHolder:  claim.NewHolder(),
+		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		eventReaders: map[string]*eventReader{},
+		limiter:      admission.NewLimiter(),
+		retryBudget:  admission.NewRetryBudget(admission.DefaultRetryRatio, admission.DefaultRetryCapacity),
+		ejector:      placement.NewEjector(),
+		ctx:          ctx,
+		cancel:       cancel,
+		started:      started,
 	}
 	self := membership.Member{
 		ID: settings.Node, Zone: settings.Zone, Region: settings.Region,
 		PeerAddress: listeners.Peer.Addr().String(), Incarnation: n.incarnation,
 	}
 	n.control = control.New(self, settings.Seeds, control.DefaultSettings(), n.random)
-	n.placer = &placement.Placer{Index: n.shard, Pending: placement.NewPendingPlacements(dispatchTransit), Fleet: n.control.Fleet(), RetrySchedule: admission.NewRetrySchedule(), Random: n.random}
+	n.placer = &placement.Placer{Index: n.shard, Pending: placement.NewPendingPlacements(dispatchTransitTime), Fleet: n.control.Fleet(), RetrySchedule: admission.NewRetrySchedule(), Random: n.random}
 	n.snapshot.Store(config.NewSnapshot(n.control.Store()))
 	n.metrics = newMetrics(n)
-	n.transport = wire.NewTransport(wire.Identity{Node: settings.Node, Incarnation: n.incarnation}, listeners.Peer, n.handlePeer)
+	n.transport = wire.NewTransport(wire.Identity{Node: settings.Node, Incarnation: n.incarnation}, listeners.Peer, n.handlePeerMessage)
 	if err := n.serveHTTP(listeners.HTTP); err != nil {
 		n.transport.Close()
 		cancel()
 		return nil, err
 	}
 	n.log.Log(events.NodeStarted, events.Fields{"zone": settings.Zone, "incarnation": n.incarnation, "http": listeners.HTTP.Addr().String(), "peer": listeners.Peer.Addr().String()})
-	n.spawn(n.tickLoop)
-	n.spawn(n.watchLoop)
-	n.spawn(n.controllerLoop)
-	n.spawn(n.assignmentLoop)
+	n.startGoroutine(n.tickLoop)
+	n.startGoroutine(n.watchLoop)
+	n.startGoroutine(n.controllerLoop)
+	n.startGoroutine(n.assignmentLoop)
 	return n, nil
 }
 
-func (n *Node) spawn(loop func()) {
-	n.group.Add(1)
+// startGoroutine runs the function in a goroutine that Kill waits for.
+func (n *Node) startGoroutine(loop func()) {
+	n.goroutines.Add(1)
 	go func() {
-		defer n.group.Done()
+		defer n.goroutines.Done()
 		loop()
 	}()
 }
 
-// pause waits for the duration, or returns false when the router stops.
-func (n *Node) pause(duration time.Duration) bool {
+// sleep waits for the duration. It returns false at once when the router stops.
+func (n *Node) sleep(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
 		return true
@@ -177,60 +186,60 @@
 }
 
 func (n *Node) tick() {
-	n.withControl(func(now time.Time) {
+	n.updateControl(func(now time.Time) {
 		n.control.Tick(now)
 		n.shard.ExpireProvisional(now)
-		if now.After(n.nextSweep) {
-			n.nextSweep = now.Add(sweepInterval)
+		if now.After(n.nextStaleSweep) {
+			n.nextStaleSweep = now.Add(staleSweepInterval)
 			n.shard.RemoveStale()
 		}
 	})
 }
 
-// withControl runs a change of the state machines and then does what it asks for.
-func (n *Node) withControl(change func(now time.Time)) {
+// updateControl runs update with n.mutex held. It then applies the resulting changes to the node,
+// sends the resulting messages and logs the membership events.
+func (n *Node) updateControl(update func(now time.Time)) {
 	n.mutex.Lock()
-	change(time.Now())
+	update(time.Now())
 	ready := n.control.TakeReady()
-	sends := n.react(ready)
+	sends := n.applyReady(ready)
 	n.mutex.Unlock()
 	for _, send := range append(ready.Sends, sends...) {
-		// A message that cannot be sent is lost, as on any network; the
-		// protocols repair it.
+		// The protocols tolerate lost messages, so errors need no handling.
 		_ = n.transport.Send(send.To, send.Address, send.Envelope)
 	}
-	n.logEvents(ready.Events)
+	n.logMemberEvents(ready.Events)
 }
 
-// react applies changes of the control plane to the node's other parts. The
-// mutex is held.
-func (n *Node) react(ready control.Ready) []control.Send {
+// applyReady applies changes of the control plane to the node's other parts and returns further
+// messages to send. The caller must hold n.mutex.
+func (n *Node) applyReady(ready control.Ready) []control.Send {
 	for _, report := range ready.NewIncarnations {
 		n.shard.Reset(cacheindex.Holder{Runner: report.Runner, Incarnation: report.Incarnation})
 	}
 	if ready.ConfigChanged {
 		snapshot := config.NewSnapshot(n.control.Store())
-		first := n.snapshot.Load().Revision == 0
+		firstConfig := n.snapshot.Load().Revision == 0
 		n.snapshot.Store(snapshot)
-		n.followAssignment(snapshot)
+		n.applyAssignment(snapshot)
 		fields := events.Fields{"revision": snapshot.Revision, "objects": n.control.Store().Len()}
 		n.log.Log(events.ConfigApplied, fields)
-		if first {
+		if firstConfig {
 			n.log.Log(events.NodeServing, events.Fields{"after_ms": time.Since(n.started).Milliseconds()})
 		}
 	}
 	if !ready.ConfigChanged && !ready.DutiesChanged {
 		return nil
 	}
-	sends := n.moveIndex(ready.Events)
-	n.updateHomes()
+	sends := n.resendMovedAnchors(ready.Events)
+	n.updateEventReaders()
 	return sends
 }
 
-func (n *Node) logEvents(changes []membership.Event) {
-	for _, change := range changes {
-		fields := events.Fields{"member": change.Member.ID, "state": change.Member.State.String(), "zone": change.Zone}
-		switch change.Kind {
+func (n *Node) logMemberEvents(memberEvents []membership.Event) {
+	for _, event := range memberEvents {
+		fields := events.Fields{"member": event.Member.ID, "state": event.Member.State.String(), "zone": event.Zone}
+		switch event.Kind {
 		case membership.EventJoined:
 			n.log.Log(events.MemberJoined, fields)
 		case membership.EventChanged:
@@ -249,8 +258,9 @@
 	}
 }
 
-// handlePeer takes a message from another router.
-func (n *Node) handlePeer(_ context.Context, envelope *wire.Envelope) *wire.Envelope {
+// handlePeerMessage handles a message from another router and returns the reply, or nil for one-way
+// messages.
+func (n *Node) handlePeerMessage(_ context.Context, envelope *wire.Envelope) *wire.Envelope {
 	switch body := envelope.GetBody().(type) {
 	case *wire.Envelope_IndexUpdate:
 		n.applyIndexUpdate(body.IndexUpdate)
@@ -259,67 +269,72 @@
 	case *wire.Envelope_PlaceResult:
 		n.applyPlaceResult(body.PlaceResult)
 	case *wire.Envelope_ClaimRequest:
-		return &wire.Envelope{Body: &wire.Envelope_ClaimResponse{ClaimResponse: n.answerClaim(body.ClaimRequest)}}
+		return &wire.Envelope{Body: &wire.Envelope_ClaimResponse{ClaimResponse: n.handleClaim(body.ClaimRequest)}}
 	case *wire.Envelope_SealRequest:
-		return &wire.Envelope{Body: &wire.Envelope_SealResponse{SealResponse: n.answerSeal(body.SealRequest)}}
+		return &wire.Envelope{Body: &wire.Envelope_SealResponse{SealResponse: n.handleSeal(body.SealRequest)}}
 	case *wire.Envelope_InstallRequest:
-		return &wire.Envelope{Body: &wire.Envelope_InstallResponse{InstallResponse: n.answerInstall(body.InstallRequest)}}
+		return &wire.Envelope{Body: &wire.Envelope_InstallResponse{InstallResponse: n.handleInstall(body.InstallRequest)}}
 	default:
-		n.withControl(func(now time.Time) { n.control.Step(now, envelope) })
+		n.updateControl(func(now time.Time) { n.control.Step(now, envelope) })
 	}
 	return nil
 }
 
-// PeerAddress returns the address that other routers use.
+// PeerAddress returns the address at which other routers connect.
 func (n *Node) PeerAddress() string { return n.transport.Address() }
 
-// Incarnation returns the identity of this process.
+// Incarnation returns the start time of the process in Unix milliseconds, which identifies it.
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
 // Revision returns the configuration revision in force.
 func (n *Node) Revision() uint64 { return n.snapshot.Load().Revision }
 
-// SetCut cuts the router off from the named routers; it is a fault setting.
-func (n *Node) SetCut(nodes []string) { n.transport.SetPartitioned(nodes) }
+// SetPartitionedNodes sets the routers to and from which all traffic is dropped. It injects
+// network partitions in tests.
+func (n *Node) SetPartitionedNodes(nodes []string) { n.transport.SetPartitioned(nodes) }
 
-// Stop ends the router as planned: it announces that it leaves, hands its
-// duties over, finishes every open request and then returns.
+// Stop shuts the router down gracefully. It announces that the router leaves, waits for the claim
+// handover and the drain grace period, finishes all open requests and then returns. If ctx ends
+// first, it stops at once.
 func (n *Node) Stop(ctx context.Context) {
 	n.draining.Store(true)
 	n.log.Log(events.NodeDraining, events.Fields{})
-	n.withControl(func(now time.Time) { n.control.Leave(now) })
+	n.updateControl(func(now time.Time) { n.control.Leave(now) })
 	grace := time.After(time.Duration(n.settings.DrainGraceMillis) * time.Millisecond)
 	n.awaitClaimHandover(ctx)
 	select {
 	case <-grace:
 	case <-ctx.Done():
 	}
-	n.http.Shutdown(ctx)
+	n.httpServer.Shutdown(ctx)
 	n.Kill()
 	n.log.Log(events.NodeStopped, events.Fields{})
 }
 
-// claimHandoverTimeout bounds how long a stopping holder waits to be replaced.
+// claimHandoverTimeout bounds how long a stopping claim holder waits for its replacement.
 const claimHandoverTimeout = 3 * time.Second
 
+// awaitClaimHandover waits until this node grants no more claims, at most for claimHandoverTimeout.
+// It returns at once if there is no usable node that could take over.
 func (n *Node) awaitClaimHandover(ctx context.Context) {
 	deadline := time.Now().Add(claimHandoverTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		n.mutex.Lock()
-		_, granting := n.holder.Assignment()
-		others := len(n.control.UsableNodes()) > 0
+		_, granting := n.claimHolder.Assignment()
+		othersUsable := len(n.control.UsableNodes()) > 0
 		n.mutex.Unlock()
-		if !granting || !others {
+		if !granting || !othersUsable {
 			return
 		}
 		time.Sleep(tickInterval)
 	}
 }
 
-// Kill ends the router at once, as a crash would.
+// Kill stops the router at once and without an announcement, as a crash does. It waits for the
+// router's goroutines.
 func (n *Node) Kill() {
 	n.cancel()
-	n.http.Close()
+	n.httpServer.Close()
 	n.transport.Close()
-	n.group.Wait()
+	n.goroutines.Wait()
 }
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -20,29 +20,31 @@
 	"github.com/clovertiller/clovertiller/internal/prompt"
 )
 
-// Headers of the callers' API.
+// Headers of the client API.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
-	// headerIssuedAt is the issue time of a key that is not a UUIDv7, RFC 3339.
+	// headerIssuedAt is the RFC 3339 issue time of an idempotency key that is not a UUIDv7.
 	headerIssuedAt   = "X-Clovertiller-Issued-At"
 	headerRepeatable = "X-Clovertiller-Repeatable"
-	// headerDeadline is how long the caller waits, in milliseconds.
-	headerDeadline = "X-Clovertiller-Deadline-Ms"
-	headerRunState = "X-Clovertiller-Run-State"
-	headerWeights  = "X-Clovertiller-Weight-Version"
-	headerRunner   = "X-Clovertiller-Runner"
-	headerRequest  = "X-Request-Id"
+	// headerDeadline is the time in milliseconds for which the client waits.
+	headerDeadline      = "X-Clovertiller-Deadline-Ms"
+	headerRunState      = "X-Clovertiller-Run-State"
+	headerWeightVersion = "X-Clovertiller-Weight-Version"
+	headerRunner        = "X-Clovertiller-Runner"
+	headerRequestID     = "X-Request-Id"
 )
 
-// Bounds on what a caller may ask for.
+// Limits on values in requests.
 const (
-	maxKeyBytes      = 128
-	maxDeadline      = time.Hour
+	maxIdempotencyKeyBytes = 128
+	maxTimeout             = time.Hour
+
+	// adapterSeparator separates model and adapter in the model field, as in "model:adapter".
 	adapterSeparator = ":"
 )
 
-// completionBody holds the fields that the router reads of both call types;
-// other fields of the usual API are accepted and not used.
+// completionBody holds the fields that the router reads from the body of chat and text completion
+// requests. Other fields of the OpenAI API are accepted and ignored.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -52,7 +54,7 @@
 	Stream              bool            `json:"stream"`
 	StreamOptions       *streamOptions  `json:"stream_options"`
 	N                   *int            `json:"n"`
-	// Repeatable says whether the request may be run again after a failure.
+	// Repeatable tells whether the request may run again after a failure.
 	Repeatable *bool `json:"repeatable"`
 }
 
@@ -71,34 +73,41 @@
 	Text string `json:"text"`
 }
 
-// call is one checked request of a caller.
-type call struct {
-	id           string
-	tenant       *config.Tenant
-	model        string
-	adapter      string
+// completionRequest is a validated completion request.
+type completionRequest struct {
+	id      string
+	tenant  *config.Tenant
+	model   string
+	adapter string
+	// displayModel is the model field as sent by the client, including the adapter.
 	displayModel string
 	pool         string
+	// prompt is the rendered prompt. promptTokens is its estimated length.
 	prompt       string
 	promptTokens int
 	maxTokens    int
 	stream       bool
 	includeUsage bool
-	format       string
-	created      int64
-	repeatable   bool
-	key          string
-	issued       time.Time
-	deadline     time.Duration
+	// format is the format of the output chunks.
+	format string
+	// created is the creation time in Unix seconds that is written into the response.
+	created int64
+	// repeatable tells whether the request may run more than once. Otherwise idempotencyKey and
+	// issuedAt, the issue time of the key, are set.
+	repeatable     bool
+	idempotencyKey string
+	issuedAt       time.Time
+	// timeout is the time from the start of execution for which the client waits.
+	timeout time.Duration
 }
 
-// parseCall reads and checks a request.
-func (n *Node) parseCall(request *http.Request, tenant *config.Tenant, snapshot *config.Snapshot, format string) (*call, *apiError) {
+// parseRequest reads a completion request and validates it against the configuration snapshot.
+func (n *Node) parseRequest(request *http.Request, tenant *config.Tenant, snapshot *config.Snapshot, format string) (*completionRequest, *apiError) {
 	body, failure := n.readBody(request)
 	if failure != nil {
 		return nil, failure
 	}
-	c := &call{
+	c := &completionRequest{
 		id: "cmpl-" + uuid.NewString(), tenant: tenant, stream: body.Stream, format: format,
 		created: time.Now().Unix(), displayModel: body.Model,
 		includeUsage: body.StreamOptions != nil && body.StreamOptions.IncludeUsage,
@@ -106,9 +115,9 @@
 	steps := []func() *apiError{
 		func() *apiError { return c.setModel(body, snapshot) },
 		func() *apiError { return c.setPrompt(body) },
-		func() *apiError { return c.setLength(body, snapshot, n.settings.Limits.DefaultMaxTokens) },
+		func() *apiError { return c.setTokenLimit(body, snapshot, n.settings.Limits.DefaultMaxTokens) },
 		func() *apiError { return c.setRepeatable(body, request.Header) },
-		func() *apiError { return c.setDeadline(request.Header, n.settings.Limits.DefaultDeadlineMillis) },
+		func() *apiError { return c.setTimeout(request.Header, n.settings.Limits.DefaultDeadlineMillis) },
 	}
 	for _, step := range steps {
 		if failure := step(); failure != nil {
@@ -122,27 +131,28 @@
 	limit := n.settings.Limits.MaxBodyBytes
 	content, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	if err != nil {
-		return nil, &apiError{status: http.StatusRequestTimeout, code: codeBadRequest, param: "body", message: "the body did not arrive in time", runState: attempt.NotRun}
+		return nil, &apiError{status: http.StatusRequestTimeout, code: codeInvalidRequest, param: "body", message: "the body did not arrive in time", runState: attempt.NotRun}
 	}
 	if int64(len(content)) > limit {
-		return nil, &apiError{status: http.StatusRequestEntityTooLarge, code: codeTooLarge, param: "body", message: fmt.Sprintf("the body is over %d bytes", limit), runState: attempt.NotRun}
+		return nil, &apiError{status: http.StatusRequestEntityTooLarge, code: codeRequestTooLarge, param: "body", message: fmt.Sprintf("the body is over %d bytes", limit), runState: attempt.NotRun}
 	}
 	body := &completionBody{}
 	if err := json.Unmarshal(content, body); err != nil {
-		return nil, jsonFault(err)
+		return nil, newDecodeError(err)
 	}
 	return body, nil
 }
 
-func jsonFault(err error) *apiError {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		return badRequest(wrongType.Field, "%s must be a %s, got a JSON %s", wrongType.Field, wrongType.Type, wrongType.Value)
+// newDecodeError returns the error for a body that could not be decoded.
+func newDecodeError(err error) *apiError {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return badRequest(typeError.Field, "%s must be a %s, got a JSON %s", typeError.Field, typeError.Type, typeError.Value)
 	}
 	return badRequest("body", "the body is not valid JSON: %v", err)
 }
 
-func (c *call) setModel(body *completionBody, snapshot *config.Snapshot) *apiError {
+func (c *completionRequest) setModel(body *completionBody, snapshot *config.Snapshot) *apiError {
 	if body.Model == "" {
 		return badRequest("model", "model is required")
 	}
@@ -152,14 +162,15 @@
 	if model == nil || (c.adapter != "" && (adapter == nil || adapter.Model != c.model)) {
 		return &apiError{status: http.StatusNotFound, code: codeModelNotFound, param: "model", message: fmt.Sprintf("model %q does not exist", body.Model), runState: attempt.NotRun}
 	}
-	if !mayUse(c.tenant, c.model) {
-		return &apiError{status: http.StatusForbidden, code: codeModelForbidden, param: "model", message: fmt.Sprintf("model %q is not open to this tenant", body.Model), runState: attempt.NotRun}
+	if !mayUseModel(c.tenant, c.model) {
+		return &apiError{status: http.StatusForbidden, code: codeModelNotAllowed, param: "model", message: fmt.Sprintf("model %q is not open to this tenant", body.Model), runState: attempt.NotRun}
 	}
 	c.pool = model.Pool
 	return nil
 }
 
-func mayUse(tenant *config.Tenant, model string) bool {
+// mayUseModel reports whether the tenant may use the model. An empty list allows all models.
+func mayUseModel(tenant *config.Tenant, model string) bool {
 	if len(tenant.Spec.Models) == 0 {
 		return true
 	}
@@ -171,12 +182,12 @@
 	return false
 }
 
-func (c *call) setPrompt(body *completionBody) *apiError {
+func (c *completionRequest) setPrompt(body *completionBody) *apiError {
 	var failure *apiError
 	if c.format == engineapi.FormatChat {
 		c.prompt, failure = renderMessages(body.Messages)
 	} else {
-		failure = c.setPlainPrompt(body.Prompt)
+		failure = c.setTextPrompt(body.Prompt)
 	}
 	if failure != nil {
 		return failure
@@ -188,7 +199,8 @@
 	return nil
 }
 
-func (c *call) setPlainPrompt(raw json.RawMessage) *apiError {
+// setTextPrompt sets the prompt of a text completion request.
+func (c *completionRequest) setTextPrompt(raw json.RawMessage) *apiError {
 	if len(raw) == 0 {
 		return badRequest("prompt", "prompt is required")
 	}
@@ -198,12 +210,12 @@
 	return nil
 }
 
-// renderMessages checks chat messages and joins them to one prompt.
+// renderMessages validates chat messages and renders them as one prompt.
 func renderMessages(messages []chatMessage) (string, *apiError) {
 	if len(messages) == 0 {
 		return "", badRequest("messages", "messages needs at least one message")
 	}
-	plain := make([]prompt.Message, len(messages))
+	rendered := make([]prompt.Message, len(messages))
 	for i, message := range messages {
 		if message.Role == "" {
 			return "", badRequest(fmt.Sprintf("messages[%d].role", i), "role is required")
@@ -212,11 +224,13 @@
 		if !ok {
 			return "", badRequest(fmt.Sprintf("messages[%d].content", i), "content must be a string or a list of text parts")
 		}
-		plain[i] = prompt.Message{Role: message.Role, Text: text}
+		rendered[i] = prompt.Message{Role: message.Role, Text: text}
 	}
-	return prompt.Render(plain), nil
+	return prompt.Render(rendered), nil
 }
 
+// contentText returns the text of a message's content, which is a string or a list of text parts.
+// It returns false for any other content.
 func contentText(raw json.RawMessage) (string, bool) {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -236,38 +250,39 @@
 	return joined.String(), true
 }
 
-func (c *call) setLength(body *completionBody, snapshot *config.Snapshot, defaultTokens int) *apiError {
+// setTokenLimit sets the maximum output length and checks it against the model's context length.
+func (c *completionRequest) setTokenLimit(body *completionBody, snapshot *config.Snapshot, defaultTokens int) *apiError {
 	c.maxTokens = defaultTokens
-	for _, given := range []*int{body.MaxTokens, body.MaxCompletionTokens} {
-		if given == nil {
+	for _, limit := range []*int{body.MaxTokens, body.MaxCompletionTokens} {
+		if limit == nil {
 			continue
 		}
-		if *given < 1 {
-			return badRequest("max_tokens", "max_tokens must be above 0, got %d", *given)
+		if *limit < 1 {
+			return badRequest("max_tokens", "max_tokens must be above 0, got %d", *limit)
 		}
-		c.maxTokens = *given
+		c.maxTokens = *limit
 	}
 	if body.N != nil && *body.N != 1 {
 		return badRequest("n", "n must be 1, got %d", *body.N)
 	}
-	context := snapshot.Models[c.model].ContextTokens
-	if c.promptTokens+c.maxTokens > context {
-		failure := badRequest("prompt", "prompt of %d tokens and answer of %d are over the model's context of %d", c.promptTokens, c.maxTokens, context)
-		failure.code = codeContextLength
+	contextTokens := snapshot.Models[c.model].ContextTokens
+	if c.promptTokens+c.maxTokens > contextTokens {
+		failure := badRequest("prompt", "prompt of %d tokens and answer of %d are over the model's context of %d", c.promptTokens, c.maxTokens, contextTokens)
+		failure.code = codeContextLengthExceeded
 		return failure
 	}
 	return nil
 }
 
-// setRepeatable decides whether the request may be run again after a failure.
-// A key alone means that the caller cares about being run twice, so it makes
-// the request unrepeatable unless the caller says otherwise.
-func (c *call) setRepeatable(body *completionBody, header http.Header) *apiError {
-	c.key = header.Get(headerIdempotencyKey)
-	if len(c.key) > maxKeyBytes {
-		return badRequest(headerIdempotencyKey, "key is over %d bytes", maxKeyBytes)
-	}
-	c.repeatable = c.key == ""
+// setRepeatable determines whether the request may run again after a failure. An idempotency key
+// means that running the request twice matters to the client, so it makes the request unrepeatable
+// unless the body or the header states otherwise.
+func (c *completionRequest) setRepeatable(body *completionBody, header http.Header) *apiError {
+	c.idempotencyKey = header.Get(headerIdempotencyKey)
+	if len(c.idempotencyKey) > maxIdempotencyKeyBytes {
+		return badRequest(headerIdempotencyKey, "key is over %d bytes", maxIdempotencyKeyBytes)
+	}
+	c.repeatable = c.idempotencyKey == ""
 	if body.Repeatable != nil {
 		c.repeatable = *body.Repeatable
 	}
@@ -281,14 +296,15 @@
 	if c.repeatable {
 		return nil
 	}
-	if c.key == "" {
+	if c.idempotencyKey == "" {
 		return badRequest(headerIdempotencyKey, "a request that may not be repeated needs a key")
 	}
-	return c.setIssued(header)
+	return c.setIssueTime(header)
 }
 
-func (c *call) setIssued(header http.Header) *apiError {
-	issued, err := claim.IssueTime(c.key)
+// setIssueTime sets the issue time of the idempotency key from a UUIDv7 key or from the header.
+func (c *completionRequest) setIssueTime(header http.Header) *apiError {
+	issued, err := claim.IssueTime(c.idempotencyKey)
 	if value := header.Get(headerIssuedAt); err != nil && value != "" {
 		issued, err = time.Parse(time.RFC3339Nano, value)
 		if err != nil {
@@ -298,20 +314,21 @@
 	if err != nil {
 		return badRequest(headerIdempotencyKey, "must be a UUIDv7 (RFC 9562), or be sent with %s", headerIssuedAt)
 	}
-	c.issued = issued
+	c.issuedAt = issued
 	return nil
 }
 
-func (c *call) setDeadline(header http.Header, defaultMillis int) *apiError {
-	c.deadline = time.Duration(defaultMillis) * time.Millisecond
+// setTimeout sets the time for which the client waits.
+func (c *completionRequest) setTimeout(header http.Header, defaultMillis int) *apiError {
+	c.timeout = time.Duration(defaultMillis) * time.Millisecond
 	value := header.Get(headerDeadline)
 	if value == "" {
 		return nil
 	}
 	millis, err := strconv.Atoi(value)
-	if err != nil || millis < 1 || millis > int(maxDeadline.Milliseconds()) {
-		return badRequest(headerDeadline, "must be 1 to %d milliseconds, got %q", maxDeadline.Milliseconds(), value)
+	if err != nil || millis < 1 || millis > int(maxTimeout.Milliseconds()) {
+		return badRequest(headerDeadline, "must be 1 to %d milliseconds, got %q", maxTimeout.Milliseconds(), value)
 	}
-	c.deadline = time.Duration(millis) * time.Millisecond
+	c.timeout = time.Duration(millis) * time.Millisecond
 	return nil
 }
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -30,58 +30,60 @@
 	}
 }
 
-func parse(body string, header http.Header) (*call, *apiError) {
+// parseChat parses a chat request of a tenant that may use only model m.
+func parseChat(body string, header http.Header) (*completionRequest, *apiError) {
 	request := httptest.NewRequest(http.MethodPost, PathChat, strings.NewReader(body))
 	for name, values := range header {
 		request.Header[name] = values
 	}
 	tenant := &config.Tenant{Name: "t", Spec: &v1.TenantSpec{Models: []string{"m"}}}
-	return testNode().parseCall(request, tenant, testSnapshot(), engineapi.FormatChat)
+	return testNode().parseRequest(request, tenant, testSnapshot(), engineapi.FormatChat)
 }
 
-const valid = `{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":5}`
+// validBody is a chat request that testSnapshot and the tenant of parseChat allow.
+const validBody = `{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":5}`
 
-func TestBadInputNamesTheField(t *testing.T) {
+func TestParseErrorNamesInvalidField(t *testing.T) {
 	cases := []struct {
-		name, body   string
-		header       http.Header
-		status       int
-		param, wants string
+		name, body         string
+		header             http.Header
+		status             int
+		param, wantMessage string
 	}{
 		{"broken JSON", `{"model":`, nil, 400, "body", "not valid JSON"},
 		{"wrong type", `{"model":7}`, nil, 400, "model", "must be a string"},
 		{"no model", `{}`, nil, 400, "model", "required"},
 		{"unknown model", `{"model":"x"}`, nil, 404, "model", "does not exist"},
 		{"unknown adapter", `{"model":"m:b"}`, nil, 404, "model", "does not exist"},
-		{"closed model", `{"model":"closed"}`, nil, 403, "model", "not open"},
+		{"model not allowed", `{"model":"closed"}`, nil, 403, "model", "not open"},
 		{"no messages", `{"model":"m"}`, nil, 400, "messages", "at least one"},
 		{"no role", `{"model":"m","messages":[{"content":"x"}]}`, nil, 400, "messages[0].role", "required"},
 		{"bad content", `{"model":"m","messages":[{"role":"user","content":5}]}`, nil, 400, "messages[0].content", "string"},
-		{"zero tokens", `{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":0}`, nil, 400, "max_tokens", "above 0"},
-		{"two answers", `{"model":"m","messages":[{"role":"user","content":"x"}],"n":2}`, nil, 400, "n", "must be 1"},
-		{"over the context", `{"model":"m","messages":[{"role":"user","content":"` + strings.Repeat("x", 2000) + `"}]}`, nil, 400, "prompt", "context of 500"},
+		{"zero max_tokens", `{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":0}`, nil, 400, "max_tokens", "above 0"},
+		{"n above 1", `{"model":"m","messages":[{"role":"user","content":"x"}],"n":2}`, nil, 400, "n", "must be 1"},
+		{"over the context length", `{"model":"m","messages":[{"role":"user","content":"` + strings.Repeat("x", 2000) + `"}]}`, nil, 400, "prompt", "context of 500"},
 		{"over the body limit", `{"model":"` + strings.Repeat("x", 5000) + `"}`, nil, 413, "body", "over 4096 bytes"},
-		{"unrepeatable without key", strings.Replace(valid, "{", `{"repeatable":false,`, 1), nil, 400, "Idempotency-Key", "needs a key"},
-		{"key without time", valid, http.Header{"Idempotency-Key": {"hold-1"}}, 400, "Idempotency-Key", "UUIDv7"},
-		{"bad issue time", valid, http.Header{"Idempotency-Key": {"hold-1"}, "X-Clovertiller-Issued-At": {"now"}}, 400, "X-Clovertiller-Issued-At", "RFC 3339"},
-		{"bad repeatable", valid, http.Header{"X-Clovertiller-Repeatable": {"perhaps"}}, 400, "X-Clovertiller-Repeatable", "true or false"},
-		{"bad deadline", valid, http.Header{"X-Clovertiller-Deadline-Ms": {"-1"}}, 400, "X-Clovertiller-Deadline-Ms", "milliseconds"},
-		{"long key", valid, http.Header{"Idempotency-Key": {strings.Repeat("k", 200)}}, 400, "Idempotency-Key", "over 128 bytes"},
+		{"unrepeatable without key", strings.Replace(validBody, "{", `{"repeatable":false,`, 1), nil, 400, "Idempotency-Key", "needs a key"},
+		{"key without issue time", validBody, http.Header{"Idempotency-Key": {"hold-1"}}, 400, "Idempotency-Key", "UUIDv7"},
+		{"bad issue time", validBody, http.Header{"Idempotency-Key": {"hold-1"}, "X-Clovertiller-Issued-At": {"now"}}, 400, "X-Clovertiller-Issued-At", "RFC 3339"},
+		{"bad repeatable", validBody, http.Header{"X-Clovertiller-Repeatable": {"perhaps"}}, 400, "X-Clovertiller-Repeatable", "true or false"},
+		{"bad deadline", validBody, http.Header{"X-Clovertiller-Deadline-Ms": {"-1"}}, 400, "X-Clovertiller-Deadline-Ms", "milliseconds"},
+		{"long key", validBody, http.Header{"Idempotency-Key": {strings.Repeat("k", 200)}}, 400, "Idempotency-Key", "over 128 bytes"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, failure := parse(c.body, c.header)
+			_, failure := parseChat(c.body, c.header)
 			g.Expect(failure).NotTo(BeNil())
 			g.Expect(failure.status).To(Equal(c.status))
 			g.Expect(failure.param).To(Equal(c.param))
-			g.Expect(failure.message).To(ContainSubstring(c.wants))
+			g.Expect(failure.message).To(ContainSubstring(c.wantMessage))
 			g.Expect(failure.runState).To(Equal(attempt.NotRun))
 		})
 	}
 }
 
-func TestRepeatability(t *testing.T) {
+func TestSetRepeatable(t *testing.T) {
 	key := uuid.Must(uuid.NewV7()).String()
 	cases := []struct {
 		name       string
@@ -89,44 +91,44 @@
 		header     http.Header
 		repeatable bool
 	}{
-		{"by default", valid, nil, true},
-		{"a key alone", valid, http.Header{"Idempotency-Key": {key}}, false},
-		{"a key and the caller's word", valid, http.Header{"Idempotency-Key": {key}, "X-Clovertiller-Repeatable": {"true"}}, true},
-		{"the field", strings.Replace(valid, "{", `{"repeatable":false,`, 1), http.Header{"Idempotency-Key": {key}}, false},
-		{"another key with its time", valid, http.Header{"Idempotency-Key": {"hold-1"}, "X-Clovertiller-Issued-At": {"2026-01-02T03:04:05Z"}}, false},
+		{"by default", validBody, nil, true},
+		{"a key only", validBody, http.Header{"Idempotency-Key": {key}}, false},
+		{"a key and the header set to true", validBody, http.Header{"Idempotency-Key": {key}, "X-Clovertiller-Repeatable": {"true"}}, true},
+		{"a key and the field set to false", strings.Replace(validBody, "{", `{"repeatable":false,`, 1), http.Header{"Idempotency-Key": {key}}, false},
+		{"a key that is not a UUIDv7, with its issue time", validBody, http.Header{"Idempotency-Key": {"hold-1"}, "X-Clovertiller-Issued-At": {"2026-01-02T03:04:05Z"}}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			parsed, failure := parse(c.body, c.header)
+			parsed, failure := parseChat(c.body, c.header)
 			g.Expect(failure).To(BeNil())
 			g.Expect(parsed.repeatable).To(Equal(c.repeatable))
-			g.Expect(parsed.issued.IsZero()).To(Equal(c.repeatable))
+			g.Expect(parsed.issuedAt.IsZero()).To(Equal(c.repeatable))
 		})
 	}
 }
 
-func TestContentParts(t *testing.T) {
+func TestContentPartsAreConcatenated(t *testing.T) {
 	g := NewWithT(t)
-	parsed, failure := parse(`{"model":"m:a","messages":[{"role":"user","content":[{"type":"text","text":"he"},{"type":"text","text":"llo"}]}],"max_completion_tokens":3}`, nil)
+	parsed, failure := parseChat(`{"model":"m:a","messages":[{"role":"user","content":[{"type":"text","text":"he"},{"type":"text","text":"llo"}]}],"max_completion_tokens":3}`, nil)
 	g.Expect(failure).To(BeNil())
 	g.Expect(parsed.prompt).To(Equal("<|user|>\nhello\n<|assistant|>\n"))
 	g.Expect(parsed.adapter).To(Equal("a"))
 	g.Expect(parsed.maxTokens).To(Equal(3))
 }
 
-func FuzzParseCall(f *testing.F) {
-	f.Add(valid)
+func FuzzParseRequest(f *testing.F) {
+	f.Add(validBody)
 	f.Add(`{"model":"m","messages":[{"role":"user","content":[{"type":"text"}]}],"stream":true,"stream_options":{}}`)
 	f.Fuzz(func(t *testing.T, body string) {
-		parsed, failure := parse(body, nil)
+		parsed, failure := parseChat(body, nil)
 		if (parsed == nil) == (failure == nil) {
-			t.Fatal("exactly one of call and failure must be set")
+			t.Fatal("exactly one of the request and the error must be set")
 		}
 	})
 }
 
-func TestTextIsTakenFromChunksWithoutDecoding(t *testing.T) {
+func TestAppendEscapedText(t *testing.T) {
 	g := NewWithT(t)
 	var text []byte
 	for _, chunk := range []string{
@@ -134,16 +136,16 @@
 		`{"choices":[{"index":0,"text":"\\\u00e9\n"}]}`,
 		`{"choices":[{"delta":{}}]}`,
 	} {
-		text = appendText(text, []byte(chunk))
+		text = appendEscapedText(text, []byte(chunk))
 	}
-	g.Expect(unescape(text)).To(Equal("a \"b\" \\é\n"))
+	g.Expect(unescapeJSON(text)).To(Equal("a \"b\" \\é\n"))
 }
 
-func TestSettingsFaultsAreAllListed(t *testing.T) {
+func TestCheckReportsEveryInvalidSetting(t *testing.T) {
 	g := NewWithT(t)
 	settings := Settings{HTTPAddress: "here", Seeds: []string{"there"}, LogLevel: "loud"}
-	faults := settings.Check()
-	g.Expect(faults).To(ContainElements(
+	problems := settings.Check()
+	g.Expect(problems).To(ContainElements(
 		"node: is required", "zone: is required", `httpAddress: must be IP:port, got "here"`,
 		`seeds[0]: must be IP:port, got "there"`, `logLevel: must be debug, info, warn or error, got "loud"`,
 	))
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -14,8 +14,8 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// placeTimeout is how long an ingress waits for the owner of the index before
-// it places without the index.
+// placeTimeout is how long a router waits for the response of the index owner before it places a
+// request without the index.
 const placeTimeout = 100 * time.Millisecond
 
 func anchorsToWire(anchors []prefix.Anchor) []*wire.IndexEntry {
@@ -34,9 +34,9 @@
 	return converted
 }
 
-// place asks the owner of the prompt's family for a runner. If the owner does
-// not answer in time, this node places by itself without the index: that costs
-// hits, not answers.
+// place asks the index owner of the prompt's family for a runner. If the owner does not respond in
+// time, this node chooses a runner without the index. That lowers the cache hit rate, but the
+// request is still served.
 func (n *Node) place(ctx context.Context, request *wire.PlaceRequest) *wire.PlaceResponse {
 	n.mutex.Lock()
 	owner := n.control.ShardOf(request.GetFamily())
@@ -58,19 +58,20 @@
 	return n.placeLocally(request, false)
 }
 
-// placeLocally chooses a runner from this node's index and reports.
-func (n *Node) placeLocally(request *wire.PlaceRequest, indexed bool) *wire.PlaceResponse {
+// placeLocally chooses a runner by this node's own runner reports and, if useIndex is set, by its
+// own index shard.
+func (n *Node) placeLocally(request *wire.PlaceRequest, useIndex bool) *wire.PlaceResponse {
 	snapshot := n.snapshot.Load()
 	pool := snapshot.Pools[request.GetPool()]
 	if pool == nil {
 		return &wire.PlaceResponse{Refused: true, NoRunner: true, Reason: placement.NoRunner.String(), RetryAfterMillis: 1000}
 	}
-	query := queryOf(request, pool, snapshot.ByPool[request.GetPool()])
+	query := newQuery(request, pool, snapshot.ByPool[request.GetPool()])
 	now := time.Now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var pick placement.Pick
-	if indexed {
+	if useIndex {
 		pick = n.placer.Place(now, query)
 	} else {
 		pick = n.placer.PlaceWithoutIndex(now, query)
@@ -87,7 +88,8 @@
 	}
 }
 
-func queryOf(request *wire.PlaceRequest, pool *v1.PoolSpec, runners []*config.Runner) placement.Query {
+// newQuery converts a place request for the runners of the pool.
+func newQuery(request *wire.PlaceRequest, pool *v1.PoolSpec, runners []*config.Runner) placement.Query {
 	query := placement.Query{
 		Request: placement.Request{
 			Model: request.GetModel(), Adapter: request.GetAdapter(), WeightVersion: request.GetWeightVersion(),
@@ -107,29 +109,31 @@
 	return query
 }
 
-// sendPlaceResult tells the index's owner what the engine did.
-func (n *Node) sendPlaceResult(result *wire.PlaceResult) {
+// reportPlaceResult applies the outcome of a placement locally and sends it to the index owner.
+func (n *Node) reportPlaceResult(result *wire.PlaceResult) {
 	n.mutex.Lock()
 	owner := n.control.ShardOf(result.GetFamily())
 	address, found := n.control.Address(owner)
 	n.mutex.Unlock()
 	n.applyPlaceResult(result)
 	if found && owner != n.settings.Node {
-		// A lost result costs accuracy only; the engine's events repair it.
+		// A lost result only makes the index less accurate until the engine's events repair it.
 		_ = n.transport.Send(owner, address, &wire.Envelope{Body: &wire.Envelope_PlaceResult{PlaceResult: result}})
 	}
 }
 
+// applyPlaceResult updates the runner's state and load and, if this node owns the index of the
+// family, the provisional index entries.
 func (n *Node) applyPlaceResult(result *wire.PlaceResult) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	holder := cacheindex.Holder{Runner: result.GetRunner(), Incarnation: result.GetIncarnation()}
-	owned := n.control.ShardOf(result.GetFamily()) == n.settings.Node
+	ownsFamily := n.control.ShardOf(result.GetFamily()) == n.settings.Node
 	if result.GetDraining() {
 		n.control.Fleet().MarkDraining(holder.Runner, holder.Incarnation)
 	}
 	if result.GetRejected() {
-		if owned {
+		if ownsFamily {
 			n.shard.RemoveProvisional(holder, anchorsFromWire(result.GetAnchors()))
 		}
 		return
@@ -137,7 +141,7 @@
 	load := control.LoadFromWire(result.GetLoad())
 	load.AsOf = time.Now()
 	n.control.Fleet().UpdateLoad(holder.Runner, holder.Incarnation, load)
-	if owned {
+	if ownsFamily {
 		n.shard.AddProvisional(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -11,12 +11,12 @@
 	"github.com/clovertiller/clovertiller/internal/fleet"
 )
 
-// relay passes an engine's output on to the caller until the stream ends. Frames
-// that do not belong to the current attempt at the next offset are dropped.
+// relay relays an engine's output to the client until the stream ends. It drops frames that do not
+// belong to the current attempt or do not start at the next offset.
 func (x *execution) relay(ctx context.Context, stream *engineapi.Stream) attempt.Action {
 	defer stream.Close()
-	watch := newSilenceWatch(x, stream)
-	defer watch.stop()
+	timer := newSilenceTimer(x, stream)
+	defer timer.stop()
 	var frame engineapi.Frame
 	for {
 		if err := stream.Frames.Next(&frame); err != nil {
@@ -24,109 +24,113 @@
 			if ctx.Err() != nil {
 				return attempt.Stop
 			}
-			return x.request.ConnectionLost()
+			return x.state.ConnectionLost()
 		}
-		watch.touch()
-		if string(frame.Request) != x.call.id {
+		timer.reset()
+		if string(frame.Request) != x.request.id {
 			x.dropFrame(&frame)
 			continue
 		}
 		switch frame.Event {
 		case "":
-			x.passOn(&frame)
+			x.relayFrame(&frame)
 		case engineapi.EventStart:
-			x.start(&frame)
+			x.handleStart(&frame)
 		case engineapi.EventEnd:
-			return x.end(ctx, &frame)
+			return x.handleEnd(ctx, &frame)
 		}
 		if !stream.Frames.Buffered() {
-			// Tokens that arrived together leave in one write.
+			// Tokens that arrive together are written together.
 			x.sink.flush()
 		}
 	}
 }
 
+// dropFrame counts and logs a frame that is not relayed.
 func (x *execution) dropFrame(frame *engineapi.Frame) {
 	x.node.metrics.droppedFrames.Inc()
-	x.node.log.Log(events.FrameDropped, events.Fields{"request": x.call.id, "attempt": frame.Attempt, "offset": frame.Offset, "expected": x.request.Offset()})
+	x.node.log.Log(events.FrameDropped, events.Fields{"request": x.request.id, "attempt": frame.Attempt, "offset": frame.Offset, "expected": x.state.Offset()})
 }
 
-func (x *execution) passOn(frame *engineapi.Frame) {
-	if !x.request.AcceptFrame(frame.Attempt, frame.Offset, frame.Count) {
+// relayFrame writes an output frame to the client, or drops it if it is not the expected one.
+func (x *execution) relayFrame(frame *engineapi.Frame) {
+	if !x.state.AcceptFrame(frame.Attempt, frame.Offset, frame.Count) {
 		x.dropFrame(frame)
 		return
 	}
-	x.generated = appendText(x.generated, frame.Data)
-	if !x.firstSent {
-		x.firstSent = true
-		x.node.metrics.firstToken(x.call.tenant.Spec.Tier, time.Since(x.arrived))
-		x.sink.begin(x.version, x.request.Runner())
+	x.generated = appendEscapedText(x.generated, frame.Data)
+	if !x.responseBegun {
+		x.responseBegun = true
+		x.node.metrics.observeFirstToken(x.request.tenant.Spec.Tier, time.Since(x.receivedAt))
+		x.sink.begin(x.weightVersion, x.state.Runner())
 	}
 	x.node.metrics.relayedTokens.Add(float64(frame.Count))
-	x.sink.chunk(frame.Data)
+	x.sink.writeChunk(frame.Data)
 }
 
-func (x *execution) start(frame *engineapi.Frame) {
+// handleStart handles the start event of the stream, which is repeated when a stream is resumed.
+func (x *execution) handleStart(frame *engineapi.Frame) {
 	var start engineapi.StartData
-	if frame.Attempt != x.request.Attempt() || json.Unmarshal(frame.Data, &start) != nil {
+	if frame.Attempt != x.state.Attempt() || json.Unmarshal(frame.Data, &start) != nil {
 		x.dropFrame(frame)
 		return
 	}
-	x.request.MarkStarted(frame.Attempt)
-	if !x.begun.Load() {
-		x.noteStart(start)
+	x.state.MarkStarted(frame.Attempt)
+	if !x.engineStarted.Load() {
+		x.recordStart(start)
 	}
 }
 
-// end takes the end of the stream. An end that does not match the relayed
-// tokens is a break of the stream, not its end.
-func (x *execution) end(ctx context.Context, frame *engineapi.Frame) attempt.Action {
+// handleEnd handles the end event of the stream and completes the response. If the event does not
+// match the number of relayed tokens, the stream counts as broken.
+func (x *execution) handleEnd(ctx context.Context, frame *engineapi.Frame) attempt.Action {
 	var end engineapi.EndData
-	if json.Unmarshal(frame.Data, &end) != nil || !x.request.Finish(frame.Attempt, end.CompletionTokens) {
+	if json.Unmarshal(frame.Data, &end) != nil || !x.state.Finish(frame.Attempt, end.CompletionTokens) {
 		x.dropFrame(frame)
 		if ctx.Err() != nil {
 			return attempt.Stop
 		}
-		return x.request.ConnectionLost()
+		return x.state.ConnectionLost()
 	}
-	if !x.firstSent {
-		x.sink.begin(x.version, x.request.Runner())
+	if !x.responseBegun {
+		x.sink.begin(x.weightVersion, x.state.Runner())
 	}
-	x.sink.finish(summary{
+	x.sink.finish(completionResult{
 		finishReason: end.FinishReason, completionTokens: end.CompletionTokens,
-		promptTokens: x.call.promptTokens, cachedTokens: x.cached, escapedText: x.generated,
+		promptTokens: x.request.promptTokens, cachedTokens: x.reportedCachedTokens, escapedText: x.generated,
 	})
 	return attempt.Stop
 }
 
-// silenceWatch closes a stream from which nothing has come for too long.
-type silenceWatch struct {
+// silenceTimer closes a stream on which no frame has arrived for too long.
+type silenceTimer struct {
 	execution *execution
 	stream    *engineapi.Stream
 	timer     *time.Timer
 }
 
-func newSilenceWatch(x *execution, stream *engineapi.Stream) *silenceWatch {
-	w := &silenceWatch{execution: x, stream: stream}
-	w.timer = time.AfterFunc(queuedSilence, w.expire)
-	return w
+func newSilenceTimer(x *execution, stream *engineapi.Stream) *silenceTimer {
+	t := &silenceTimer{execution: x, stream: stream}
+	t.timer = time.AfterFunc(queuedStreamTimeout, t.expire)
+	return t
 }
 
-func (w *silenceWatch) touch() { w.timer.Reset(startedSilence) }
+// reset restarts the timeout. It is called for each frame.
+func (t *silenceTimer) reset() { t.timer.Reset(startedStreamTimeout) }
 
-func (w *silenceWatch) stop() { w.timer.Stop() }
+func (t *silenceTimer) stop() { t.timer.Stop() }
 
-// expire ends the stream, unless the request is merely queued on an engine that
-// its home still hears as the same process.
-func (w *silenceWatch) expire() {
-	n := w.execution.node
+// expire closes the stream. It keeps the stream if the request is still queued at its engine and
+// the router that reads the engine's events reports the same process as connected.
+func (t *silenceTimer) expire() {
+	n := t.execution.node
 	n.mutex.Lock()
-	report, found := n.control.Fleet().Get(w.execution.request.Runner())
+	report, found := n.control.Fleet().Get(t.execution.state.Runner())
 	n.mutex.Unlock()
-	queued := !w.execution.begun.Load()
-	if queued && found && report.Connected && report.Incarnation == w.execution.incarnation && report.State != fleet.Unknown {
-		w.timer.Reset(queuedSilence)
+	queued := !t.execution.engineStarted.Load()
+	if queued && found && report.Connected && report.Incarnation == t.execution.incarnation && report.State != fleet.Unknown {
+		t.timer.Reset(queuedStreamTimeout)
 		return
 	}
-	w.stream.Close()
+	t.stream.Close()
 }
--- a/internal/node/relay_bench_test.go
+++ b/internal/node/relay_bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// discardWriter is a caller that reads as fast as it is sent to.
+// discardWriter is a response writer that discards the response without delay.
 type discardWriter struct{ header http.Header }
 
 func (w *discardWriter) Header() http.Header            { return w.header }
@@ -28,8 +28,8 @@
 
 const benchTokens = 1000
 
-// benchStream returns an engine's whole stream of benchTokens tokens.
-func benchStream() []byte {
+// newBenchStream returns a complete engine stream with benchTokens tokens.
+func newBenchStream() []byte {
 	var stream []byte
 	for i := range benchTokens {
 		data := fmt.Sprintf(`{"id":"cmpl-1","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"word%d "},"finish_reason":null}]}`, i%10)
@@ -39,10 +39,10 @@
 	return engineapi.AppendFrame(stream, engineapi.EventEnd, "cmpl-1", 1, benchTokens, 0, []byte(end))
 }
 
-// tokenReader gives one frame a read, as an engine that sends each token by itself.
-type tokenReader struct{ rest []byte }
+// frameByFrameReader returns one frame per read, like an engine that sends each token separately.
+type frameByFrameReader struct{ rest []byte }
 
-func (r *tokenReader) Read(buffer []byte) (int, error) {
+func (r *frameByFrameReader) Read(buffer []byte) (int, error) {
 	if len(r.rest) == 0 {
 		return 0, io.EOF
 	}
@@ -52,38 +52,38 @@
 	return count, nil
 }
 
-func benchExecution(node *Node) *execution {
-	c := &call{id: "cmpl-1", format: engineapi.FormatChat, stream: true, tenant: &config.Tenant{Name: "t", Spec: &v1.TenantSpec{Tier: "gold"}}}
-	x := &execution{node: node, call: c, request: attempt.NewRequest(true, attempt.DefaultLimits()), sink: newSink(&discardWriter{http.Header{}}, c)}
-	x.request.BeginDispatch("r")
-	x.request.MarkAccepted()
+func newBenchExecution(node *Node) *execution {
+	c := &completionRequest{id: "cmpl-1", format: engineapi.FormatChat, stream: true, tenant: &config.Tenant{Name: "t", Spec: &v1.TenantSpec{Tier: "gold"}}}
+	x := &execution{node: node, request: c, state: attempt.NewRequest(true, attempt.DefaultLimits()), sink: newResponseSink(&discardWriter{http.Header{}}, c)}
+	x.state.BeginDispatch("r")
+	x.state.MarkAccepted()
 	return x
 }
 
-// BenchmarkRelay relays a stream that arrives token by token; its base is
-// BenchmarkCopy, which moves the same bytes in the same reads.
+// BenchmarkRelay relays a stream that arrives token by token. Its baseline is BenchmarkCopy, which
+// copies the same bytes with the same reads.
 func BenchmarkRelay(b *testing.B) {
-	stream := benchStream()
+	stream := newBenchStream()
 	node := &Node{log: events.NewLogger(io.Discard, "n", logrus.ErrorLevel)}
 	node.metrics = newMetrics(node)
 	b.ReportAllocs()
 	for b.Loop() {
-		x := benchExecution(node)
-		reader := engineapi.NewFrameReader(bufio.NewReaderSize(&tokenReader{stream}, 4<<10))
+		x := newBenchExecution(node)
+		reader := engineapi.NewFrameReader(bufio.NewReaderSize(&frameByFrameReader{stream}, 4<<10))
 		x.relay(context.Background(), engineapi.NewStream(reader, io.NopCloser(nil)))
-		if x.request.Phase() != attempt.Complete {
-			b.Fatal("the stream was not relayed whole")
+		if x.state.Phase() != attempt.Complete {
+			b.Fatal("the stream was not relayed completely")
 		}
 	}
 	b.ReportMetric(float64(benchTokens)*float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
 
 func BenchmarkCopy(b *testing.B) {
-	stream := benchStream()
+	stream := newBenchStream()
 	writer := &discardWriter{http.Header{}}
 	buffer := make([]byte, 4<<10)
 	for b.Loop() {
-		reader := bufio.NewReaderSize(&tokenReader{stream}, 4<<10)
+		reader := bufio.NewReaderSize(&frameByFrameReader{stream}, 4<<10)
 		for {
 			count, err := reader.Read(buffer)
 			if err != nil {
@@ -96,7 +96,7 @@
 	b.ReportMetric(float64(benchTokens)*float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// connectionWriter is a caller behind a real connection.
+// connectionWriter is a response writer that writes the body to a network connection.
 type connectionWriter struct {
 	net.Conn
 	header http.Header
@@ -106,41 +106,41 @@
 func (w *connectionWriter) WriteHeader(int)     {}
 func (w *connectionWriter) Flush()              {}
 
-// pair returns the two ends of a loopback connection.
-func pair(b *testing.B) (net.Conn, net.Conn) {
+// connectionPair returns the two ends of a loopback TCP connection.
+func connectionPair(b *testing.B) (net.Conn, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer listener.Close()
-	near, err := net.Dial("tcp", listener.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	far, err := listener.Accept()
+	server, err := listener.Accept()
 	if err != nil {
 		b.Fatal(err)
 	}
-	return near, far
+	return client, server
 }
 
-// overSockets runs a relay between an engine that writes each token by itself
-// and a caller, both behind loopback connections.
-func overSockets(b *testing.B, relay func(engine, caller net.Conn)) {
-	frames := bytes.SplitAfter(benchStream(), []byte("\n\n"))
-	engineEnd, fromEngine := pair(b)
-	toCaller, callerEnd := pair(b)
-	defer engineEnd.Close()
-	defer toCaller.Close()
-	go io.Copy(io.Discard, callerEnd)
+// benchmarkOverSockets measures transfer between an engine that writes each token separately and a
+// client, both connected over loopback TCP.
+func benchmarkOverSockets(b *testing.B, transfer func(engine, client net.Conn)) {
+	frames := bytes.SplitAfter(newBenchStream(), []byte("\n\n"))
+	engineWriter, engineReader := connectionPair(b)
+	clientWriter, clientReader := connectionPair(b)
+	defer engineWriter.Close()
+	defer clientWriter.Close()
+	go io.Copy(io.Discard, clientReader)
 	b.ResetTimer()
 	for b.Loop() {
 		go func() {
 			for _, frame := range frames {
-				engineEnd.Write(frame)
+				engineWriter.Write(frame)
 			}
 		}()
-		relay(fromEngine, toCaller)
+		transfer(engineReader, clientWriter)
 	}
 	b.ReportMetric(float64(benchTokens)*float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
@@ -148,25 +148,25 @@
 func BenchmarkRelayOverSockets(b *testing.B) {
 	node := &Node{log: events.NewLogger(io.Discard, "n", logrus.ErrorLevel)}
 	node.metrics = newMetrics(node)
-	overSockets(b, func(engine, caller net.Conn) {
-		x := benchExecution(node)
-		x.sink = newSink(&connectionWriter{caller, http.Header{}}, x.call)
+	benchmarkOverSockets(b, func(engine, client net.Conn) {
+		x := newBenchExecution(node)
+		x.sink = newResponseSink(&connectionWriter{client, http.Header{}}, x.request)
 		reader := engineapi.NewFrameReader(bufio.NewReaderSize(engine, 4<<10))
 		x.relay(context.Background(), engineapi.NewStream(reader, io.NopCloser(nil)))
 	})
 }
 
 func BenchmarkCopyOverSockets(b *testing.B) {
-	length := len(benchStream())
-	overSockets(b, func(engine, caller net.Conn) {
+	length := len(newBenchStream())
+	benchmarkOverSockets(b, func(engine, client net.Conn) {
 		buffer := make([]byte, 4<<10)
-		for left := length; left > 0; {
+		for remaining := length; remaining > 0; {
 			count, err := engine.Read(buffer)
 			if err != nil {
 				b.Fatal(err)
 			}
-			caller.Write(buffer[:count])
-			left -= count
+			client.Write(buffer[:count])
+			remaining -= count
 		}
 	})
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,62 +11,63 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Settings are the static settings of one router: who and where it is. What
-// operators change at run time are resources, not settings.
+// Settings are the static settings of one router: its identity and its addresses. Everything that
+// operators change at run time is configured by resources instead.
 type Settings struct {
-	// Node is the router's name, unique in the system and kept over restarts.
+	// Node is the router's name. It is unique in the system and must not change on a restart.
 	Node   string `yaml:"node"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// HTTPAddress is where callers and operators connect, as IP:port.
+	// HTTPAddress is the IP:port at which clients and operators connect.
 	HTTPAddress string `yaml:"httpAddress"`
-	// PeerAddress is where other routers connect, as IP:port.
+	// PeerAddress is the IP:port at which other routers connect.
 	PeerAddress string `yaml:"peerAddress"`
-	// Seeds are peer addresses of other routers to join through.
+	// Seeds are the peer addresses of other routers through which this router joins the system.
 	Seeds []string `yaml:"seeds"`
-	// Platform is the address of the platform's object API, as IP:port.
+	// Platform is the IP:port of the platform's object API.
 	Platform string `yaml:"platform"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"logLevel"`
 	Limits   Limits `yaml:"limits"`
-	// DrainGraceMillis is how long a stopping router still accepts requests, so
-	// that callers' balancers can notice.
+	// DrainGraceMillis is the time for which a stopping router still accepts requests, so that
+	// load balancers can notice that it is no longer ready.
 	DrainGraceMillis int `yaml:"drainGraceMillis"`
-	// FaultEndpoint opens the endpoint by which tests cut the router off.
+	// FaultEndpoint enables the endpoint by which tests inject network partitions.
 	FaultEndpoint bool `yaml:"faultEndpoint"`
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on requests of clients, and the defaults for values that they omit.
 type Limits struct {
 	MaxBodyBytes        int64 `yaml:"maxBodyBytes"`
 	MaxHeaderBytes      int   `yaml:"maxHeaderBytes"`
 	BodyTimeoutMillis   int   `yaml:"bodyTimeoutMillis"`
 	HeaderTimeoutMillis int   `yaml:"headerTimeoutMillis"`
-	// DefaultDeadlineMillis is used for requests without a deadline of their own.
+	// DefaultDeadlineMillis is the timeout of requests that do not state one.
 	DefaultDeadlineMillis int `yaml:"defaultDeadlineMillis"`
 	DefaultMaxTokens      int `yaml:"defaultMaxTokens"`
 }
 
-// Defaults of the settings.
+// Default values of settings.
 const (
-	defaultMaxBodyBytes    = 4 << 20
-	defaultMaxHeaderBytes  = 16 << 10
-	defaultBodyTimeout     = 20 * time.Second
-	defaultHeaderTimeout   = 5 * time.Second
-	defaultDeadline        = 10 * time.Minute
-	defaultMaxTokens       = 256
-	defaultDrainGrace      = time.Second
-	defaultRegion          = "default"
-	settingsFileSizeToRead = 1 << 20
+	defaultMaxBodyBytes   = 4 << 20
+	defaultMaxHeaderBytes = 16 << 10
+	defaultBodyTimeout    = 20 * time.Second
+	defaultHeaderTimeout  = 5 * time.Second
+	defaultDeadline       = 10 * time.Minute
+	defaultMaxTokens      = 256
+	defaultDrainGrace     = time.Second
+	defaultRegion         = "default"
+
+	maxSettingsFileBytes = 1 << 20
 )
 
-// LoadSettings reads a settings file. Unknown fields are refused.
+// LoadSettings reads a YAML settings file. It returns an error if the file has unknown fields.
 func LoadSettings(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return Settings{}, trace.ConvertSystemError(err)
 	}
-	if len(content) > settingsFileSizeToRead {
+	if len(content) > maxSettingsFileBytes {
 		return Settings{}, trace.BadParameter("%s: file is too large", path)
 	}
 	var settings Settings
@@ -78,32 +79,33 @@
 	return settings, nil
 }
 
-func orDefault[T comparable](field *T, value T) {
+// setDefault sets the field to the default value if it has the zero value.
+func setDefault[T comparable](field *T, defaultValue T) {
 	var zero T
 	if *field == zero {
-		*field = value
+		*field = defaultValue
 	}
 }
 
-// SetDefaults fills unset settings.
+// SetDefaults sets the default values of settings that are not set.
 func (s *Settings) SetDefaults() {
-	orDefault(&s.Region, defaultRegion)
-	orDefault(&s.LogLevel, "info")
-	orDefault(&s.DrainGraceMillis, int(defaultDrainGrace.Milliseconds()))
-	orDefault(&s.Limits.MaxBodyBytes, defaultMaxBodyBytes)
-	orDefault(&s.Limits.MaxHeaderBytes, defaultMaxHeaderBytes)
-	orDefault(&s.Limits.BodyTimeoutMillis, int(defaultBodyTimeout.Milliseconds()))
-	orDefault(&s.Limits.HeaderTimeoutMillis, int(defaultHeaderTimeout.Milliseconds()))
-	orDefault(&s.Limits.DefaultDeadlineMillis, int(defaultDeadline.Milliseconds()))
-	orDefault(&s.Limits.DefaultMaxTokens, defaultMaxTokens)
+	setDefault(&s.Region, defaultRegion)
+	setDefault(&s.LogLevel, "info")
+	setDefault(&s.DrainGraceMillis, int(defaultDrainGrace.Milliseconds()))
+	setDefault(&s.Limits.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefault(&s.Limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	setDefault(&s.Limits.BodyTimeoutMillis, int(defaultBodyTimeout.Milliseconds()))
+	setDefault(&s.Limits.HeaderTimeoutMillis, int(defaultHeaderTimeout.Milliseconds()))
+	setDefault(&s.Limits.DefaultDeadlineMillis, int(defaultDeadline.Milliseconds()))
+	setDefault(&s.Limits.DefaultMaxTokens, defaultMaxTokens)
 }
 
-// Check returns every fault of the settings.
+// Check returns a description of each invalid setting.
 func (s *Settings) Check() []string {
-	var faults []string
+	var problems []string
 	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			faults = append(faults, fmt.Sprintf(format, args...))
+			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
 	isAddress := func(address string) bool {
@@ -130,5 +132,5 @@
 	require(s.Limits.DefaultDeadlineMillis > 0, "limits.defaultDeadlineMillis: must be above 0")
 	require(s.Limits.DefaultMaxTokens > 0, "limits.defaultMaxTokens: must be above 0")
 	require(s.DrainGraceMillis >= 0, "drainGraceMillis: must not be negative")
-	return faults
+	return problems
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -11,30 +11,32 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of reading from the platform.
+// Parameters of reading from the platform.
 const (
-	// joinGrace is how long a started router waits for peers before it reads
-	// from the platform itself, so that a herd of restarts is not a herd of lists.
-	joinGrace  = time.Second
-	watchPause = 500 * time.Millisecond
-	// watchersPerZone is how many routers of a zone read from the platform.
+	// platformReadDelay is how long a starting router waits for configuration from its peers before
+	// it reads from the platform itself. Without the delay, simultaneous restarts of many routers
+	// would cause as many list calls.
+	platformReadDelay  = time.Second
+	watchRetryInterval = 500 * time.Millisecond
+	// watchersPerZone is the number of routers in each zone that read from the platform.
 	watchersPerZone = 2
 )
 
-// unwatched are kinds that change often and concern only those who write them.
-func unwatched(kind v1.Kind) bool { return kind == v1.KindLease }
+// isUnwatched reports whether objects of the kind are left out of the configuration, because they
+// change often and only matter to the nodes that write them.
+func isUnwatched(kind v1.Kind) bool { return kind == v1.KindLease }
 
-// watchLoop reads configuration from the platform while this router is one of
-// its zone's watchers.
+// watchLoop watches the configuration on the platform while this router is one of its zone's
+// watchers.
 func (n *Node) watchLoop() {
-	if !n.pause(joinGrace) {
+	if !n.sleep(platformReadDelay) {
 		return
 	}
 	for {
 		if n.isWatcher() {
 			n.watchOnce()
 		}
-		if !n.pause(watchPause) {
+		if !n.sleep(watchRetryInterval) {
 			return
 		}
 	}
@@ -51,62 +53,64 @@
 	return false
 }
 
-// watchOnce follows the platform from the revision in force, or lists first
-// when that is unknown or too old.
+// watchOnce watches the platform from the revision in force until the watch ends. It reads the full
+// state if there is no revision yet, or if the revision is too old to watch from.
 func (n *Node) watchOnce() {
 	revision := n.Revision()
 	if revision == 0 {
-		if !n.listOnce() {
+		if !n.loadFullState() {
 			return
 		}
 		revision = n.Revision()
 	}
 	n.log.Log(events.WatchStarted, events.Fields{"revision": revision})
-	err := n.platform.Watch(n.ctx, revision, n.applyBatch)
+	err := n.platform.Watch(n.ctx, revision, n.applyWatchBatch)
 	if n.ctx.Err() != nil {
 		return
 	}
 	n.log.Log(events.WatchEnded, events.Fields{"error": err.Error()})
 	if errors.Is(err, platform.ErrGone) {
-		n.listOnce()
+		n.loadFullState()
 	}
 }
 
-func (n *Node) listOnce() bool {
+// loadFullState lists all objects and applies them. It returns false if the list call fails.
+func (n *Node) loadFullState() bool {
 	list, err := n.platform.List(n.ctx)
 	if err != nil {
 		return false
 	}
-	n.applyPlatform(config.Delta{Through: storerev.Revision(list.Revision), Full: true, Objects: watched(list.Items)})
+	n.applyPlatformDelta(config.Delta{Through: storerev.Revision(list.Revision), Full: true, Objects: filterWatched(list.Items)})
 	return true
 }
 
-// applyBatch takes a batch of the watch. A batch without watched objects does
-// not move the revision, so that renewals of leases are no news to anybody.
-func (n *Node) applyBatch(batch platform.WatchBatch) {
-	objects := watched(batch.Objects)
+// applyWatchBatch applies a batch of changes from the watch. A batch without watched objects does
+// not advance the revision, so that lease renewals are not sent to all routers.
+func (n *Node) applyWatchBatch(batch platform.WatchBatch) {
+	objects := filterWatched(batch.Objects)
 	if len(objects) == 0 {
 		return
 	}
-	// The watch is in order and from the revision in force on, so the batch
-	// holds every change after what this node has.
-	n.applyPlatform(config.Delta{From: 0, Through: storerev.Revision(batch.Revision), Objects: objects})
+	// The watch started at the revision in force and is ordered, so the batch contains every change
+	// that this node lacks. From is 0 so that no gap is detected.
+	n.applyPlatformDelta(config.Delta{From: 0, Through: storerev.Revision(batch.Revision), Objects: objects})
 }
 
-func (n *Node) applyPlatform(delta config.Delta) {
+func (n *Node) applyPlatformDelta(delta config.Delta) {
 	var outcome config.Outcome
-	n.withControl(func(now time.Time) { outcome = n.control.ApplyFromPlatform(now, delta) })
+	n.updateControl(func(now time.Time) { outcome = n.control.ApplyFromPlatform(now, delta) })
 	if outcome == config.Stale && delta.Full {
 		n.log.Log(events.PlatformStale, events.Fields{"platform_revision": delta.Through})
 	}
 }
 
-func watched(objects []v1.Object) []v1.Object {
-	kept := make([]v1.Object, 0, len(objects))
+// filterWatched returns the objects that belong to the configuration.
+func filterWatched(objects []v1.Object) []v1.Object {
+	watched := make([]v1.Object, 0, len(objects))
 	for _, object := range objects {
-		if !unwatched(object.Kind) {
-			kept = append(kept, object)
+		if !isUnwatched(object.Kind) {
+			watched = append(watched, object)
 		}
 	}
-	return kept
+	return watched
 }
