--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,84 +11,88 @@
 	"github.com/clovertiller/clovertiller/internal/quarantine"
 )
 
-// wholeAnswer is the longest body that is read whole before it is passed on.
-const wholeAnswer = 1 << 20
+// maxBufferedBody is the number of bytes of a response body that are buffered before the
+// first byte is forwarded. Until then, a failed attempt can be retried on another runner.
+const maxBufferedBody = 1 << 20
 
-// heldAnswer is a runner's answer that has been read.
-type heldAnswer struct {
+// bufferedResponse is a runner's response whose body has been read into memory.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// write passes the answer on unchanged.
-func (a *heldAnswer) write(c *call) {
-	c.copyHead(a.header)
-	c.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	c.writer.WriteHeader(a.status)
-	// A caller that has gone is noticed by the server.
-	_, _ = c.writer.Write(a.body)
+// writeTo sends the response to the caller unchanged.
+func (r *bufferedResponse) writeTo(c *call) {
+	c.setResponseHeaders(r.header)
+	c.writer.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
+	c.writer.WriteHeader(r.status)
+	// The HTTP server detects a caller that has disconnected.
+	_, _ = c.writer.Write(r.body)
 }
 
-// copyHead sets the headers of the answer to the caller.
-func (c *call) copyHead(header http.Header) {
-	own := c.writer.Header()
+// setResponseHeaders sets the headers of the response to the caller from those of the
+// runner's response.
+func (c *call) setResponseHeaders(header http.Header) {
+	response := c.writer.Header()
 	for name, values := range c.gateway.ports.Protocol.Return(header) {
-		own[name] = values
+		response[name] = values
 	}
 }
 
-// passOn reads a whole answer and passes it on. A failure of a repeatable
-// request is kept while another runner is tried.
-func (c *call) passOn(response *httpconn.Response) attempt.Action {
-	c.firstAnswer()
-	body, more, err := response.Body.ReadAll(wholeAnswer)
+// forwardResponse buffers the runner's response and forwards it to the caller. A failure of a
+// repeatable request is kept while another runner is tried.
+func (c *call) forwardResponse(response *httpconn.Response) attempt.Action {
+	c.recordFirstResponse()
+	body, truncated, err := response.Body.ReadAll(maxBufferedBody)
 	if err != nil {
-		return c.spoilt(quarantine.ConnectionLost, "answer broke off: "+err.Error())
+		return c.handleInvalidResponse(quarantine.ConnectionLost, "response body is incomplete: "+err.Error())
 	}
-	answer := &heldAnswer{status: response.Status, header: response.Header, body: body}
-	if response.Status >= http.StatusInternalServerError || isPromise(response.Status) {
-		return c.runnerFailed(answer)
+	buffered := &bufferedResponse{status: response.Status, header: response.Header, body: body}
+	if response.Status >= http.StatusInternalServerError || impliesNotRun(response.Status) {
+		return c.handleRunnerFailure(buffered)
 	}
-	c.end(backend.Succeeded, quarantine.Survived, "", response.Status)
-	c.request.MarkAccepted()
-	c.request.Finish(c.request.Attempt(), 0)
-	if more {
-		c.passOnLong(answer, response)
+	c.endAttempt(backend.Succeeded, quarantine.Survived, "", response.Status)
+	c.attemptState.MarkAccepted()
+	c.attemptState.Finish(c.attemptState.Attempt(), 0)
+	if truncated {
+		c.forwardLongResponse(buffered, response)
 		return attempt.Stop
 	}
-	answer.write(c)
+	buffered.writeTo(c)
 	return attempt.Stop
 }
 
-// isPromise tells whether callers take the status as the word that the request
-// has not run.
-func isPromise(status int) bool {
+// impliesNotRun reports whether callers infer from the status that the request has not run.
+func impliesNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
 }
 
-// runnerFailed takes a runner's own failure.
-func (c *call) runnerFailed(answer *heldAnswer) attempt.Action {
-	c.end(backend.Failed, quarantine.Indeterminate, "runner's failure", answer.status)
-	if answer.status != http.StatusServiceUnavailable && !isPromise(answer.status) {
-		c.failure = answer
+// handleRunnerFailure handles a failure that the runner itself reported. Statuses that imply
+// that the request has not run are never forwarded.
+func (c *call) handleRunnerFailure(response *bufferedResponse) attempt.Action {
+	c.endAttempt(backend.Failed, quarantine.Indeterminate, "runner returned a failure", response.status)
+	if response.status != http.StatusServiceUnavailable && !impliesNotRun(response.status) {
+		c.lastFailure = response
 	}
-	return c.request.RunnerFailed()
+	return c.attemptState.RunnerFailed()
 }
 
-// passOnLong relays the rest of a long answer; a break must look like one.
-func (c *call) passOnLong(answer *heldAnswer, response *httpconn.Response) {
-	c.copyHead(answer.header)
+// forwardLongResponse forwards a response that is too long to buffer. If the runner's
+// connection breaks, the caller's connection is aborted so that the caller sees the response
+// as incomplete.
+func (c *call) forwardLongResponse(buffered *bufferedResponse, response *httpconn.Response) {
+	c.setResponseHeaders(buffered.header)
 	if response.ContentLength >= 0 {
 		c.writer.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
-	c.writer.WriteHeader(answer.status)
-	_, err := c.writer.Write(answer.body)
+	c.writer.WriteHeader(buffered.status)
+	_, err := c.writer.Write(buffered.body)
 	if err == nil {
 		_, err = io.Copy(c.writer, response.Body)
 	}
 	if err != nil {
-		c.logEnd(outcomeCut)
+		c.logOutcome(outcomeCut)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -12,19 +12,21 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Times of noticing that a runner has ended in the middle of a stream.
+// Timeouts for detecting that a runner has terminated in the middle of a stream.
 const (
-	// streamSilence is how long a stream may be silent before its runner is asked
-	// whether it still runs; longer than the loading of new weights mostly takes.
-	streamSilence = 700 * time.Millisecond
-	// aliveTime bounds one such question, and aliveAsks how many must fail.
-	aliveTime = 250 * time.Millisecond
-	aliveAsks = 2
+	// streamSilenceTimeout is how long a stream may be silent before its runner is probed. It is
+	// longer than a runner usually takes to load new weights.
+	streamSilenceTimeout = 700 * time.Millisecond
+	// reportProbeTimeout is the timeout of one probe, and reportProbeAttempts the number of
+	// consecutive probes that must fail for the runner to count as gone.
+	reportProbeTimeout  = 250 * time.Millisecond
+	reportProbeAttempts = 2
 )
 
-// pickBackup chooses where the run's memory is copied to, for streams that
-// could not go on elsewhere otherwise. The gateway's mutex is held.
-func (c *call) pickBackup(now time.Time, runner backend.Runner) {
+// chooseBackup chooses the runner to which the state of the run is copied. Only streams that
+// cannot be resumed on another runner in any other way are copied. The gateway's mutex must be
+// held.
+func (c *call) chooseBackup(now time.Time, runner backend.Runner) {
 	c.backup = backend.Runner{}
 	service := c.view.table.Service(c.service)
 	if !c.gateway.settings.CopyRuns || c.route.Kind != routing.Streaming || c.route.Resumable {
@@ -33,60 +35,63 @@
 	if service == nil || service.Engine == nil || !service.Engine.Backups {
 		return
 	}
-	if backup, found := c.gateway.runners.Backup(now, runner.ID, c.facts.Model); found {
+	if backup, found := c.gateway.runners.Backup(now, runner.ID, c.metadata.Model); found {
 		c.backup = backup
 	}
 }
 
-// takeCopy sends the call on to the runner that holds the copy.
-func (c *call) takeCopy() (backend.Runner, *refusal) {
+// continueOnBackup selects the runner with the copy of the run's state for the next attempt.
+func (c *call) continueOnBackup() (backend.Runner, *refusal) {
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	runner := *c.copyAt
-	c.copyAt, c.backup, c.continuing = nil, backend.Runner{}, true
-	c.ended.Store(false)
+	runner := *c.continueAt
+	c.continueAt, c.backup, c.continuing = nil, backend.Runner{}, true
+	c.runnerGone.Store(false)
 	c.beginSend(c.gateway.now(), runner, 0)
-	c.note(events.StreamContinued, events.Fields{"from": c.runner.ID, "runner": runner.ID, "last_event": c.stream.lastEvent, "copy": true})
+	c.bufferLog(events.StreamContinued, events.Fields{"from": c.runner.ID, "runner": runner.ID, "last_event": c.stream.lastEvent, "copy": true})
 	return runner, nil
 }
 
-// fromCopy decides whether a stream that broke off goes on from the copy of its
-// run: if there is one, its runner has ended, and the one with the copy may be used.
-func (c *call) fromCopy() bool {
+// prepareContinuation reports whether an interrupted stream continues from the copy of its
+// run's state, and if so sets continueAt. It does if there is a copy, the stream's runner is
+// gone, and the runner with the copy may be used.
+func (c *call) prepareContinuation() bool {
 	if c.backup.ID == "" || c.stream == nil || c.stream.lastEvent == "" || c.ctx.Err() != nil {
 		return false
 	}
-	if !c.ended.Load() && !c.runnerEnded(c.runner) {
+	if !c.runnerGone.Load() && !c.isRunnerGone(c.runner) {
 		return false
 	}
-	if !c.copyUsable(c.gateway.now()) {
+	if !c.isBackupUsable(c.gateway.now()) {
 		return false
 	}
 	backup := c.backup
-	c.copyAt = &backup
+	c.continueAt = &backup
 	return true
 }
 
-// copyUsable tells whether the runner with the copy may get the request. It was chosen
-// when the stream was sent, and may leave, be gone or have expired weights by now.
-func (c *call) copyUsable(now time.Time) bool {
+// isBackupUsable reports whether the runner with the copy may get the request. It was chosen
+// when the stream was sent, and may since have started to drain, have been removed or have
+// expired weights.
+func (c *call) isBackupUsable(now time.Time) bool {
 	query := c.query
-	// What the copy holds is not read again.
+	// The copy already includes the prompt, so there is nothing to prefill.
 	query.PromptTokens = 0
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	holder, listed := c.gateway.runners.Get(c.backup.ID)
-	if !listed || holder.Incarnation != c.backup.Incarnation {
-		// The copy ended with the incarnation that held it.
+	listedRunner, listed := c.gateway.runners.Get(c.backup.ID)
+	if !listed || listedRunner.Incarnation != c.backup.Incarnation {
+		// The copy was lost when the runner restarted.
 		return false
 	}
 	return c.gateway.runners.Usable(now, c.backup.ID, query, backpressure.Permit{})
 }
 
-// runnerEnded tells whether the runner cannot be reached or is another process by now.
-func (c *call) runnerEnded(runner backend.Runner) bool {
-	for range aliveAsks {
-		ctx, cancel := context.WithTimeout(c.ctx, aliveTime)
+// isRunnerGone reports whether the runner cannot be reached or has been replaced by another
+// process.
+func (c *call) isRunnerGone(runner backend.Runner) bool {
+	for range reportProbeAttempts {
+		ctx, cancel := context.WithTimeout(c.ctx, reportProbeTimeout)
 		_, err := c.gateway.ports.Runners.Report(ctx, runner)
 		cancel()
 		if err == nil || c.ctx.Err() != nil {
@@ -96,38 +101,42 @@
 	return true
 }
 
-// silenceWatch ends a stream whose runner has ended without a word, if the
-// stream can go on elsewhere; silence alone is no reason.
-type silenceWatch struct {
+// streamWatchdog aborts a stream whose runner has terminated without closing the connection,
+// if the stream can continue on another runner. When the stream is silent for too long, the
+// watchdog probes the runner; silence alone does not abort the stream.
+type streamWatchdog struct {
 	call *call
-	// runner is kept apart, as the call may be at another one while this one is asked.
+	// runner is a copy of call.runner, which may change during a probe.
 	runner backend.Runner
 	body   *httpconn.Body
-	// mutex guards what follows. timer is nil for streams that are not watched.
+	// mutex guards the fields below. timer is nil if the stream cannot continue on another
+	// runner and is therefore not watched.
 	mutex   sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-func (c *call) watchSilence(body *httpconn.Body) *silenceWatch {
-	w := &silenceWatch{call: c, runner: c.runner, body: body}
-	if c.backup.ID != "" || c.request.MayRetry() {
+// startWatchdog starts the watchdog of the stream that is read from body.
+func (c *call) startWatchdog(body *httpconn.Body) *streamWatchdog {
+	w := &streamWatchdog{call: c, runner: c.runner, body: body}
+	if c.backup.ID != "" || c.attemptState.MayRetry() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.timer = time.AfterFunc(streamSilence, w.ask)
+		w.timer = time.AfterFunc(streamSilenceTimeout, w.probe)
 	}
 	return w
 }
 
-func (w *silenceWatch) heard() {
+// reset restarts the silence timeout after data has arrived.
+func (w *streamWatchdog) reset() {
 	if w.timer != nil {
-		w.timer.Reset(streamSilence)
+		w.timer.Reset(streamSilenceTimeout)
 	}
 }
 
-// stop ends the watch. A question that is under way has no effect any more: the
-// connection may carry another request when it is answered.
-func (w *silenceWatch) stop() {
+// stop stops the watchdog. The result of a probe in progress is ignored, because the
+// connection may already be used by another request when the probe ends.
+func (w *streamWatchdog) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.stopped = true
@@ -136,16 +145,17 @@
 	}
 }
 
-func (w *silenceWatch) ask() {
-	ended := w.call.runnerEnded(w.runner)
+// probe aborts the stream if its runner is gone, and otherwise restarts the timeout.
+func (w *streamWatchdog) probe() {
+	gone := w.call.isRunnerGone(w.runner)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch {
 	case w.stopped:
-	case ended:
-		w.call.ended.Store(true)
+	case gone:
+		w.call.runnerGone.Store(true)
 		w.body.Abort()
 	default:
-		w.timer.Reset(streamSilence)
+		w.timer.Reset(streamSilenceTimeout)
 	}
 }
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		interval = cacheStoreInterval
-		if g.direct.on() {
+		if g.direct.isEnabled() {
 			w.check(current.table)
 		}
 	}
@@ -93,7 +93,7 @@
 // told takes another router's word, if it is about the configuration in force.
 func (w *cacheStoreWatch) told(state cacheStores, source string) {
 	current := w.gateway.view.Load()
-	if current == nil || current.table.Version != state.config || w.gateway.direct.on() {
+	if current == nil || current.table.Version != state.config || w.gateway.direct.isEnabled() {
 		return
 	}
 	w.note(current.table, state, source)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -19,197 +19,209 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Times and sizes of calls.
+// Limits of calls.
 const (
-	// longestCall bounds calls that name no deadline on routes without one.
-	longestCall = 5 * time.Minute
-	// defaultMaxBody applies when the configuration names no bound.
-	defaultMaxBody = 16 << 20
-	// answerSlack is how much longer than the call the answer may take to write.
-	answerSlack = 2 * time.Second
-	// maxRefusals bounds the runners that may refuse one call.
+	// maxCallDuration is the timeout of a call for which neither the caller nor the route sets
+	// one, and the maximum for all others.
+	maxCallDuration = 5 * time.Minute
+	// defaultMaxBodyBytes applies if the configuration does not limit the size of request bodies.
+	defaultMaxBodyBytes = 16 << 20
+	// writeTimeoutSlack is the time after the call's deadline during which the response may still
+	// be written.
+	writeTimeoutSlack = 2 * time.Second
+	// maxRefusals limits how many runners may refuse one call.
 	maxRefusals = 3
-	// maxUnsent bounds the choices for one call after which nothing was sent, mostly as
-	// the runner could not be reached: right after the loss of a third of them one call
-	// in 700 meets six in a row.
+	// maxUnsent limits how many attempts of one call may end before anything is sent, usually
+	// because the runner is unreachable. Immediately after the loss of a third of the runners,
+	// one call in 700 chooses six unreachable runners in a row.
 	maxUnsent = 6
 )
 
-// call is one request of a caller, from its arrival to its answer.
+// call is one request from a caller, from its arrival to the end of the response.
 type call struct {
-	gateway *Gateway
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	caller  *http.Request
-	facts   CallFacts
-	arrived time.Time
-	view    *view
-	route   *routing.Route
-	tenant  *routing.Tenant
-	service string
-	body    []byte
-	// ctx ends when the caller leaves or the time is up.
+	gateway    *Gateway
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+	// incoming is the caller's HTTP request, and metadata the contents of its headers.
+	incoming  *http.Request
+	metadata  CallFacts
+	arrivedAt time.Time
+	view      *view
+	route     *routing.Route
+	tenant    *routing.Tenant
+	service   string
+	body      []byte
+	// ctx is canceled when the caller disconnects or the deadline passes.
 	ctx      context.Context
 	deadline time.Time
-	request  *attempt.Request
-	// spending is what the call counts against its tenant's limit, spentAt the keeper
-	// that granted it, empty without one, and quotaDecided gives the decision; it is
-	// nil without a limit.
-	spending     limits.Spending
-	spentAt      string
-	quotaDecided <-chan limits.Decision
-	// bodyArrived is closed when the body is here and nothing is left to wait for but
-	// the decision.
+	// attemptState decides after each attempt whether another one is allowed.
+	attemptState *attempt.Request
+	// quotaCharge is the amount charged to the tenant's limit. quotaKeeper is the router that
+	// granted it, empty if none did. quotaDecision delivers the decision and is nil if the tenant
+	// has no limit.
+	quotaCharge   limits.Spending
+	quotaKeeper   string
+	quotaDecision <-chan limits.Decision
+	// bodyArrived is closed when the body has been read and only the quota decision is
+	// outstanding.
 	bodyArrived chan struct{}
-	// maxQueue is the longest time that the call may be expected to queue at a runner.
-	maxQueue time.Duration
-	// limit is the bound that held for the call at the last choice, and queueing the
-	// time that it was expected to queue.
-	limit    admission.QueueLimit
-	queueing time.Duration
-	// placing is a question to a scheduler under way, and placed its choice while a
-	// runner works on the call; nil when this router chose itself.
-	placing *placementAsk
-	placed  *placed
-	// permit allows the send to a runner that limits requests, and permitAt is when it was
-	// asked for.
-	permit   backpressure.Permit
-	permitAt time.Time
-	// forShare is set when the call was refused only as its tenant was beyond its fair share.
-	forShare bool
-	// paid is set while a repeat that was taken from the budget has reached nobody.
-	paid bool
-	// failure is the last failure that a runner answered with, kept for when
-	// nothing better comes.
-	failure *heldAnswer
-	// runner is where the call was sent last.
+	// maxQueueTime is the longest acceptable expected queueing time at a runner.
+	maxQueueTime time.Duration
+	// queueLimit is the bound that applied when a runner was last chosen, and expectedQueueTime
+	// the queueing time that was expected then.
+	queueLimit        admission.QueueLimit
+	expectedQueueTime time.Duration
+	// placementRequest is the pending request to a scheduler. schedulerChoice is the scheduler's
+	// choice during an attempt, nil if this router chose the runner itself.
+	placementRequest *placementAsk
+	schedulerChoice  *placed
+	// permit allows the send to a rate-limited runner, and permitRequestedAt is when it was
+	// requested.
+	permit            backpressure.Permit
+	permitRequestedAt time.Time
+	// refusedForShare is set if the call was refused only because its tenant exceeds its fair
+	// share.
+	refusedForShare bool
+	// hasUnusedRetry is set while the call has withdrawn a retry from the budget that has not
+	// been sent to any runner yet.
+	hasUnusedRetry bool
+	// lastFailure is the last failure returned by a runner. It is forwarded if no later attempt
+	// succeeds.
+	lastFailure *bufferedResponse
+	// runner is the runner of the current or last attempt.
 	runner backend.Runner
-	// sent is when, and open the request there until it has ended.
-	sent time.Time
-	open *backend.Send
-	// sendCtx ends when the send is withdrawn, or with ctx; unbegun is nil for those that
-	// are not withdrawn.
-	sendCtx context.Context
-	unbegun *unbegunSend
-	// content names what is asked, once the body is here, and run is the send as one of
-	// the runs at its runner.
+	// sentAt is when that attempt was sent, and currentSend its record in the runner table.
+	sentAt      time.Time
+	currentSend *backend.Send
+	// sendCtx is the context of the current attempt. If the send can be withdrawn, unstarted is
+	// set, and sendCtx is a child of ctx that is canceled on withdrawal; otherwise sendCtx is ctx.
+	sendCtx   context.Context
+	unstarted *unstartedSend
+	// content identifies the request's content once the body has been read. run is the current
+	// attempt as recorded for crash detection.
 	content quarantine.ContentID
 	run     *quarantine.Run
-	// suspected is set when the content may end its runner, brokeOff when a run of this call
-	// broke off, and checked is closed once it is known whether its runner has ended.
-	suspected bool
-	brokeOff  bool
-	checked   <-chan struct{}
-	// query is what the runner was chosen by.
+	// suspected is set if the content may crash its runner, and lostConnection if the connection
+	// to a runner was lost during this call. crashChecked is closed once it is known whether
+	// that runner crashed.
+	suspected      bool
+	lostConnection bool
+	crashChecked   <-chan struct{}
+	// query is the query by which the runner is chosen.
 	query backend.Query
-	// fetched says from what kind of source the runner fetches what it lacks.
-	fetched string
-	// weights is the version of the weights that the runner is known to have.
-	weights uint64
-	// answering is the version that the runner named in its answer, 0 for none.
-	answering uint64
-	// rest is for how long the runner that answered wants no further requests, 0 for none.
-	rest time.Duration
-	// backup is the runner that the run's memory is copied to; copyAt is set when
-	// the call is to go on there, and continuing once it does.
+	// fetchSource is the kind of source from which the runner fetches the cached prompt parts
+	// that it lacks: one of the fetchSource constants.
+	fetchSource string
+	// weightVersion is the version of the weights that the runner is known to have.
+	weightVersion uint64
+	// responseWeightVersion is the weight version in the runner's response, 0 for none.
+	responseWeightVersion uint64
+	// requestedBackoff is how long the runner asked in its response to get no further requests,
+	// 0 for none.
+	requestedBackoff time.Duration
+	// backup is the runner to which the run's state is copied. continueAt is set if the next
+	// attempt continues the run there, and continuing once that attempt has begun.
 	backup     backend.Runner
-	copyAt     *backend.Runner
+	continueAt *backend.Runner
 	continuing bool
-	// ended is set when the runner was found to have ended.
-	ended atomic.Bool
-	// decisions are what was decided about the call so far, for its log.
-	decisions []decision
-	// answered is when the first part of the answer went to the caller.
-	answered time.Time
-	// stream is the relayed stream, nil before its first event.
+	// runnerGone is set by the stream's watchdog if the runner has terminated.
+	runnerGone atomic.Bool
+	// logEntries are the log lines of this call that have not been written yet.
+	logEntries []logEntry
+	// firstResponseAt is when the first response from a runner began. If there is none, it is set
+	// when the end of the call is logged.
+	firstResponseAt time.Time
+	// stream is the state of the forwarded stream, nil before its first event.
 	stream *eventStream
 }
 
-// serveCall answers one request of a caller.
+// serveCall handles one HTTP request from a caller.
 func (g *Gateway) serveCall(writer http.ResponseWriter, request *http.Request) {
 	now := g.now()
 	g.awaitStart(request.Context(), now)
 	c := &call{
-		gateway: g, writer: writer, control: http.NewResponseController(writer), caller: request,
-		facts: g.ports.Protocol.Call(request.Header), arrived: now, view: g.view.Load(),
+		gateway: g, writer: writer, controller: http.NewResponseController(writer), incoming: request,
+		metadata: g.ports.Protocol.Call(request.Header), arrivedAt: now, view: g.view.Load(),
 	}
-	// A deadline of an earlier request on this connection must not hold here.
-	_ = c.control.SetWriteDeadline(time.Now().Add(longestCall))
+	// Replace the write deadline of an earlier request on this connection.
+	_ = c.controller.SetWriteDeadline(time.Now().Add(maxCallDuration))
 	if g.draining.Load() || len(request.TransferEncoding) > 0 {
-		// A body in chunks may come with a length too, which the server has dropped by
-		// now: what lies behind the chunks may be the rest of the body, and is not to be
-		// taken for a request (RFC 9112, 6.1).
+		// A request with a chunked body may also have had a Content-Length header, which
+		// net/http has removed by now. Bytes after the last chunk may belong to the body and
+		// must not be parsed as another request (RFC 9112, section 6.1).
 		writer.Header().Set("Connection", "close")
 	}
-	if refusal := c.admit(); refusal != nil {
-		c.refuse(refusal)
+	if refused := c.admit(); refused != nil {
+		c.refuse(refused)
 		return
 	}
 	c.startQuota()
 	c.startPlacement()
-	refusal, gone := c.readBody()
-	gone = gone || c.leftUnread()
-	if gone || refusal != nil {
+	refused, disconnected := c.readBody()
+	disconnected = disconnected || c.disconnectedBeforeRead()
+	if disconnected || refused != nil {
 		c.abandonQuota()
-		c.placing.abandon()
+		c.placementRequest.abandon()
 	}
-	if gone {
-		// Whoever still listens must not take an empty answer for a whole one.
+	if disconnected {
+		// A caller that closed only its sending side must not get an empty, complete response.
 		panic(http.ErrAbortHandler)
 	}
-	if refusal != nil {
-		c.refuse(refusal)
+	if refused != nil {
+		c.refuse(refused)
 		return
 	}
-	c.content = quarantine.NewContentID(c.tenantName(), request.Host, target(request), c.body)
-	if refusal := c.judgeContent(); refusal != nil {
+	c.content = quarantine.NewContentID(c.tenantName(), request.Host, requestTarget(request), c.body)
+	if refused := c.checkQuarantine(); refused != nil {
 		c.abandonQuota()
-		c.placing.abandon()
-		c.refuse(refusal)
+		c.placementRequest.abandon()
+		c.refuse(refused)
 		return
 	}
 	if c.suspected {
-		// The question left before the content was known.
-		c.placing.abandon()
+		// The first placement request was sent before the content was known to be suspected.
+		c.placementRequest.abandon()
 		c.startPlacement()
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), g.until(c.deadline))
 	defer cancel()
 	c.ctx = ctx
-	if refusal := c.awaitQuota(); refusal != nil {
-		c.placing.abandon()
-		c.refuse(refusal)
+	if refused := c.awaitQuota(); refused != nil {
+		c.placementRequest.abandon()
+		c.refuse(refused)
 		return
 	}
-	_ = c.control.SetWriteDeadline(time.Now().Add(g.until(c.deadline) + answerSlack))
+	_ = c.controller.SetWriteDeadline(time.Now().Add(g.until(c.deadline) + writeTimeoutSlack))
 	c.serve()
 }
 
-// path returns the path of the request line, unchanged.
-func path(request *http.Request) string {
-	target, _, _ := strings.Cut(target(request), "?")
-	return target
+// requestPath returns the path from the request line, without decoding or cleaning it.
+func requestPath(request *http.Request) string {
+	path, _, _ := strings.Cut(requestTarget(request), "?")
+	return path
 }
 
-// target returns path and query of the request line, unchanged.
-func target(request *http.Request) string {
+// requestTarget returns the path and query from the request line, without decoding or
+// cleaning them.
+func requestTarget(request *http.Request) string {
 	if strings.HasPrefix(request.RequestURI, "/") {
 		return request.RequestURI
 	}
 	return request.URL.RequestURI()
 }
 
-// admit finds route, tenant and service, or says why the call is refused.
-// Nothing is denied on a configuration that may be out of date.
+// admit selects the route, tenant and service of the call, or returns the reason for which it
+// is refused. With a configuration that may be stale, the call is refused temporarily (503)
+// rather than denied.
 func (c *call) admit() *refusal {
 	if c.view == nil {
-		return unavailable("no configuration is known yet", startRetryAfter)
+		return unavailable("no configuration is known yet", startupRetryAfter)
 	}
 	fresh := c.view.fresh(c.gateway.now(), c.gateway.settings.ConfigLease)
-	c.route = c.view.table.Match(c.caller.Host, path(c.caller))
+	c.route = c.view.table.Match(c.incoming.Host, requestPath(c.incoming))
 	if c.route == nil {
 		if !fresh {
-			return unavailable("the configuration is not proved", staleRetryAfter)
+			return unavailable("the configuration is not proved", staleConfigRetryAfter)
 		}
 		return &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
@@ -218,84 +230,89 @@
 	}
 	c.gateway.mutex.Lock()
 	c.service = c.gateway.splitter.Pick(c.route)
-	c.maxQueue = admission.DrawMaxQueue(c.route.Target, c.rank(), c.gateway.random)
+	c.maxQueueTime = admission.DrawMaxQueue(c.route.Target, c.rank(), c.gateway.random)
 	c.gateway.mutex.Unlock()
 	c.setDeadline()
-	c.request = attempt.NewRequest(c.route.Repeatable(), attempt.Limits{MaxAttempts: max(c.route.MaxAttempts, 1), MaxRefusals: maxRefusals, MaxUnsent: maxUnsent})
+	c.attemptState = attempt.NewRequest(c.route.Repeatable(), attempt.Limits{MaxAttempts: max(c.route.MaxAttempts, 1), MaxRefusals: maxRefusals, MaxUnsent: maxUnsent})
 	return nil
 }
 
+// authenticate sets the call's tenant from its key, unless the route is public or the
+// configuration has no keys.
 func (c *call) authenticate(fresh bool) *refusal {
 	if c.route.Public || !c.view.table.NeedsKeys() {
 		return nil
 	}
 	if !fresh {
-		return unavailable("the configuration is not proved", staleRetryAfter)
+		return unavailable("the configuration is not proved", staleConfigRetryAfter)
 	}
-	c.tenant = c.view.table.Tenant(c.facts.Key)
+	c.tenant = c.view.table.Tenant(c.metadata.Key)
 	if c.tenant == nil {
 		return &refusal{status: http.StatusUnauthorized, reason: "the key is not known"}
 	}
 	return nil
 }
 
+// setDeadline sets the deadline from the shortest timeout of the caller, the route and
+// maxCallDuration.
 func (c *call) setDeadline() {
-	left := longestCall
+	timeout := maxCallDuration
 	if c.route.Timeout > 0 {
-		left = min(left, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	if c.facts.Deadline > 0 {
-		left = min(left, c.facts.Deadline)
+	if c.metadata.Deadline > 0 {
+		timeout = min(timeout, c.metadata.Deadline)
 	}
-	c.deadline = c.arrived.Add(left)
+	c.deadline = c.arrivedAt.Add(timeout)
 }
 
-// readBody reads the whole body, so that it can be sent again. It returns gone
-// when the caller has left.
-func (c *call) readBody() (refused *refusal, gone bool) {
-	limit := c.view.table.Limits.MaxBodyBytes
-	if limit <= 0 {
-		limit = defaultMaxBody
+// readBody reads the whole body into memory, so that it can be sent more than once. It sets
+// disconnected if the caller disconnected before the end of the body.
+func (c *call) readBody() (refused *refusal, disconnected bool) {
+	maxBytes := c.view.table.Limits.MaxBodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if c.caller.ContentLength > limit {
+	if c.incoming.ContentLength > maxBytes {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too long"}, false
 	}
 	var err error
-	if size := c.caller.ContentLength; size >= 0 {
+	if size := c.incoming.ContentLength; size >= 0 {
 		c.body = make([]byte, size)
-		_, err = io.ReadFull(c.caller.Body, c.body)
+		_, err = io.ReadFull(c.incoming.Body, c.body)
 	} else {
-		c.body, err = io.ReadAll(io.LimitReader(c.caller.Body, limit+1))
+		c.body, err = io.ReadAll(io.LimitReader(c.incoming.Body, maxBytes+1))
 	}
 	if err != nil {
-		c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.facts.ID, "while": "sending"})
+		c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.metadata.ID, "while": "sending"})
 		return nil, true
 	}
-	if int64(len(c.body)) > limit {
+	if int64(len(c.body)) > maxBytes {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too long"}, false
 	}
 	return nil, false
 }
 
-// serve sends the call to runners until one has answered it or nothing is left to try.
+// serve sends the call to runners until one has responded or no further attempt is allowed.
 func (c *call) serve() {
 	next := attempt.Dispatch
 	for next == attempt.Dispatch {
-		refusal := c.judgeContent()
+		refused := c.checkQuarantine()
 		if c.gateway.until(c.deadline) <= 0 {
-			// The context goes by the steady clock, and may not have ended yet.
-			refusal = unavailable("the time is up", busyRetryAfter)
+			// The context uses the monotonic clock, which stops while the machine is suspended,
+			// so it may not have expired yet.
+			refused = unavailable("the time is up", busyRetryAfter)
 		}
-		if refusal != nil {
-			c.placing.abandon()
-			c.request.Fail()
-			c.giveUp(refusal)
+		if refused != nil {
+			c.placementRequest.abandon()
+			c.attemptState.Fail()
+			c.giveUp(refused)
 			return
 		}
-		runner, refusal := c.pick()
-		if refusal != nil {
-			c.request.Fail()
-			c.giveUp(refusal)
+		runner, refused := c.pickRunner()
+		if refused != nil {
+			c.attemptState.Fail()
+			c.giveUp(refused)
 			return
 		}
 		c.runner = runner
@@ -304,10 +321,10 @@
 	c.finish()
 }
 
-// finish ends a call for which nothing more is tried.
+// finish ends a call after its last attempt.
 func (c *call) finish() {
-	if c.request.Phase() == attempt.Complete {
-		c.logEnd(outcomeComplete)
+	if c.attemptState.Phase() == attempt.Complete {
+		c.logOutcome(outcomeComplete)
 		return
 	}
 	if !c.gateway.now().Before(c.deadline) {
@@ -317,7 +334,8 @@
 	c.giveUp(unavailable("no runner is left to try", busyRetryAfter))
 }
 
-// left tells whether the caller has gone.
-func (c *call) left() bool { return c.caller.Context().Err() != nil }
+// callerDisconnected reports whether the HTTP server has detected that the caller
+// disconnected.
+func (c *call) callerDisconnected() bool { return c.incoming.Context().Err() != nil }
 
-var errCallerLeft = errors.New("caller left")
+var errCallerDisconnected = errors.New("caller disconnected")
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -4,50 +4,52 @@
 	"github.com/clovertiller/clovertiller/internal/backend"
 )
 
-// addCache adds what concerns cached prompt parts. The salt holds owner and
-// weights, and the runner must have these weights, so that neither the memory of
-// others nor that of other weights is found anywhere.
-func (c *call) addCache(dispatch *Dispatch) {
+// addCacheFields sets the fields of the dispatch that concern cached prompt parts. The salt
+// contains the cache owner and the weight version, and the runner must have these weights.
+// Cached parts of other owners or other weights can therefore never match.
+func (c *call) addCacheFields(dispatch *Dispatch) {
 	dispatch.Priority = c.priority()
-	dispatch.WeightVersion = c.weights
-	dispatch.Salt = backend.Salt(c.owner(), c.weights)
-	if len(c.facts.Prompt) < 2 {
+	dispatch.WeightVersion = c.weightVersion
+	dispatch.Salt = backend.Salt(c.cacheOwner(), c.weightVersion)
+	if len(c.metadata.Prompt) < 2 {
 		return
 	}
 	now, store := c.gateway.now(), c.gateway.cacheStores.storeOf(c.view.table, c.query.Family)
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weights, store)
+	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weightVersion, store)
 	dispatch.FetchFrom = source.Address
-	c.fetched = sourceLabel(source.Address, store)
-	c.gateway.metrics.sources.WithLabelValues(c.fetched).Inc()
-	if store != "" && !source.StoreHasAll && c.gateway.saves.ShouldSave(now, c.query, c.weights) {
+	c.fetchSource = fetchSourceLabel(source.Address, store)
+	c.gateway.metrics.sources.WithLabelValues(c.fetchSource).Inc()
+	if store != "" && !source.StoreHasAll && c.gateway.saves.ShouldSave(now, c.query, c.weightVersion) {
 		dispatch.SaveTo = store
 	}
 }
 
-// Sources of cached parts, in counters.
+// Kinds of sources of cached prompt parts, as in metrics and logs.
 const (
-	sourceNone   = "none"
-	sourceStore  = "store"
-	sourceRunner = "runner"
+	fetchSourceNone   = "none"
+	fetchSourceStore  = "store"
+	fetchSourceRunner = "runner"
 )
 
-func sourceLabel(address, store string) string {
+// fetchSourceLabel returns the kind of the source at the address. The address is empty if
+// nothing is fetched, and store is the address of the cache store.
+func fetchSourceLabel(address, store string) string {
 	switch address {
 	case "":
-		return sourceNone
+		return fetchSourceNone
 	case store:
-		return sourceStore
+		return fetchSourceStore
 	}
-	return sourceRunner
+	return fetchSourceRunner
 }
 
-// lastRank is the last rank of requests at the runners.
-const lastRank = 9
+// lowestPriority is the lowest priority of a request at the runners; 0 is the highest.
+const lowestPriority = 9
 
-// priority is the rank of the tenant's tier at the runners. Routes have no rank there:
-// a runner that is short of memory preempts what ranks lower and reads it anew, so
-// ranks that all requests differ in make a shortage worse. The ranks of routes count
-// before the send, when requests are refused (admission.LongestQueue).
-func (c *call) priority() int { return min(c.view.table.Tier(c.tenant), lastRank) }
+// priority returns the priority of the call at the runners, which depends only on the tenant's
+// tier. A runner that is short of memory preempts requests of lower priority and computes
+// their prompts again, so giving every request a different priority would worsen the shortage.
+// Route ranks apply only before the send, when requests are refused (admission.DrawMaxQueue).
+func (c *call) priority() int { return min(c.view.table.Tier(c.tenant), lowestPriority) }
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -7,52 +7,53 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// reasonQuarantined is the reason told to callers whose requests are not sent.
+// reasonQuarantined is the reason given to callers whose requests are quarantined.
 const reasonQuarantined = "runners ended under requests with this content"
 
 const (
-	// checkPatience bounds the wait of a further attempt until it is known whether the runner
-	// before has ended: its machine answers within some milliseconds, and what comes later is
-	// no evidence yet.
-	checkPatience = 300 * time.Millisecond
-	// trialRetryAfter is told while another request is the trial of the same content: most
-	// runs that end their runner do so within a second.
+	// crashCheckTimeout limits how long a further attempt waits until it is known whether the
+	// previous runner crashed. The runner's machine answers such a check within a few
+	// milliseconds, and the lack of an answer until then does not show that the runner crashed.
+	crashCheckTimeout = 300 * time.Millisecond
+	// trialRetryAfter is the retry delay while another request with the same content is on
+	// trial. Most requests that crash their runner do so within a second.
 	trialRetryAfter = time.Second
 )
 
-// judgeContent says why the call may not be sent, nil if it may. It is asked before each
-// send: the runner of the last one may have ended, or others have told of ends.
-func (c *call) judgeContent() *refusal {
-	c.awaitCheck()
+// checkQuarantine returns the reason for which the call may not be sent because of its content,
+// nil if it may. It is called before each attempt, because the runner of the previous one may
+// have crashed and other routers may have reported crashes in the meantime.
+func (c *call) checkQuarantine() *refusal {
+	c.awaitCrashCheck()
 	now := c.gateway.now()
-	verdict := c.gateway.suspects.verdict(now, c.content)
-	c.suspected = verdict.State != quarantine.Clear || c.brokeOff
+	status := c.gateway.suspects.verdict(now, c.content)
+	c.suspected = status.State != quarantine.Clear || c.lostConnection
 	switch {
-	case verdict.State == quarantine.Quarantined:
-		return unavailable(reasonQuarantined, verdict.Until.Sub(now))
-	case verdict.State == quarantine.OnTrial && c.gateway.ends.atWork(c.content):
+	case status.State == quarantine.Quarantined:
+		return unavailable(reasonQuarantined, status.Until.Sub(now))
+	case status.State == quarantine.OnTrial && c.gateway.ends.atWork(c.content):
 		return unavailable(reasonQuarantined, trialRetryAfter)
 	}
 	return nil
 }
 
-// quarantined tells whether the content may not be sent by now.
-func (c *call) quarantined() bool {
+// isQuarantined reports whether the content is quarantined now.
+func (c *call) isQuarantined() bool {
 	return c.gateway.suspects.verdict(c.gateway.now(), c.content).State == quarantine.Quarantined
 }
 
-// awaitCheck waits until it is known whether the runner of the last send has ended, if the
-// content was suspected before: that end may be the one too many.
-func (c *call) awaitCheck() {
-	if c.checked == nil {
+// awaitCrashCheck waits until it is known whether the runner of the previous attempt crashed, if
+// the content was already suspected then: that crash may be the one that quarantines it.
+func (c *call) awaitCrashCheck() {
+	if c.crashChecked == nil {
 		return
 	}
-	checked := c.checked
-	c.checked = nil
+	checked := c.crashChecked
+	c.crashChecked = nil
 	if !c.suspected {
 		return
 	}
-	timer := time.NewTimer(checkPatience)
+	timer := time.NewTimer(crashCheckTimeout)
 	defer timer.Stop()
 	select {
 	case <-checked:
@@ -61,22 +62,23 @@
 	}
 }
 
-// suspect names the content for placement if it may end its runner, 0 otherwise.
-func (c *call) suspect() uint64 {
+// suspectHash returns a hash of the content for placement if the content is suspected, 0
+// otherwise.
+func (c *call) suspectHash() uint64 {
 	if !c.suspected {
 		return 0
 	}
 	return rendezvous.KeyOf(c.content.Tenant+"/"+c.content.String()) | 1
 }
 
-// noteRun notes how the run of a send ended.
-func (c *call) noteRun(how quarantine.RunOutcome) {
+// recordRunOutcome records the outcome of the current attempt's run for crash detection.
+func (c *call) recordRunOutcome(outcome quarantine.RunOutcome) {
 	g, now := c.gateway, c.gateway.now()
-	g.ends.end(now, c.run, how)
-	switch how {
+	g.ends.end(now, c.run, outcome)
+	switch outcome {
 	case quarantine.Survived:
 		g.suspects.outlived(now, c.content)
 	case quarantine.ConnectionLost:
-		c.brokeOff, c.checked = true, g.ends.check(c.runner)
+		c.lostConnection, c.crashChecked = true, g.ends.check(c.runner)
 	}
 }
--- a/internal/gateway/callerend.go
+++ b/internal/gateway/callerend.go
@@ -8,28 +8,29 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// connectionKey is the key of a caller's connection in the contexts of its calls.
+// connectionKey is the context key of the caller's connection.
 type connectionKey struct{}
 
-// withConnection keeps the caller's connection in the context of its calls.
+// withConnection returns a context that holds the caller's connection.
 func withConnection(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// leftUnread tells whether the caller gave up before its call was read.
-func (c *call) leftUnread() bool {
-	if !c.connectionEnded() {
+// disconnectedBeforeRead reports whether the caller closed the connection before its request
+// was read, and logs it.
+func (c *call) disconnectedBeforeRead() bool {
+	if !c.isConnectionClosed() {
 		return false
 	}
-	c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.facts.ID, "while": "unread"})
+	c.gateway.log.Log(events.CallerLeft, events.Fields{"request": c.metadata.ID, "while": "unread"})
 	return true
 }
 
-// connectionEnded tells whether the caller has ended its connection. net/http notices that
-// only by a read in the background that begins once the body is in, so a call whose caller
-// has left may be sent on before.
-func (c *call) connectionEnded() bool {
-	connection, isSocket := c.caller.Context().Value(connectionKey{}).(syscall.Conn)
+// isConnectionClosed reports whether the caller has closed its connection. net/http detects that
+// only with a background read that starts after the body has been read, so without this check
+// a call could be sent to a runner after its caller has disconnected.
+func (c *call) isConnectionClosed() bool {
+	connection, isSocket := c.incoming.Context().Value(connectionKey{}).(syscall.Conn)
 	if !isSocket {
 		return false
 	}
@@ -37,18 +38,18 @@
 	if err != nil {
 		return true
 	}
-	var peeked [1]byte
-	var received int
-	var failure error
-	// Control, unlike Read, does not wait for the server's own read.
-	err = raw.Control(func(descriptor uintptr) {
-		received, _, failure = syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buffer [1]byte
+	var n int
+	var peekErr error
+	// Control, unlike Read, does not block until the server's own read has finished.
+	err = raw.Control(func(fd uintptr) {
+		n, _, peekErr = syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	if err != nil {
 		return true
 	}
-	if failure != nil {
-		return failure != syscall.EAGAIN && failure != syscall.EINTR
+	if peekErr != nil {
+		return peekErr != syscall.EAGAIN && peekErr != syscall.EINTR
 	}
-	return received == 0
+	return n == 0
 }
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -6,49 +6,49 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// rank is the call's place among those that want the same runners.
+// rank returns the call's priority among the calls that compete for the same runners.
 func (c *call) rank() admission.Rank {
 	return admission.Rank{Tier: c.view.table.Tier(c.tenant), Route: c.view.table.Rank(c.service, c.route)}
 }
 
-// newQuery says what placement needs to know of the call.
+// newQuery returns the query by which a runner is chosen for the next attempt.
 func (c *call) newQuery() backend.Query {
 	query := backend.Query{
-		Service: c.service, Excluded: c.request.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueue,
-		TargetLatency: c.route.Target, MaxEventGap: c.route.EventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
-		SuspectContent: c.suspect(), Resting: c.gateway.resting(),
+		Service: c.service, Excluded: c.attemptState.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueueTime,
+		TargetLatency: c.route.Target, MaxEventGap: c.route.EventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.metadata.MaxTokens,
+		SuspectContent: c.suspectHash(), Resting: c.gateway.resting(),
 	}
-	if c.request.Attempt() > 0 {
-		// What has been let in is not turned away at its second attempt.
+	if c.attemptState.Attempt() > 0 {
+		// A call whose first attempt was admitted is not refused for its queueing time later.
 		query.MaxQueueTime = 0
 	}
 	if !c.route.Cached {
 		return query
 	}
-	query.Model, query.Owner = c.facts.Model, c.owner()
-	for i, part := range c.facts.Prompt {
+	query.Model, query.Owner = c.metadata.Model, c.cacheOwner()
+	for i, part := range c.metadata.Prompt {
 		query.PromptTokens += part.Tokens
-		if i < len(c.facts.Prompt)-1 {
+		if i < len(c.metadata.Prompt)-1 {
 			query.SharedTokens += part.Tokens
 			query.Shared = append(query.Shared, backend.SharedPart{ID: part.ID, Depth: query.SharedTokens})
 		}
 	}
-	query.Family, query.Ticket = c.family(), c.ticket()
+	query.Family, query.Ticket = c.promptFamily(), c.ticket()
 	return query
 }
 
-// family is the hash of the prompt's deepest shared part, 0 without one.
-func (c *call) family() uint64 {
-	shared := len(c.facts.Prompt) - 2
-	if shared < 0 {
+// promptFamily returns the hash of the prompt's deepest shared part, 0 if there is none.
+func (c *call) promptFamily() uint64 {
+	lastShared := len(c.metadata.Prompt) - 2
+	if lastShared < 0 {
 		return 0
 	}
-	return rendezvous.KeyOf(c.owner() + "/" + c.facts.Prompt[shared].ID)
+	return rendezvous.KeyOf(c.cacheOwner() + "/" + c.metadata.Prompt[lastShared].ID)
 }
 
-// owner names whose cached prompt parts the call may use: the isolated
-// tenant's own, or those that all others share.
-func (c *call) owner() string {
+// cacheOwner returns the owner of the cached prompt parts that the call may use: the tenant
+// itself if it is isolated, and otherwise the common owner of all other calls.
+func (c *call) cacheOwner() string {
 	if c.tenant != nil && c.tenant.Isolated {
 		return "tenant/" + c.tenant.Name
 	}
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -16,15 +16,16 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// plainFleet has two runners of the plain service and one router.
-func plainFleet(t *testing.T) (*fleet, *router, []*runnerstand.Runner) {
+// newPlainFleet returns a fleet with two runners of the plain service, and its router and runners.
+func newPlainFleet(t *testing.T) (*fleet, *router, []*runnerstand.Runner) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	return f, f.servingRouter("r1", nil), runners
 }
 
-func runsOf(runners []*runnerstand.Runner) int {
+// totalRuns returns the number of calls that the runners ran.
+func totalRuns(runners []*runnerstand.Runner) int {
 	total := 0
 	for _, runner := range runners {
 		total += len(runner.Runs())
@@ -32,14 +33,15 @@
 	return total
 }
 
-func behaveOnce(runners []*runnerstand.Runner, behaviour runnerstand.Behaviour) {
+// behaveOnceOnAll sets the behaviour of each runner for its next call.
+func behaveOnceOnAll(runners []*runnerstand.Runner, behaviour runnerstand.Behaviour) {
 	for _, runner := range runners {
 		runner.BehaveOnce(behaviour)
 	}
 }
 
-func TestCallReachesARunnerUnchanged(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestCallIsForwardedUnchanged(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	got := r.call("/safe/a%20b?x=1&y", func(request *http.Request) {
 		request.Header.Set(platform.HeaderTenant, "somebody else")
 		request.Header.Set(platform.HeaderSalt, "stolen")
@@ -47,7 +49,7 @@
 	})
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(got.header.Get(platform.HeaderStamp)).NotTo(BeEmpty())
-	f.g.Expect(runsOf(runners)).To(Equal(1))
+	f.g.Expect(totalRuns(runners)).To(Equal(1))
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
 	f.g.Expect(got.body).To(Equal("answer to " + run.Request))
 	f.g.Expect(run.Path).To(Equal("/safe/a%20b?x=1&y"))
@@ -61,29 +63,29 @@
 	f.g.Expect(remaining).To(BeNumerically("~", 2450, 60))
 }
 
-func TestDenialsAndRefusalsOfTheRouter(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestUnknownRoutesAndMissingKeysAreDenied(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	f.g.Expect(r.call("/nowhere/", nil).status).To(Equal(http.StatusNotFound))
 	withoutKey := func(request *http.Request) { request.Header.Del("Authorization") }
 	f.g.Expect(r.call("/safe/x", withoutKey).status).To(Equal(http.StatusUnauthorized))
 	f.g.Expect(r.call("/public/x", withoutKey).status).To(Equal(http.StatusOK))
-	f.g.Expect(runsOf(runners)).To(Equal(1))
+	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
 
-func TestSafeCallGoesToAnotherRunner(t *testing.T) {
+func TestSafeCallIsRetriedOnAnotherRunner(t *testing.T) {
 	for name, behaviour := range map[string]runnerstand.Behaviour{
 		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.BreaksOff, "crossed": runnerstand.Crossed, "unstamped": runnerstand.Unstamped,
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, r, runners := plainFleet(t)
-			behaveOnce(runners, behaviour)
+			f, r, runners := newPlainFleet(t)
+			behaveOnceOnAll(runners, behaviour)
 			got := r.call("/safe/x", nil)
 			f.g.Expect(got.status).To(Or(Equal(http.StatusInternalServerError), Equal(http.StatusBadGateway)))
-			f.g.Expect(runsOf(runners)).To(Equal(2), "both attempts ran, no third")
+			f.g.Expect(totalRuns(runners)).To(Equal(2), "exactly two attempts ran")
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		})
 	}
-	f, r, runners := plainFleet(t)
+	f, r, runners := newPlainFleet(t)
 	runners[0].Behave(runnerstand.Drops)
 	for range 6 {
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
@@ -95,19 +97,19 @@
 		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.BreaksOff, "crossed": runnerstand.Crossed, "unstamped": runnerstand.Unstamped,
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, r, runners := plainFleet(t)
+			f, r, runners := newPlainFleet(t)
 			for _, runner := range runners {
 				runner.Behave(behaviour)
 			}
 			got := r.call("/unsafe/x", nil)
-			f.g.Expect(runsOf(runners)).To(Equal(1))
-			f.g.Expect(got.status).NotTo(BeElementOf(http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusOK), "no word that it has not run")
+			f.g.Expect(totalRuns(runners)).To(Equal(1))
+			f.g.Expect(got.status).NotTo(BeElementOf(http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusOK), "the status must not imply that the call has not run")
 		})
 	}
 }
 
-func TestRefusalOfARunnerLeadsToAnother(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestRefusedCallIsSentToAnotherRunner(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	runners[0].Behave(runnerstand.Sheds)
 	for range 4 {
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
@@ -117,11 +119,11 @@
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-	f.g.Expect(got.after).To(BeNumerically("<", 200*time.Millisecond), "refused at once")
+	f.g.Expect(got.after).To(BeNumerically("<", 200*time.Millisecond), "refused immediately")
 }
 
-func TestTimeoutAnswersAtOnce(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestTimeoutIsReportedImmediately(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Hangs)
 	}
@@ -130,8 +132,8 @@
 	f.g.Expect(got.after).To(BeNumerically("~", 250*time.Millisecond, 100*time.Millisecond))
 }
 
-func TestCallerThatLeavesEndsTheRun(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestCallerDisconnectCancelsRun(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Hangs)
 	}
@@ -140,11 +142,11 @@
 	f.g.Expect(r.callWithin(ctx, "/safe/x", nil).cut).To(BeTrue())
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
 	f.g.Eventually(run.Ended, 500*time.Millisecond).Should(BeClosed())
-	f.g.Expect(runsOf(runners)).To(Equal(1))
+	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
 
-func TestRetriesAreBounded(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestRetriesAreLimited(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Fails)
 	}
@@ -152,12 +154,12 @@
 	for range calls {
 		r.call("/safe/x", nil)
 	}
-	f.g.Expect(runsOf(runners)).To(BeNumerically("<=", calls+calls*15/100+6))
-	f.g.Expect(runsOf(runners)).To(BeNumerically(">", calls))
+	f.g.Expect(totalRuns(runners)).To(BeNumerically("<=", calls+calls*15/100+6))
+	f.g.Expect(totalRuns(runners)).To(BeNumerically(">", calls))
 }
 
-func TestDrainingRunnerGetsNothing(t *testing.T) {
-	f, r, runners := plainFleet(t)
+func TestDrainingRunnerGetsNoCalls(t *testing.T) {
+	f, r, runners := newPlainFleet(t)
 	f.list(runners[0], "draining")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner changed state"))
 	for range 6 {
@@ -167,45 +169,45 @@
 	f.store.Remove(platform.KindServers, "p2")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner removed"))
 	got := r.call("/unsafe/x", nil)
-	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "nobody is left")
+	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "no runner is left")
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 }
 
-func TestStreamGoesOnAtAnotherRunner(t *testing.T) {
+func TestStreamContinuesOnAnotherRunner(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
-	whole := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
-	got := r.call("/stream/x", longPrompt)
-	f.g.Expect(got.body).To(Equal(whole))
-	home := 0
+	completeBody := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
+	got := r.call("/stream/x", withLongPrompt)
+	f.g.Expect(got.body).To(Equal(completeBody))
+	preferredIndex := 0
 	if len(runners[1].Runs()) > 0 {
-		home = 1
+		preferredIndex = 1
 	}
-	runners[home].BehaveOnce(runnerstand.BreaksOff)
-	got = r.call("/stream/x", longPrompt)
+	runners[preferredIndex].BehaveOnce(runnerstand.BreaksOff)
+	got = r.call("/stream/x", withLongPrompt)
 	f.g.Expect(got.cut).To(BeFalse())
-	f.g.Expect(got.body).To(Equal(whole))
-	f.g.Expect(got.header.Get(platform.HeaderStamp)).To(HavePrefix(runners[home].ID), "the head of the first runner stands")
-	other := runners[1-home].Runs()
-	f.g.Expect(other).To(HaveLen(1))
-	f.g.Expect(other[0].Header.Get("Last-Event-Id")).To(Equal("1"), "after the last whole event")
+	f.g.Expect(got.body).To(Equal(completeBody))
+	f.g.Expect(got.header.Get(platform.HeaderStamp)).To(HavePrefix(runners[preferredIndex].ID), "the headers come from the first runner")
+	otherRuns := runners[1-preferredIndex].Runs()
+	f.g.Expect(otherRuns).To(HaveLen(1))
+	f.g.Expect(otherRuns[0].Header.Get("Last-Event-Id")).To(Equal("1"), "the stream continues after the last complete event")
 }
 
-func TestStreamThatMayNotGoOnLooksCut(t *testing.T) {
+func TestNonResumableStreamIsTruncated(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
-	behaveOnce(runners, runnerstand.BreaksOff)
+	behaveOnceOnAll(runners, runnerstand.BreaksOff)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.cut).To(BeTrue())
-	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "whole events only")
-	f.g.Expect(runsOf(runners)).To(Equal(1))
+	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "only complete events are forwarded")
+	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
 
-func TestCacheSaltHoldsOwnerAndWeights(t *testing.T) {
+func TestCacheSaltContainsOwnerAndWeightVersion(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
@@ -216,10 +218,9 @@
 	f.g.Expect(run.Header.Get(platform.HeaderExpectVersion)).To(Equal("1"))
 }
 
-// An attempt that found nobody at a runner's address has not arrived anywhere, so
-// the next one is no repeat: it is not drawn from the budget, however many runners
-// have just crashed.
-func TestAttemptsThatReachedNobodyCostNoBudget(t *testing.T) {
+// An attempt that could not connect to its runner has not been sent, so the next attempt is not a
+// retry and is not charged to the retry budget, even if many runners have just crashed.
+func TestUnsentAttemptsDoNotUseRetryBudget(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -18,35 +18,34 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Requests reached runners after their router knew that these were leaving. A runner was
-// chosen by what was known at that moment, and nothing was asked again until the first
-// byte left: after the dial of a connection (450 ms at most, up to six in a row) on a
-// machine that may be short of processor time. The tests hold the dial until the router
-// knows better.
-
-// heldDials holds back the connections that it is told to hold.
-type heldDials struct {
-	// hold tells whether a connection to the address is held back.
-	hold func(address string) bool
-	// waiting gets the address of each connection that is held back.
-	waiting chan string
-	// released is closed when they may come up.
+// The tests in this file check that a request is not sent to a runner that its router has learned
+// to be leaving. The runner was chosen, and nothing was checked again until the first byte was
+// sent. In between, the router may dial a connection (at most 450 ms, up to six times in a row)
+// and wait for CPU time. The tests block the dial until the router has received the news.
+
+// dialBlocker dials connections and blocks selected dials until released is closed.
+type dialBlocker struct {
+	// shouldBlock reports whether a dial to the address is blocked.
+	shouldBlock func(address string) bool
+	// blocked receives the address of each blocked dial.
+	blocked chan string
+	// released is closed to let the blocked dials continue.
 	released chan struct{}
 }
 
-func holdDials(hold func(address string) bool) *heldDials {
-	return &heldDials{hold: hold, waiting: make(chan string, 8), released: make(chan struct{})}
+func newDialBlocker(shouldBlock func(address string) bool) *dialBlocker {
+	return &dialBlocker{shouldBlock: shouldBlock, blocked: make(chan string, 8), released: make(chan struct{})}
 }
 
-// holdFirstDial holds back the first connection to any runner.
-func holdFirstDial() *heldDials {
-	var held atomic.Bool
-	return holdDials(func(string) bool { return held.CompareAndSwap(false, true) })
+// blockFirstDial blocks only the first dial to any runner.
+func blockFirstDial() *dialBlocker {
+	var done atomic.Bool
+	return newDialBlocker(func(string) bool { return done.CompareAndSwap(false, true) })
 }
 
-func (d *heldDials) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if d.hold(address) {
-		d.waiting <- address
+func (d *dialBlocker) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if d.shouldBlock(address) {
+		d.blocked <- address
 		select {
 		case <-d.released:
 		case <-ctx.Done():
@@ -57,27 +56,28 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// held waits for a connection that is held back and returns its runner.
-func (f *fleet) held() *runnerstand.Runner {
+// awaitBlockedDial waits until a dial is blocked and returns its runner.
+func (f *fleet) awaitBlockedDial() *runnerstand.Runner {
 	var address string
-	f.g.Eventually(f.dials.waiting, 5*time.Second).Should(Receive(&address))
-	found, _ := f.runners.Load(address)
-	return found.(*runnerstand.Runner)
+	f.g.Eventually(f.dials.blocked, 5*time.Second).Should(Receive(&address))
+	value, _ := f.runners.Load(address)
+	return value.(*runnerstand.Runner)
 }
 
-// unhurried is the time that calls have here, so that a busy machine ends none of them.
-const unhurried = 20 * time.Second
+// longTimeout is a timeout for calls that does not expire even on a busy machine.
+const longTimeout = 20 * time.Second
 
-func unhurriedRoutes() []map[string]any {
+// routesWithLongTimeout returns the default routes with longTimeout.
+func routesWithLongTimeout() []map[string]any {
 	routes := defaultRoutes()
 	for _, route := range routes {
-		route["timeout_ms"] = unhurried.Milliseconds()
+		route["timeout_ms"] = longTimeout.Milliseconds()
 	}
 	return routes
 }
 
-// callUnhurried begins a call and returns where its answer comes.
-func (r *router) callUnhurried(path string, change func(*http.Request)) <-chan answer {
+// callWithLongTimeout starts a call and returns the channel that receives its response.
+func (r *router) callWithLongTimeout(path string, change func(*http.Request)) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() {
 		answers <- r.call(path, func(request *http.Request) {
@@ -90,85 +90,89 @@
 	return answers
 }
 
-// The call may run once only: that another runner gets it shows that nothing was sent.
-func TestRunnerThatLeavesDuringTheDialGetsNothing(t *testing.T) {
-	drains := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
-	goes := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindServers, r.ID) }
-	t.Run("draining", func(t *testing.T) { testLeavingDuringTheDial(t, drains, "runner changed state") })
-	t.Run("gone", func(t *testing.T) { testLeavingDuringTheDial(t, goes, "runner removed") })
+// The call may run only once, so if another runner gets it, nothing was sent to the first one.
+func TestRunnerThatLeavesDuringDialGetsNoCalls(t *testing.T) {
+	drain := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
+	remove := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindServers, r.ID) }
+	t.Run("draining", func(t *testing.T) { testRunnerLeavesDuringDial(t, drain, "runner changed state") })
+	t.Run("removed", func(t *testing.T) { testRunnerLeavesDuringDial(t, remove, "runner removed") })
 }
 
-func testLeavingDuringTheDial(t *testing.T, leave func(*fleet, *runnerstand.Runner), logged string) {
+// testRunnerLeavesDuringDial blocks the dial to a runner, makes the runner leave, and checks that
+// the call goes to the other runner. wantLog is what the router logs once it knows.
+func testRunnerLeavesDuringDial(t *testing.T, leave func(*fleet, *runnerstand.Runner), wantLog string) {
 	t.Parallel()
 	f := newFleet(t)
-	f.dials = holdFirstDial()
-	f.configure(1, unhurriedRoutes(), goodKey)
+	f.dials = blockFirstDial()
+	f.configure(1, routesWithLongTimeout(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 0.5 })
-	answers := r.callUnhurried("/unsafe/x", nil)
-	leaving := f.held()
+	answers := r.callWithLongTimeout("/unsafe/x", nil)
+	leaving := f.awaitBlockedDial()
 	leave(f, leaving)
-	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring(logged))
+	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring(wantLog))
 	close(f.dials.released)
 	var got answer
-	f.g.Eventually(answers, unhurried).Should(Receive(&got))
+	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(leaving.Arrivals()).To(BeZero())
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(runsOf(runners)).To(Equal(1), "without a budget for repeats")
+	f.g.Expect(totalRuns(runners)).To(Equal(1), "the second attempt must not need a retry budget")
 }
 
-// A runner refuses a request that names other weights than it has. Its only runner had
-// taken new ones during the dial, which the router had learned by then: the refusal was
-// no news, excluded the runner, and the caller was refused.
-func TestWeightsReplacedDuringTheDialAreNotAskedFor(t *testing.T) {
+// A runner refuses a request that names a weight version other than its own. If the service's only
+// runner loads new weights during the dial and the router learns of it, the request must name
+// the new version. It named the old one: the refusal then told the router nothing new, excluded
+// the runner, and the caller was refused.
+func TestRequestNamesWeightsLoadedDuringDial(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.dials = holdFirstDial()
-	f.configure(1, unhurriedRoutes(), goodKey)
+	f.dials = blockFirstDial()
+	f.configure(1, routesWithLongTimeout(), goodKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", nil)
-	answers := r.callUnhurried("/once/x", nil)
-	f.held()
+	answers := r.callWithLongTimeout("/once/x", nil)
+	f.awaitBlockedDial()
 	name(f, 2)
 	f.g.Eventually(r.log.String, 10*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner's weights changed"))
 	close(f.dials.released)
 	var got answer
-	f.g.Eventually(answers, unhurried).Should(Receive(&got))
+	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(runner.Arrivals()).To(Equal(1))
 	f.g.Expect(runner.Runs()[0].Header.Get(platform.HeaderExpectVersion)).To(Equal("2"))
 }
 
-// A copy is made where the stream began, so its runner may leave before it is needed.
-func TestStreamDoesNotGoOnAtALeavingRunner(t *testing.T) {
+// The runner for the copy is chosen when the stream begins, so it may be leaving by the time the
+// copy is needed.
+func TestStreamDoesNotContinueOnLeavingRunner(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	var copyAt atomic.Value
-	f.dials = holdDials(func(address string) bool { return address == copyAt.Load() })
-	f.configure(1, unhurriedRoutes(), goodKey)
+	var backupAddress atomic.Value
+	f.dials = newDialBlocker(func(address string) bool { return address == backupAddress.Load() })
+	f.configure(1, routesWithLongTimeout(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
-	r := f.servingRouter("r1", copyRuns)
+	r := f.servingRouter("r1", enableRunCopies)
 	var got answer
-	f.g.Eventually(r.callUnhurried("/once/x", longPrompt), unhurried).Should(Receive(&got))
+	f.g.Eventually(r.callWithLongTimeout("/once/x", withLongPrompt), longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	home, other := runners[0], runners[1]
-	if homeOf(runners) == other {
-		home, other = other, home
+	preferred, backup := runners[0], runners[1]
+	if preferredRunner(runners) == backup {
+		preferred, backup = backup, preferred
 	}
-	copyAt.Store(other.Address)
-	home.BehaveOnce(runnerstand.Dies)
-	answers := r.callUnhurried("/once/x", longPrompt)
-	f.g.Expect(f.held()).To(BeIdenticalTo(other))
-	f.list(other, "draining")
+	backupAddress.Store(backup.Address)
+	preferred.BehaveOnce(runnerstand.Dies)
+	answers := r.callWithLongTimeout("/once/x", withLongPrompt)
+	f.g.Expect(f.awaitBlockedDial()).To(BeIdenticalTo(backup))
+	f.list(backup, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
-	f.g.Eventually(answers, unhurried).Should(Receive(&got))
-	f.g.Expect(other.Arrivals()).To(BeZero())
-	f.g.Expect(got.cut).To(BeTrue(), "nothing else may run it")
+	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
+	f.g.Expect(backup.Arrivals()).To(BeZero())
+	f.g.Expect(got.cut).To(BeTrue(), "no other runner may run it")
 }
 
-// statusOf returns what the router at the address believes.
-func (f *fleet) statusOf(address string) gateway.Status {
+// fetchStatus returns the status of the router at the address.
+func (f *fleet) fetchStatus(address string) gateway.Status {
 	response, err := http.Get("http://" + address + gateway.StatusPath)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
@@ -177,9 +181,9 @@
 	return status
 }
 
-// summaryOf returns what the router at the address thinks of a runner.
-func (f *fleet) summaryOf(address, id string) backend.RunnerSummary {
-	for _, runner := range f.statusOf(address).Runners {
+// fetchRunnerSummary returns the runner's summary from the status of the router at the address.
+func (f *fleet) fetchRunnerSummary(address, id string) backend.RunnerSummary {
+	for _, runner := range f.fetchStatus(address).Runners {
 		if runner.ID == id {
 			return runner
 		}
@@ -187,48 +191,49 @@
 	return backend.RunnerSummary{}
 }
 
-// The runner stays after all: what was not confirmed does not keep requests from it, as a
-// dial that failed would.
-func TestSendThatIsNotConfirmedIsNoEvidenceAgainstItsRunner(t *testing.T) {
+// A send that was not confirmed must not count as a failure of its runner, unlike a failed dial.
+// Otherwise the runner would get no requests for a while although it stays in service.
+func TestUnconfirmedSendDoesNotCountAgainstRunner(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.dials = holdFirstDial()
-	f.configure(1, unhurriedRoutes(), goodKey)
+	f.dials = blockFirstDial()
+	f.configure(1, routesWithLongTimeout(), goodKey)
 	f.runner("p1", "plain")
 	f.runner("p2", "plain")
-	figuresAt := loopback.FreeAddress()
-	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = figuresAt })
-	answers := r.callUnhurried("/unsafe/x", nil)
-	leaving := f.held()
+	metricsAddress := loopback.FreeAddress()
+	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
+	answers := r.callWithLongTimeout("/unsafe/x", nil)
+	leaving := f.awaitBlockedDial()
 	f.list(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
-	f.g.Eventually(answers, unhurried).Should(Receive())
+	f.g.Eventually(answers, longTimeout).Should(Receive())
 	f.g.Expect(r.log.String()).To(ContainSubstring("request not sent: its runner may not begin it any more"))
-	state := func() string { return f.summaryOf(figuresAt, leaving.ID).State }
+	state := func() string { return f.fetchRunnerSummary(metricsAddress, leaving.ID).State }
 	f.list(leaving, "ready")
 	f.g.Eventually(state, 5*time.Second, 5*time.Millisecond).ShouldNot(Equal(backend.Draining.String()))
 	f.g.Expect(state()).To(Equal(backend.Serving.String()))
-	f.g.Expect(f.summaryOf(figuresAt, leaving.ID).FailureShare).To(BeZero())
-	f.g.Expect(f.summaryOf(figuresAt, leaving.ID).InFlight).To(BeZero())
+	f.g.Expect(f.fetchRunnerSummary(metricsAddress, leaving.ID).FailureShare).To(BeZero())
+	f.g.Expect(f.fetchRunnerSummary(metricsAddress, leaving.ID).InFlight).To(BeZero())
 }
 
-// One repeat is allowed. The first runner broke off, the second left during the dial: it
-// was paid for and reached nobody, so that a third is within what is allowed.
-func TestRepeatThatWasNotSentIsNotPaidForTwice(t *testing.T) {
+// The budget allows one retry. The first runner drops the connection, and the second one leaves
+// during the dial. That retry was charged but not sent, so the attempt at the third runner must
+// not be charged again.
+func TestUnsentRetryIsChargedOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	var dials atomic.Int32
-	f.dials = holdDials(func(string) bool { return dials.Add(1) == 2 })
-	f.configure(1, unhurriedRoutes(), goodKey)
+	f.dials = newDialBlocker(func(string) bool { return dials.Add(1) == 2 })
+	f.configure(1, routesWithLongTimeout(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain"), f.runner("p3", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 1 })
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Drops)
 	}
-	answers := r.callUnhurried("/safe/x", nil)
-	leaving := f.held()
-	f.g.Expect(runsOf(runners)).To(Equal(1))
+	answers := r.callWithLongTimeout("/safe/x", nil)
+	leaving := f.awaitBlockedDial()
+	f.g.Expect(totalRuns(runners)).To(Equal(1))
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Well)
 	}
@@ -236,8 +241,8 @@
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	var got answer
-	f.g.Eventually(answers, unhurried).Should(Receive(&got))
+	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(leaving.Arrivals()).To(BeZero())
-	f.g.Expect(runsOf(runners)).To(Equal(2))
+	f.g.Expect(totalRuns(runners)).To(Equal(2))
 }
--- a/internal/gateway/direct.go
+++ b/internal/gateway/direct.go
@@ -5,48 +5,49 @@
 	"sync"
 )
 
-// directSwitch tells the followers whether this router reads the store itself.
-type directSwitch struct {
+// directMode holds whether this router reads the store directly instead of following other
+// routers. It is safe for concurrent use.
+type directMode struct {
 	mutex   sync.Mutex
 	enabled bool
-	// changed is closed when the switch is turned on.
-	changed chan struct{}
+	// enabledSignal is closed when the mode is enabled and replaced when it is disabled.
+	enabledSignal chan struct{}
 }
 
-func newDirectSwitch() *directSwitch { return &directSwitch{changed: make(chan struct{})} }
+func newDirectMode() *directMode { return &directMode{enabledSignal: make(chan struct{})} }
 
-// set turns the switch and tells whether it was turned before.
-func (d *directSwitch) set(enabled bool) (before bool) {
+// setEnabled sets the mode and returns its previous value.
+func (d *directMode) setEnabled(enabled bool) (previous bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	before = d.enabled
-	if enabled == before {
-		return before
+	previous = d.enabled
+	if enabled == previous {
+		return previous
 	}
 	d.enabled = enabled
 	if enabled {
-		close(d.changed)
+		close(d.enabledSignal)
 	} else {
-		d.changed = make(chan struct{})
+		d.enabledSignal = make(chan struct{})
 	}
-	return before
+	return previous
 }
 
-// on tells whether the router reads the store itself.
-func (d *directSwitch) on() bool {
+// isEnabled reports whether the router reads the store directly.
+func (d *directMode) isEnabled() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.enabled
 }
 
-// wait returns true once the router reads the store itself, or false when the
-// context ends first.
-func (d *directSwitch) wait(ctx context.Context) bool {
+// waitEnabled blocks until the mode is enabled and returns true, or returns false once the
+// context is canceled.
+func (d *directMode) waitEnabled(ctx context.Context) bool {
 	d.mutex.Lock()
-	changed := d.changed
+	enabledSignal := d.enabledSignal
 	d.mutex.Unlock()
 	select {
-	case <-changed:
+	case <-enabledSignal:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -70,7 +70,7 @@
 }
 
 func (f *follower) run() {
-	for f.gateway.direct.wait(f.gateway.ctx) {
+	for f.gateway.direct.waitEnabled(f.gateway.ctx) {
 		if err := f.step(); err != nil {
 			f.failed(err)
 			continue
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestConfigurationChangesAreInForceAndNeverRevert(t *testing.T) {
-	f, r, _ := plainFleet(t)
+	f, r, _ := newPlainFleet(t)
 	f.configure(5, defaultRoutes(), "key-two")
 	r.settled(5)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was taken away")
@@ -39,7 +39,7 @@
 }
 
 func TestMissedChangesAreListedAfterHistoryIsGone(t *testing.T) {
-	f, r, runners := plainFleet(t)
+	f, r, runners := newPlainFleet(t)
 	r.door.Set(storestand.Reset)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("store does not answer well"))
 	f.store.Remove(platform.KindServers, "p1")
@@ -106,7 +106,7 @@
 }
 
 func TestUnreadableObjectsAreIgnored(t *testing.T) {
-	f, r, _ := plainFleet(t)
+	f, r, _ := newPlainFleet(t)
 	f.store.Put(configKind, configName, "not a configuration")
 	f.store.Put(platform.KindServers, "odd", map[string]any{"service": 7})
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("cannot be read"))
@@ -207,13 +207,13 @@
 }
 
 func TestPlannedStopCutsNothing(t *testing.T) {
-	f, r, runners := plainFleet(t)
+	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Delays)
 	}
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/unsafe/x", nil) }()
-	f.g.Eventually(func() int { return runsOf(runners) }).Should(Equal(1))
+	f.g.Eventually(func() int { return totalRuns(runners) }).Should(Equal(1))
 	stopped := make(chan struct{})
 	go func() { r.Stop(); close(stopped) }()
 	f.g.Eventually(r.isReady).Should(BeFalse())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,7 +86,7 @@
 	mutex   sync.Mutex
 	runners *backend.Set
 	// unbegun are the requests that are withdrawn if they do not begin in time.
-	unbegun map[*unbegunSend]struct{}
+	unbegun map[*unstartedSend]struct{}
 	// bounds are what is known of when weights were named.
 	bounds   namings.Table
 	splitter *routing.Splitter
@@ -105,7 +105,7 @@
 	// copies are the copies of the store's objects, direct tells whether this
 	// router reads the store itself, and relays connects it with others.
 	copies *copies
-	direct *directSwitch
+	direct *directMode
 	relays *relays
 	// followers read each kind of objects while this router reads the store.
 	followers []*follower
@@ -151,7 +151,7 @@
 	g := &Gateway{
 		settings: settings, ports: ports, log: logger, ctx: ctx, cancel: cancel, started: started, startup: newStartup(),
 		runners:  backend.NewSet(settings.Zone),
-		unbegun:  map[*unbegunSend]struct{}{},
+		unbegun:  map[*unstartedSend]struct{}{},
 		bounds:   namings.Table{},
 		splitter: routing.NewSplitter(),
 		saves:    backend.NewSaveThrottle(),
@@ -163,12 +163,12 @@
 	g.runners.SetRolloutTime(time.Duration(rolloutShare * float64(settings.WeightDeadline)))
 	g.metrics = newMetrics(g)
 	ports.RunnerPool.Opened, ports.RunnerPool.Silent = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
-	ports.RunnerPool.SilentAfter = runnerSilence
+	ports.RunnerPool.SilentAfter = runnerSilenceTimeout
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
 	g.ends, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
 	g.cacheStores = newCacheStoreWatch(g)
 	g.caches = newCacheReader(g)
-	g.copies, g.direct, g.relays = newCopies(g), newDirectSwitch(), newRelays(g)
+	g.copies, g.direct, g.relays = newCopies(g), newDirectMode(), newRelays(g)
 	g.era, g.transfer = newStoreEra(g), newStateTransfer(g)
 	ports.Store.OnEra(g.era.told)
 	g.limits = limits.New(g.limitsConfig())
@@ -262,7 +262,7 @@
 	models := slices.Collect(maps.Keys(g.bounds))
 	g.mutex.Unlock()
 	for _, model := range models {
-		g.withdrawUnbegun(g.now(), model)
+		g.withdrawExpiredSends(g.now(), model)
 	}
 	return suspended
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -34,7 +34,7 @@
 	// caches tells routers what runners keep; nil tells nothing.
 	caches gateway.CacheReader
 	// dials holds routers' connections to runners back; nil holds none.
-	dials *heldDials
+	dials *dialBlocker
 }
 
 func newFleet(t *testing.T) *fleet {
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -80,7 +80,7 @@
 	// Many read at once where there is no seed: a list that may be old costs the store little.
 	// One whose history is gone leads nowhere, and is not asked for again.
 	stale := !g.relays.isSource()
-	for g.direct.wait(g.ctx) {
+	for g.direct.waitEnabled(g.ctx) {
 		next, err := k.learn(revision, stale)
 		if err == nil && next > 0 {
 			revision, failures = next, 0
@@ -217,7 +217,7 @@
 // next returns a content whose record is to be written, or false when there is none or this
 // router does not read the store.
 func (k *keptQuarantines) next() (quarantine.ContentID, bool) {
-	if !k.gateway.direct.on() {
+	if !k.gateway.direct.isEnabled() {
 		return quarantine.ContentID{}, false
 	}
 	k.mutex.Lock()
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -141,13 +141,13 @@
 	named := time.Now()
 	r.logs(lineDraining)
 	time.Sleep(time.Until(named.Add(behind)))
-	f.g.Expect(f.statusOf(figuresAt).ProofAgeMillis).To(BeNumerically(">", (behind - time.Second).Milliseconds()))
+	f.g.Expect(f.fetchStatus(figuresAt).ProofAgeMillis).To(BeNumerically(">", (behind - time.Second).Milliseconds()))
 	calls := r.door.Calls()
 	r.door.CatchUp()
 	f.g.Expect(calls).To(BeNumerically("<", 40), "the store is asked with pauses")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
 	f.g.Expect(r.olderUntil(2)).To(BeTemporally("<", named.Add(deadline)))
-	f.g.Eventually(func() int64 { return f.statusOf(figuresAt).ProofAgeMillis }, 2*time.Second, 10*time.Millisecond).Should(BeNumerically("<", 1000))
+	f.g.Eventually(func() int64 { return f.fetchStatus(figuresAt).ProofAgeMillis }, 2*time.Second, 10*time.Millisecond).Should(BeNumerically("<", 1000))
 }
 
 // Seeds whose calls on runners are not answered, while those on the configuration are,
@@ -180,7 +180,7 @@
 	follower.logs(`"runner":"p2"`)
 	time.Sleep(500 * time.Millisecond)
 	// Right after all copies were proved.
-	f.g.Eventually(func() int64 { return f.statusOf(figuresAt).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
+	f.g.Eventually(func() int64 { return f.fetchStatus(figuresAt).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
 	f.changeBoth()
 	left := time.Now()
 	f.g.Eventually(follower.log.String, 4*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineDraining))
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -80,7 +80,7 @@
 	if outdated != l.outdated {
 		l.outdated, l.changedAt = outdated, now
 	}
-	return l.gateway.direct.on() || l.held || l.candidate.HeldLast() || now.Sub(l.changedAt) >= standbyDelay
+	return l.gateway.direct.isEnabled() || l.held || l.candidate.HeldLast() || now.Sub(l.changedAt) >= standbyDelay
 }
 
 // wait returns when there may be something to do, or false when the gateway stops.
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -36,7 +36,7 @@
 	now := s.gateway.now()
 	s.gateway.runners.SetPeerLoads(now, router, share.GetFull(), loads)
 	for _, told := range share.GetPromises() {
-		s.gateway.order.AddReservation(now, promiseOf(told))
+		s.gateway.order.AddReservation(now, decodeReservation(told))
 	}
 	s.gateway.shares.merge(router, share)
 }
@@ -67,7 +67,7 @@
 			continue
 		}
 		message := shareMessage(loads, whole)
-		message.Promises = promiseMessages(promises)
+		message.Promises = encodeReservations(promises)
 		if whole {
 			message.Uses = uses
 			message.Routers = uint32(s.gateway.relays.countRouters())
--- a/internal/gateway/moments.go
+++ b/internal/gateway/moments.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// All moments of a gateway come from its clock, which goes on while the machine is
-// suspended: proofs, leases and deadlines hold by the time of others, and by the steady
-// clock, which stands still meanwhile, they would look younger than they are by the whole
-// suspension. Only what the process waits for itself, by timers and deadlines of the
-// standard library, goes by the steady clock; it is given a duration.
+// All points in time in a gateway come from its Clock, which keeps running while the machine is
+// suspended. Proofs, leases and deadlines are shared with other machines; by the monotonic
+// clock, which stops during a suspension, their age would be too low by the whole suspension.
+// Only the timers and context deadlines of the standard library use the monotonic clock. They
+// are set with durations.
 
-// now returns the present moment.
+// now returns the current time of the gateway's clock.
 func (g *Gateway) now() time.Time { return g.ports.Clock.Now() }
 
-// since returns the time that passed since the moment.
-func (g *Gateway) since(moment time.Time) time.Duration { return g.now().Sub(moment) }
+// since returns the time elapsed since t.
+func (g *Gateway) since(t time.Time) time.Duration { return g.now().Sub(t) }
 
-// until returns the time that is left until the moment.
-func (g *Gateway) until(moment time.Time) time.Duration { return moment.Sub(g.now()) }
+// until returns the time left until t.
+func (g *Gateway) until(t time.Time) time.Duration { return t.Sub(g.now()) }
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -11,49 +11,51 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// percent turns shares into whole numbers of messages and logs.
+// percent converts fractions to the percentages used in messages and logs.
 const percent = 100
 
-// decide chooses the runner of a request whose caller waits for the time left, or
-// refuses it. Schedulers decide so for others, and routers that choose themselves for
-// their own calls. It also returns the bound that held, and whether the request was refused
-// only as its tenant is beyond its fair share. The gateway's mutex is held.
-func (g *Gateway) decide(now time.Time, query backend.Query, left time.Duration) (chosen placement.Pick, limit admission.QueueLimit, forShare bool) {
-	return g.decideWith(now, query, left, g.shares.excess(now, query))
+// placeRequest chooses a runner for a request whose caller waits for at most timeLeft, or
+// refuses the request. Schedulers call it for the requests of other routers, and routers that
+// choose runners themselves for their own calls. It also returns the queue bound that applied,
+// and whether the request was refused only because its tenant exceeds its fair share. The
+// gateway's mutex must be held.
+func (g *Gateway) placeRequest(now time.Time, query backend.Query, timeLeft time.Duration) (chosen placement.Pick, queueLimit admission.QueueLimit, refusedForShare bool) {
+	return g.placeRequestWithExcess(now, query, timeLeft, g.shares.excess(now, query))
 }
 
-// decideWith decides about a request of a tenant with the excess.
-func (g *Gateway) decideWith(now time.Time, query backend.Query, left time.Duration, excess float64) (chosen placement.Pick, limit admission.QueueLimit, forShare bool) {
+// placeRequestWithExcess is placeRequest for a tenant with the given excess over its fair share.
+func (g *Gateway) placeRequestWithExcess(now time.Time, query backend.Query, timeLeft time.Duration, excess float64) (chosen placement.Pick, queueLimit admission.QueueLimit, refusedForShare bool) {
 	request, candidates := g.runners.Candidates(now, query)
-	demand := admission.Request{
-		Service: query.Service, Rank: query.Rank, TargetLatency: query.TargetLatency, MaxQueue: query.MaxQueueTime, TimeLeft: left,
+	admissionRequest := admission.Request{
+		Service: query.Service, Rank: query.Rank, TargetLatency: query.TargetLatency, MaxQueue: query.MaxQueueTime, TimeLeft: timeLeft,
 		Excess: excess, Ticket: query.Ticket,
 	}
-	limit = g.order.QueueLimit(now, demand, loadOf(candidates))
-	request.MaxWait = limit.MaxQueue
+	queueLimit = g.order.QueueLimit(now, admissionRequest, totalLoad(candidates))
+	request.MaxWait = queueLimit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
 		chosen.RetryAfter = g.whenTaken(now, query.Service, request.HeldBack)
 	}
 	if chosen.Status == placement.NoRunner || chosen.Status == placement.AllHeldBack {
-		return chosen, limit, false
+		return chosen, queueLimit, false
 	}
 	refused := chosen.Status == placement.Overloaded
-	forShare = refused && chosen.QueueWait <= limit.MaxQueueAtFairShare
-	g.shares.noteChoice(now, query, chosen, forShare)
-	after := g.order.RecordDecision(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
+	refusedForShare = refused && chosen.QueueWait <= queueLimit.MaxQueueAtFairShare
+	g.shares.noteChoice(now, query, chosen, refusedForShare)
+	reservedRetryAfter := g.order.RecordDecision(now, admissionRequest, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
-	case forShare:
-		// A caller that comes back before its tenant's use has faded is refused again.
-		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.fades(limit.Excess))
+	case refusedForShare:
+		// A caller that retries before its tenant's recorded usage has decayed to its share is
+		// refused again.
+		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.fades(queueLimit.Excess))
 	case refused:
-		chosen.RetryAfter = after
+		chosen.RetryAfter = reservedRetryAfter
 	}
-	return chosen, limit, forShare
+	return chosen, queueLimit, refusedForShare
 }
 
-// loadOf sums up how full the runners are that are not leaving.
-func loadOf(candidates []placement.Candidate) admission.Load {
+// totalLoad returns the total load and capacity of the candidates that are not leaving.
+func totalLoad(candidates []placement.Candidate) admission.Load {
 	load := admission.Load{}
 	for _, candidate := range candidates {
 		if !candidate.Leaving {
@@ -64,46 +66,48 @@
 	return load
 }
 
-// limitOf is the bound that a scheduler tells of.
-func limitOf(answer *wire.RunnerAnswer) admission.QueueLimit {
+// decodeQueueLimit returns the queue bound from a scheduler's answer.
+func decodeQueueLimit(answer *wire.RunnerAnswer) admission.QueueLimit {
 	return admission.QueueLimit{
 		MaxQueue:       time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
 		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: excessOf(answer),
 	}
 }
 
-// noteLimit keeps and counts what was decided about the call's queueing.
-func (c *call) noteLimit(chosen placement.Pick) {
-	c.queueing = chosen.QueueWait
+// recordQueueLimit records the expected queueing time of the call, and counts the applied bound
+// in the metrics if the call has one.
+func (c *call) recordQueueLimit(chosen placement.Pick) {
+	c.expectedQueueTime = chosen.QueueWait
 	if c.query.MaxQueueTime > 0 {
-		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.limit)
+		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.queueLimit)
 	}
 }
 
-// ticket names a call of a prompt by whose it is and what it holds, so that it is known
-// when it comes back; 0 without a prompt.
+// ticket returns a hash of the call's tenant, route and prompt, by which a refused call is
+// recognized when its caller retries. It is 0 for calls without a prompt.
 func (c *call) ticket() uint64 {
-	last := len(c.facts.Prompt) - 1
+	last := len(c.metadata.Prompt) - 1
 	if last < 0 {
 		return 0
 	}
-	part := c.facts.Prompt[last]
+	part := c.metadata.Prompt[last]
 	return rendezvous.KeyOf(c.tenantName() + "/" + c.route.Name + "/" + part.ID + ":" + strconv.Itoa(part.Tokens))
 }
 
-// promiseMessages tells other schedulers of promises to refused callers.
-func promiseMessages(promises []admission.Reservation) []*wire.ReturnPromise {
+// encodeReservations encodes the retry times reserved for refused callers for other schedulers.
+func encodeReservations(reservations []admission.Reservation) []*wire.ReturnPromise {
 	var messages []*wire.ReturnPromise
-	for _, promise := range promises {
+	for _, reservation := range reservations {
 		messages = append(messages, &wire.ReturnPromise{
-			Service: promise.Service, Tier: uint32(promise.Rank.Tier), RouteRank: uint32(promise.Rank.Route),
-			Ticket: promise.Ticket, AfterMillis: uint32(max(promise.After.Milliseconds(), 0)),
+			Service: reservation.Service, Tier: uint32(reservation.Rank.Tier), RouteRank: uint32(reservation.Rank.Route),
+			Ticket: reservation.Ticket, AfterMillis: uint32(max(reservation.After.Milliseconds(), 0)),
 		})
 	}
 	return messages
 }
 
-func promiseOf(message *wire.ReturnPromise) admission.Reservation {
+// decodeReservation is the inverse of encodeReservations for one reservation.
+func decodeReservation(message *wire.ReturnPromise) admission.Reservation {
 	return admission.Reservation{
 		Service: message.GetService(), Rank: admission.Rank{Tier: int(message.GetTier()), Route: int(message.GetRouteRank())},
 		Ticket: message.GetTicket(), After: time.Duration(message.GetAfterMillis()) * time.Millisecond,
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -59,7 +59,7 @@
 		for i, address := range seeds {
 			started = append(started, f.servingRouter(incarnation+[]string{"-a", "-b"}[i], func(settings *gateway.Settings) {
 				settings.PeerAddress, settings.Seeds = address, seeds
-				settings.WeightDeadline, settings.SettleTime = shortDeadline, shortSettle
+				settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 			}))
 		}
 		return started
@@ -72,7 +72,7 @@
 		r.Kill()
 	}
 	second := start("second")
-	time.Sleep(shortSettle)
+	time.Sleep(shortSettleTime)
 	ran := len(runner.Runs())
 	for range 20 {
 		for _, r := range second {
--- a/internal/gateway/pastanswers_test.go
+++ b/internal/gateway/pastanswers_test.go
@@ -7,16 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// A replica that is behind answers a watch of the configuration with 10. Meanwhile the
-// runners' watch brought 12, long before the moment that the answer is to prove, and 13
-// after it. Only the latest rise is remembered, and hides that 12 was known by then.
-func TestAnswersFromThePastShowNothingHoweverOftenCopiesRose(t *testing.T) {
+// A stale replica answers a watch of the configuration with revision 10. The watch of the runners
+// had already delivered revision 12 long before the time for which the answer is to prove the
+// configuration, and delivered 13 after it. An implementation that remembers only the latest
+// revision would overlook that 12 was already known and accept the answer.
+func TestStaleAnswerProvesNothingAfterLaterRevisions(t *testing.T) {
 	g := NewWithT(t)
-	at := time.Unix(1_000, 0)
+	proofTime := time.Unix(1_000, 0)
 	copies := &copies{}
-	copies.noteReached(checkpoint{revision: 12, at: at.Add(-500 * time.Millisecond)})
+	copies.noteReached(checkpoint{revision: 12, at: proofTime.Add(-500 * time.Millisecond)})
 	answer := storeAnswer{revision: 10, known: 10}
-	g.Expect(copies.shownBy(answer, at)).To(BeFalse(), "12 was known half a second before the moment")
-	copies.noteReached(checkpoint{revision: 13, at: at.Add(20 * time.Millisecond)})
-	g.Expect(copies.shownBy(answer, at)).To(BeFalse(), "it still was, whatever came since")
+	g.Expect(copies.shownBy(answer, proofTime)).To(BeFalse(), "revision 12 was known half a second before")
+	copies.noteReached(checkpoint{revision: 13, at: proofTime.Add(20 * time.Millisecond)})
+	g.Expect(copies.shownBy(answer, proofTime)).To(BeFalse(), "revision 12 was known before, regardless of later revisions")
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -35,11 +35,11 @@
 // takePermit takes the permit for the send to the chosen runner, if that limits requests: the
 // scheduler's that chose it, or one of this router's own part. The gateway's mutex is held.
 func (c *call) takePermit(now time.Time, runner string) {
-	if c.placed != nil {
-		c.permit, c.permitAt = c.placed.permit(), c.placed.asked
+	if c.schedulerChoice != nil {
+		c.permit, c.permitRequestedAt = c.schedulerChoice.permit(), c.schedulerChoice.asked
 		return
 	}
-	c.permit, c.permitAt = c.gateway.grant(now, c.service, runner), now
+	c.permit, c.permitRequestedAt = c.gateway.grant(now, c.service, runner), now
 }
 
 // grant spends this router's next permit for the runner, if that limits requests. The
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -102,7 +102,7 @@
 	s.mutex.Lock()
 	s.ranking.NoteAnswer(scheduler, answer.GetZone(), taken)
 	s.mutex.Unlock()
-	queueing, limit := time.Duration(answer.GetQueueMillis())*time.Millisecond, limitOf(answer)
+	queueing, limit := time.Duration(answer.GetQueueMillis())*time.Millisecond, decodeQueueLimit(answer)
 	if answer.GetOverloaded() {
 		return &placed{
 			scheduler: scheduler, refused: true, retryAfter: time.Duration(answer.GetRetryAfterMillis()) * time.Millisecond,
@@ -182,13 +182,13 @@
 // call's body arrives.
 func (c *call) startPlacement() {
 	c.query = c.newQuery()
-	c.placing = c.gateway.schedulers.ask(c.query, c.gateway.until(c.deadline))
+	c.placementRequest = c.gateway.schedulers.ask(c.query, c.gateway.until(c.deadline))
 }
 
 // awaitPlacement returns a scheduler's choice for the next send, or nil.
 func (c *call) awaitPlacement() *placed {
-	answer := c.placing.await(c.ctx)
-	c.placing = nil
+	answer := c.placementRequest.await(c.ctx)
+	c.placementRequest = nil
 	return answer
 }
 
@@ -196,12 +196,12 @@
 // gateway's mutex is held.
 func (c *call) takePlaced(now time.Time, choice *placed) (placement.Pick, bool) {
 	g := c.gateway
-	c.placed = nil
+	c.schedulerChoice = nil
 	if choice == nil {
 		return placement.Pick{}, false
 	}
 	g.shares.hear(now, c.query, choice.limit.Excess)
-	c.limit, c.forShare = choice.limit, choice.forShare
+	c.queueLimit, c.refusedForShare = choice.limit, choice.forShare
 	if choice.refused {
 		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueing}, true
 	}
@@ -209,14 +209,14 @@
 		return placement.Pick{Status: placement.AllHeldBack, RetryAfter: choice.retryAfter}, true
 	}
 	if !g.runners.Usable(now, choice.runner, c.query, choice.permit()) {
-		c.note(events.PlacementDeclined, events.Fields{"runner": choice.runner, "scheduler": choice.scheduler})
+		c.bufferLog(events.PlacementDeclined, events.Fields{"runner": choice.runner, "scheduler": choice.scheduler})
 		if declined, listed := g.runners.Get(choice.runner); listed {
 			g.signals.repeat(now, declined)
 		}
 		g.schedulers.release(choice)
 		return placement.Pick{}, false
 	}
-	c.placed = choice
+	c.schedulerChoice = choice
 	return placement.Pick{Status: placement.Picked, Wait: choice.wait, QueueWait: choice.queueing, Candidate: placement.Candidate{
 		Name: choice.runner, CachedTokens: choice.cachedTokens, PendingRequests: choice.pendingRequests,
 	}}, true
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -54,7 +54,7 @@
 	p.g.Expect(after).To(BeNumerically("~", 300, 5), "seconds")
 	p.g.Expect(p.routers[0].call("/once/x", asking("another body")).status).To(Equal(http.StatusOK))
 	p.g.Expect(p.routers[0].call("/once/y", asking(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable), "another path is another content")
-	listed := p.statusOf(at).Quarantined
+	listed := p.fetchStatus(at).Quarantined
 	p.g.Expect(listed).To(HaveLen(1))
 	p.g.Expect(listed[0].Runners).To(HaveLen(3))
 	p.g.Expect(listed[0].LeftMillis).To(BeNumerically("~", 300_000, 5_000))
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -30,28 +30,28 @@
 		return
 	}
 	limit := c.tenant.Quota
-	c.spending = limits.Spending{
-		Tenant: c.tenant.Name, Amount: limit.Amount(c.facts.PromptTokens, c.facts.MaxTokens, c.facts.Counted),
+	c.quotaCharge = limits.Spending{
+		Tenant: c.tenant.Name, Amount: limit.Amount(c.metadata.PromptTokens, c.metadata.MaxTokens, c.metadata.Counted),
 		Limit: quota.Limit{Rate: limit.Rate, Burst: limit.Burst, Window: c.gateway.settings.QuotaWindow, Revision: uint64(c.view.revision)},
 	}
-	decided, arrived, ctx, s := make(chan limits.Decision, 1), make(chan struct{}), c.caller.Context(), c.spending
+	decided, arrived, ctx, s := make(chan limits.Decision, 1), make(chan struct{}), c.incoming.Context(), c.quotaCharge
 	go func() { decided <- c.gateway.limits.Decide(ctx, s, arrived) }()
-	c.quotaDecided, c.bodyArrived = decided, arrived
+	c.quotaDecision, c.bodyArrived = decided, arrived
 }
 
 // awaitQuota says why the call is refused if its tenant's limit is reached.
 func (c *call) awaitQuota() *refusal {
-	if c.quotaDecided == nil {
+	if c.quotaDecision == nil {
 		return nil
 	}
 	began := time.Now()
 	close(c.bodyArrived)
-	decision := <-c.quotaDecided
+	decision := <-c.quotaDecision
 	waited := time.Since(began)
-	c.spentAt = decision.Keeper
+	c.quotaKeeper = decision.Keeper
 	c.gateway.metrics.quotaDecided(decision, waited)
-	c.note(events.QuotaDecided, events.Fields{
-		"tenant": c.spending.Tenant, "amount": c.spending.Amount, "rate": c.spending.Limit.Rate, "burst": c.spending.Limit.Burst, "granted": decision.Granted,
+	c.bufferLog(events.QuotaDecided, events.Fields{
+		"tenant": c.quotaCharge.Tenant, "amount": c.quotaCharge.Amount, "rate": c.quotaCharge.Limit.Rate, "burst": c.quotaCharge.Limit.Burst, "granted": decision.Granted,
 		"by": decision.By, "keeper": decision.Keeper, "left": int64(decision.Level), "waited_us": waited.Microseconds(),
 		"spent": int64(decision.SpentInWindow), "below_limit": decision.BelowLimit,
 	})
@@ -73,22 +73,22 @@
 
 // abandonQuota gives back what is granted to a call that ends before its body is here.
 func (c *call) abandonQuota() {
-	if c.quotaDecided == nil {
+	if c.quotaDecision == nil {
 		return
 	}
 	close(c.bodyArrived)
 	go func() {
-		if decision := <-c.quotaDecided; decision.Keeper != "" {
-			c.gateway.limits.GiveBack(c.spending, decision.Keeper)
+		if decision := <-c.quotaDecision; decision.Keeper != "" {
+			c.gateway.limits.GiveBack(c.quotaCharge, decision.Keeper)
 		}
 	}()
 }
 
 // unspend gives back what was granted to a call that has not run.
 func (c *call) unspend() {
-	if c.spentAt == "" {
+	if c.quotaKeeper == "" {
 		return
 	}
-	c.gateway.limits.GiveBack(c.spending, c.spentAt)
-	c.spentAt = ""
+	c.gateway.limits.GiveBack(c.quotaCharge, c.quotaKeeper)
+	c.quotaKeeper = ""
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -7,68 +7,69 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// decision is one line of a call's log that has not been written yet.
-type decision struct {
+// logEntry is a log line of a call that has not been written yet.
+type logEntry struct {
 	at     time.Time
 	event  events.Event
 	fields events.Fields
 }
 
-// maxDecisions bounds what is kept of one call.
-const maxDecisions = 32
+// maxLogEntries limits how many log lines are buffered for one call; further ones are dropped.
+const maxLogEntries = 32
 
-// note keeps a decision about the call. A call that ends well at the first
-// attempt and in time is one line in the log; all others are logged whole.
-func (c *call) note(event events.Event, fields events.Fields) {
-	if len(c.decisions) < maxDecisions {
-		fields["request"] = c.facts.ID
-		c.decisions = append(c.decisions, decision{at: time.Now(), event: event, fields: fields})
+// bufferLog adds a log line to the call's buffer. The buffer is written when the call ends,
+// unless the call succeeds on time at the first attempt, which logs a single line.
+func (c *call) bufferLog(event events.Event, fields events.Fields) {
+	if len(c.logEntries) < maxLogEntries {
+		fields["request"] = c.metadata.ID
+		c.logEntries = append(c.logEntries, logEntry{at: time.Now(), event: event, fields: fields})
 	}
 }
 
-// logEnd writes the line that every call ends with, and what was decided before
-// if it did not simply go well.
-func (c *call) logEnd(outcome string) {
+// logOutcome logs and counts the end of the call. It writes the buffered log lines first, unless
+// the call succeeded on time at the first attempt.
+func (c *call) logOutcome(outcome string) {
 	now := c.gateway.now()
-	if c.answered.IsZero() {
-		c.answered = now
+	if c.firstResponseAt.IsZero() {
+		c.firstResponseAt = now
 	}
-	first := c.answered.Sub(c.arrived)
-	pause := time.Duration(0)
+	firstResponseTime := c.firstResponseAt.Sub(c.arrivedAt)
+	maxPause := time.Duration(0)
 	if c.stream != nil {
-		pause = c.stream.worstPause
+		maxPause = c.stream.worstPause
 	}
-	late := lateBy(first, pause, c.route)
-	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrived))
-	if outcome != outcomeComplete || late != "" || c.request.Attempt() > 1 {
-		c.logDecisions()
+	reason := lateReason(firstResponseTime, maxPause, c.route)
+	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrivedAt))
+	if outcome != outcomeComplete || reason != "" || c.attemptState.Attempt() > 1 {
+		c.flushLog()
 	}
 	c.gateway.log.Log(events.RequestEnded, events.Fields{
-		"request": c.facts.ID, "route": c.route.Name, "service": c.service, "runner": c.runner.ID,
-		"tenant": c.tenantName(), "outcome": outcome, "late": late != "", "late_by": late, "attempts": c.request.Attempt(), "first_ms": first.Milliseconds(), "pause_ms": pause.Milliseconds(), "ms": now.Sub(c.arrived).Milliseconds(),
-		"prompt_tokens": c.query.PromptTokens, "fetched": c.fetched, "content": c.content.String(),
-		"config": c.view.table.Version, "config_age_ms": c.arrived.Sub(c.view.provenAt).Milliseconds(),
+		"request": c.metadata.ID, "route": c.route.Name, "service": c.service, "runner": c.runner.ID,
+		"tenant": c.tenantName(), "outcome": outcome, "late": reason != "", "late_by": reason, "attempts": c.attemptState.Attempt(), "first_ms": firstResponseTime.Milliseconds(), "pause_ms": maxPause.Milliseconds(), "ms": now.Sub(c.arrivedAt).Milliseconds(),
+		"prompt_tokens": c.query.PromptTokens, "fetched": c.fetchSource, "content": c.content.String(),
+		"config": c.view.table.Version, "config_age_ms": c.arrivedAt.Sub(c.view.provenAt).Milliseconds(),
 	})
 }
 
-// What made an answer late.
+// The reasons why a response is late, as logged.
 const (
 	lateFirstEvent = "first event"
 	latePause      = "pause"
 )
 
-// lateBy tells what made the answer late, "" for one in time.
-func lateBy(first, pause time.Duration, route *routing.Route) string {
+// lateReason returns why the response is late by the targets of the route, or "" if it is on
+// time.
+func lateReason(firstResponseTime, maxPause time.Duration, route *routing.Route) string {
 	switch {
-	case exceeds(first, route.Target):
+	case exceeds(firstResponseTime, route.Target):
 		return lateFirstEvent
-	case exceeds(pause, route.EventGap):
+	case exceeds(maxPause, route.EventGap):
 		return latePause
 	}
 	return ""
 }
 
-// tenantName is empty for calls without a tenant.
+// tenantName returns the name of the call's tenant, empty for calls without a tenant.
 func (c *call) tenantName() string {
 	if c.tenant == nil {
 		return ""
@@ -76,17 +77,18 @@
 	return c.tenant.Name
 }
 
-// exceeds tells whether a time is over its aim, if there is one.
-func exceeds(taken, aim time.Duration) bool { return aim > 0 && taken > aim }
+// exceeds reports whether the duration is above the limit. A limit of 0 means no limit.
+func exceeds(duration, limit time.Duration) bool { return limit > 0 && duration > limit }
 
-func (c *call) logDecisions() {
-	for _, d := range c.decisions {
-		c.gateway.log.LogAt(d.at, d.event, d.fields)
+// flushLog writes the buffered log lines with the times at which they were added.
+func (c *call) flushLog() {
+	for _, entry := range c.logEntries {
+		c.gateway.log.LogAt(entry.at, entry.event, entry.fields)
 	}
-	c.decisions = nil
+	c.logEntries = nil
 }
 
-// Outcomes of calls, in logs and counters.
+// The outcomes of calls, as in logs and metrics.
 const (
 	outcomeComplete     = "complete"
 	outcomeCut          = "cut"
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -73,18 +73,18 @@
 
 // relay passes a runner's events on until the stream ends.
 func (c *call) relay(response *httpconn.Response) attempt.Action {
-	watch := c.watchSilence(response.Body)
+	watch := c.startWatchdog(response.Body)
 	defer watch.stop()
 	var pending []byte
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := response.Body.Read(buffer)
-		watch.heard()
+		watch.reset()
 		pending = append(pending, buffer[:n]...)
 		if whole := bytes.LastIndex(pending, eventEnd); whole >= 0 {
 			whole += len(eventEnd)
 			if c.passEvents(response, pending[:whole]) != nil {
-				return c.outOfTime(false)
+				return c.handleCanceled(false)
 			}
 			pending = append(pending[:0], pending[whole:]...)
 		}
@@ -104,20 +104,20 @@
 	if c.stream == nil {
 		c.beginStream(response)
 	}
-	if !c.open.Responded() {
-		c.firstAnswer()
+	if !c.currentSend.Responded() {
+		c.recordFirstResponse()
 	}
 	if version, named := c.gateway.ports.Protocol.EventVersion(data); named {
-		c.learnVersion(version)
+		c.recordWeightVersion(version)
 	}
 	began := c.gateway.now()
 	if _, err := c.writer.Write(data); err != nil {
-		return errCallerLeft
+		return errCallerDisconnected
 	}
 	c.stream.passed(c.gateway.now())
 	c.stream.lastEvent = lastEventID(data, c.stream.lastEvent)
-	if err := c.control.Flush(); err != nil {
-		return errCallerLeft
+	if err := c.controller.Flush(); err != nil {
+		return errCallerDisconnected
 	}
 	if now := c.gateway.now(); now.Sub(began) >= unreadTime {
 		c.stream.heldUpTo = now
@@ -128,9 +128,9 @@
 // beginStream writes the head of the first runner's answer.
 func (c *call) beginStream(response *httpconn.Response) {
 	c.stream = &eventStream{}
-	c.firstAnswer()
-	c.gateway.metrics.firstEvents.WithLabelValues(c.service).Observe(c.gateway.since(c.arrived).Seconds())
-	c.copyHead(response.Header)
+	c.recordFirstResponse()
+	c.gateway.metrics.firstEvents.WithLabelValues(c.service).Observe(c.gateway.since(c.arrivedAt).Seconds())
+	c.setResponseHeaders(response.Header)
 	c.writer.WriteHeader(response.Status)
 }
 
@@ -141,12 +141,12 @@
 	}
 	if len(rest) > 0 {
 		if _, err := c.writer.Write(rest); err != nil {
-			return c.outOfTime(false)
+			return c.handleCanceled(false)
 		}
 	}
-	c.end(backend.Succeeded, quarantine.Survived, "", response.Status)
-	c.request.MarkAccepted()
-	c.request.Finish(c.request.Attempt(), 0)
+	c.endAttempt(backend.Succeeded, quarantine.Survived, "", response.Status)
+	c.attemptState.MarkAccepted()
+	c.attemptState.Finish(c.attemptState.Attempt(), 0)
 	return attempt.Stop
 }
 
@@ -155,22 +155,22 @@
 func (c *call) brokenStream(response *httpconn.Response, cause error) attempt.Action {
 	response.Body.Close()
 	if c.ctx.Err() != nil {
-		return c.outOfTime(false)
+		return c.handleCanceled(false)
 	}
-	if c.withdrawn() {
-		return c.endWithdrawn(false)
+	if c.isWithdrawn() {
+		return c.handleWithdrawn(false)
 	}
 	if c.stream.unread(c.gateway.now()) {
-		c.end(backend.Abandoned, quarantine.Canceled, "the caller left the stream unread: "+cause.Error(), response.Status)
+		c.endAttempt(backend.Abandoned, quarantine.Canceled, "the caller left the stream unread: "+cause.Error(), response.Status)
 	} else {
-		c.end(backend.Failed, quarantine.ConnectionLost, "stream broke off: "+cause.Error(), response.Status)
+		c.endAttempt(backend.Failed, quarantine.ConnectionLost, "stream broke off: "+cause.Error(), response.Status)
 	}
-	if c.fromCopy() {
-		return c.request.ContinueFromCopy()
+	if c.prepareContinuation() {
+		return c.attemptState.ContinueFromCopy()
 	}
-	next := c.lost()
+	next := c.connectionLost()
 	if next == attempt.Dispatch && c.stream != nil {
-		c.note(events.StreamContinued, events.Fields{"from": c.runner.ID, "last_event": c.stream.lastEvent})
+		c.bufferLog(events.StreamContinued, events.Fields{"from": c.runner.ID, "last_event": c.stream.lastEvent})
 	}
 	return next
 }
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -180,7 +180,7 @@
 }
 
 func (r *relays) setDirect(enabled bool) {
-	if r.gateway.direct.set(enabled) != enabled {
+	if r.gateway.direct.setEnabled(enabled) != enabled {
 		r.gateway.log.Log(events.SourceChanged, events.Fields{"store": enabled, "router": r.lastSource()})
 	}
 }
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -52,7 +52,7 @@
 
 // renew looks beside the watch that waits whether there are changes.
 func (f *follower) renew() {
-	if f.gateway.direct.on() && f.renewing.CompareAndSwap(false, true) {
+	if f.gateway.direct.isEnabled() && f.renewing.CompareAndSwap(false, true) {
 		f.gateway.spawn(f.lookBeside)
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -75,7 +75,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	left := time.Duration(ask.GetLeftMillis()) * time.Millisecond
-	chosen, limit, forShare := g.decide(now, query, left)
+	chosen, limit, forShare := g.placeRequest(now, query, left)
 	answer := &wire.RunnerAnswer{
 		Zone: g.settings.Zone, QueueMillis: uint32(max(chosen.QueueWait.Milliseconds(), 0)),
 		MaxQueueMillis: uint32(limit.MaxQueue.Milliseconds()), YieldPercent: uint32(percent * limit.PriorityFactor), Returned: limit.Returned,
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -16,73 +16,75 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// fetchCost is the cost of a prompt token that a runner fetches, in tokens that it
-// computes: 0.05 to 0.5 by the links and speeds of the deployments seen, near and far.
-const fetchCost = 0.25
+// fetchedTokenCost is the placement cost of a prompt token that a runner fetches from a cache,
+// relative to a token that it computes. Depending on distance, links and speeds, the cost was
+// between 0.05 and 0.5 on the observed deployments.
+const fetchedTokenCost = 0.25
 
-// runnerSilence is how long a request on a kept connection to a runner may have no answer
-// before older idle connections to it are not used any more. Prompts on sound runners of the
-// deployments seen begin to be answered within 0.3 to 0.8 s; a shorter time would close
-// connections of runners that are merely busy, which costs a new one for each.
-const runnerSilence = time.Second
+// runnerSilenceTimeout is how long a request on a reused connection to a runner may remain
+// without a response before the older idle connections to that runner are closed. Healthy
+// runners on the observed deployments begin to respond within 0.3 to 0.8 s. A shorter timeout
+// would close connections to runners that are merely busy, each of which must then be dialed
+// again.
+const runnerSilenceTimeout = time.Second
 
-// placementWeights are the weights of all choices of a runner.
-var placementWeights = placement.ScoreWeights{Uncached: 1, Fetched: fetchCost}
+// placementWeights are the score weights used for all placements.
+var placementWeights = placement.ScoreWeights{Uncached: 1, Fetched: fetchedTokenCost}
 
-// pick chooses the runner of the next attempt, or says why there is none.
-func (c *call) pick() (backend.Runner, *refusal) {
+// pickRunner chooses the runner for the next attempt, or returns the reason why there is none.
+func (c *call) pickRunner() (backend.Runner, *refusal) {
 	g := c.gateway
-	// What reached nobody is no repeat of anything.
-	again := c.request.SentDispatches() > 0
-	if c.copyAt != nil {
-		return c.takeCopy()
+	// Attempts that reached no runner do not make the next one a retry.
+	isRetry := c.attemptState.SentDispatches() > 0
+	if c.continueAt != nil {
+		return c.continueOnBackup()
 	}
-	if c.request.Attempt() > 0 {
+	if c.attemptState.Attempt() > 0 {
 		c.startPlacement()
 	}
 	choice, query := c.awaitPlacement(), c.query
 	now := c.gateway.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if again && !c.paid && !g.budget(c.service).TryWithdraw() {
+	if isRetry && !c.hasUnusedRetry && !g.retryBudget(c.service).TryWithdraw() {
 		g.schedulers.release(choice)
 		g.metrics.retries.WithLabelValues(c.service, retryNoBudget).Inc()
 		return backend.Runner{}, unavailable("the budget for further attempts is used up", busyRetryAfter)
 	}
-	chosen, placedBy := c.choose(now, choice)
-	c.noteLimit(chosen)
+	chosen, placedBy := c.chooseRunner(now, choice)
+	c.recordQueueLimit(chosen)
 	if chosen.Status != placement.Picked {
-		return backend.Runner{}, c.refusalOf(chosen)
+		return backend.Runner{}, c.refusalFor(chosen)
 	}
-	if c.request.Attempt() > 0 && !c.request.MayHaveRun() && slices.Contains(query.Excluded, chosen.Candidate.Name) {
-		g.schedulers.release(c.placed)
+	if c.attemptState.Attempt() > 0 && !c.attemptState.MayHaveRun() && slices.Contains(query.Excluded, chosen.Candidate.Name) {
+		g.schedulers.release(c.schedulerChoice)
 		g.metrics.retries.WithLabelValues(c.service, retryNoBackend).Inc()
 		return backend.Runner{}, unavailable("all runners have refused", busyRetryAfter)
 	}
 	switch {
-	case again:
-		c.paid = true
+	case isRetry:
+		c.hasUnusedRetry = true
 		g.metrics.retries.WithLabelValues(c.service, retrySent).Inc()
-	case c.request.Attempt() == 0:
-		g.budget(c.service).Deposit()
+	case c.attemptState.Attempt() == 0:
+		g.retryBudget(c.service).Deposit()
 	}
 	runner, _ := g.runners.Get(chosen.Candidate.Name)
 	c.takePermit(now, runner.ID)
-	c.weights = g.runners.WeightVersion(runner.ID, query.Model)
+	c.weightVersion = g.runners.WeightVersion(runner.ID, query.Model)
 	g.metrics.placed(query, chosen.Candidate.CachedTokens)
-	c.note(events.RequestSent, events.Fields{
-		"runner": runner.ID, "address": runner.Address, "attempt": c.request.Attempt() + 1, "weights": c.weights,
+	c.bufferLog(events.RequestSent, events.Fields{
+		"runner": runner.ID, "address": runner.Address, "attempt": c.attemptState.Attempt() + 1, "weights": c.weightVersion,
 		"expected_wait_ms": chosen.Wait.Milliseconds(), "cached_tokens": chosen.Candidate.CachedTokens, "prompt_tokens": query.PromptTokens,
-		"placed_by": placedBy, "in_flight": chosen.Candidate.PendingRequests, "streams": chosen.Candidate.Streams, "queue_ms": chosen.QueueWait.Milliseconds(), "excess": c.limit.Excess,
+		"placed_by": placedBy, "in_flight": chosen.Candidate.PendingRequests, "streams": chosen.Candidate.Streams, "queue_ms": chosen.QueueWait.Milliseconds(), "excess": c.queueLimit.Excess,
 		"permitted": c.permit.Valid(now), "content": c.content.String(), "directory": storerev.Revision(g.directoryRevision.Load()).Number(), "directory_age_ms": g.copies.ageMillis(now, RunnerObjects), "weights_age_ms": g.copies.ageMillis(now, WeightObjects),
 	})
 	c.beginSend(now, runner, max(query.PromptTokens-chosen.Candidate.CachedTokens, 0))
-	c.pickBackup(now, runner)
+	c.chooseBackup(now, runner)
 	return runner, nil
 }
 
-// refusalOf says why the choice named no runner.
-func (c *call) refusalOf(chosen placement.Pick) *refusal {
+// refusalFor returns the refusal for a placement without a runner.
+func (c *call) refusalFor(chosen placement.Pick) *refusal {
 	if chosen.Status == placement.AllHeldBack {
 		return unavailable(chosen.Status.String(), max(chosen.RetryAfter, busyRetryAfter))
 	}
@@ -90,74 +92,78 @@
 		return unavailable(chosen.Status.String(), max(chosen.RetryAfter, busyRetryAfter))
 	}
 	refused := unavailable(chosen.Status.String(), chosen.RetryAfter)
-	refused.limited = true
-	if c.forShare {
-		refused.reason = reasonShare
+	refused.queueTooLong = true
+	if c.refusedForShare {
+		refused.reason = reasonFairShare
 	}
 	return refused
 }
 
-// choose takes the scheduler's choice, or makes one here. The gateway's mutex is held.
-func (c *call) choose(now time.Time, choice *placed) (chosen placement.Pick, by string) {
+// chooseRunner returns the scheduler's choice if it can be used, and otherwise chooses a runner
+// itself. It also returns who chose. The gateway's mutex must be held.
+func (c *call) chooseRunner(now time.Time, choice *placed) (chosen placement.Pick, placedBy string) {
 	g := c.gateway
-	if chosen, taken := c.takePlaced(now, choice); taken {
+	if chosen, accepted := c.takePlaced(now, choice); accepted {
 		g.metrics.choices.WithLabelValues(chosenByScheduler).Inc()
 		return chosen, choice.scheduler
 	}
 	g.metrics.choices.WithLabelValues(chosenHere).Inc()
-	chosen, c.limit, c.forShare = g.decide(now, c.query, c.deadline.Sub(now))
+	chosen, c.queueLimit, c.refusedForShare = g.placeRequest(now, c.query, c.deadline.Sub(now))
 	return chosen, chosenHere
 }
 
-// send makes one attempt at the picked runner and relays its answer.
+// send sends the call to c.runner and forwards the response.
 func (c *call) send() attempt.Action {
-	defer c.releaseSend()
-	c.request.BeginDispatch(c.runner.ID)
-	c.answering, c.rest = 0, 0
-	c.sent = c.gateway.now()
+	defer c.releaseSendContext()
+	c.attemptState.BeginDispatch(c.runner.ID)
+	c.responseWeightVersion, c.requestedBackoff = 0, 0
+	c.sentAt = c.gateway.now()
 	c.gateway.metrics.attempts.WithLabelValues(c.service).Inc()
-	response, err := c.gateway.ports.RunnerPool.Send(c.sendCtx, c.runner.Address, c.message())
+	response, err := c.gateway.ports.RunnerPool.Send(c.sendCtx, c.runner.Address, c.newRunnerRequest())
 	if !errors.Is(err, httpconn.ErrNotSent) {
-		c.paid = false
+		c.hasUnusedRetry = false
 	}
 	if err != nil {
-		return c.notAnswered(err)
+		return c.handleSendError(err)
 	}
 	defer response.Body.Close()
-	answer := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
-	c.answering, c.rest = answer.WeightVersion, answer.Signals.Backoff
-	c.hear(answer, response.Status)
-	news := c.learnVersion(answer.WeightVersion)
+	head := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
+	c.responseWeightVersion, c.requestedBackoff = head.WeightVersion, head.Signals.Backoff
+	c.hear(head, response.Status)
+	isNew := c.recordWeightVersion(head.WeightVersion)
 	switch {
-	case answer.NotRun:
-		// The body is short; reading it keeps the connection.
-		_, _, _ = response.Body.ReadAll(wholeAnswer)
-		if news {
-			c.end(backend.Abandoned, quarantine.NotRun, "weights are newer than known", response.Status)
-			return c.request.RejectStale()
+	case head.NotRun:
+		// The body is short. Reading it allows the connection to be reused.
+		_, _, _ = response.Body.ReadAll(maxBufferedBody)
+		if isNew {
+			c.endAttempt(backend.Abandoned, quarantine.NotRun, "runner has newer weights than known", response.Status)
+			return c.attemptState.RejectStale()
 		}
-		c.end(backend.Refused, quarantine.NotRun, "refused", response.Status)
-		return c.request.Reject()
-	case !answer.Stamped || answer.Encoded:
-		return c.spoilt(quarantine.Indeterminate, "not a runner's answer")
+		c.endAttempt(backend.Refused, quarantine.NotRun, "refused", response.Status)
+		return c.attemptState.Reject()
+	case !head.Stamped || head.Encoded:
+		return c.handleInvalidResponse(quarantine.Indeterminate, "response was not generated by a runner")
 	case c.route.Kind == routing.Streaming && isSuccess(response.Status):
 		return c.relay(response)
 	case c.stream != nil:
-		// The head of the first runner stands; a failure cannot follow it.
-		return c.spoilt(quarantine.Indeterminate, "failure instead of the rest of a stream")
+		// The headers of the first runner's response have been sent, so a failure cannot be
+		// forwarded any more.
+		return c.handleInvalidResponse(quarantine.Indeterminate, "runner returned a failure instead of the rest of the stream")
 	}
-	return c.passOn(response)
+	return c.forwardResponse(response)
 }
 
+// isSuccess reports whether the status is 2xx.
 func isSuccess(status int) bool { return status >= 200 && status <= 299 }
 
-func (c *call) message() *httpconn.Request {
-	dispatch := Dispatch{Remaining: c.gateway.until(c.deadline), Runner: c.runner.ID, Priority: -1, LastEvent: c.facts.LastEvent}
+// newRunnerRequest returns the request to be sent to c.runner.
+func (c *call) newRunnerRequest() *httpconn.Request {
+	dispatch := Dispatch{Remaining: c.gateway.until(c.deadline), Runner: c.runner.ID, Priority: -1, LastEvent: c.metadata.LastEvent}
 	if c.tenant != nil {
 		dispatch.Tenant = c.tenant.Name
 	}
 	if c.route.Cached {
-		c.addCache(&dispatch)
+		c.addCacheFields(&dispatch)
 	}
 	dispatch.BackupTo = c.backup.Address
 	if c.continuing {
@@ -166,147 +172,153 @@
 	if c.stream != nil && c.stream.lastEvent != "" {
 		dispatch.LastEvent = c.stream.lastEvent
 	}
-	protocol, id := c.gateway.ports.Protocol, c.facts.ID
+	protocol, id := c.gateway.ports.Protocol, c.metadata.ID
 	return &httpconn.Request{
-		Method: c.caller.Method, Target: target(c.caller), Host: c.caller.Host,
-		Header: protocol.Forward(c.caller.Header, dispatch), Body: c.body,
+		Method: c.incoming.Method, Target: requestTarget(c.incoming), Host: c.incoming.Host,
+		Header: protocol.Forward(c.incoming.Header, dispatch), Body: c.body,
 		Accept:  func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
-		Confirm: c.mayBegin,
+		Confirm: c.confirmSend,
 	}
 }
 
-// mayBegin tells whether the chosen runner may still begin the call. A dial or a wait for
-// the processor lies between the choice and the send, and the runner may have said
-// meanwhile that it leaves, or another one have ended under the same content.
-func (c *call) mayBegin() bool {
+// confirmSend reports whether the chosen runner may still get the call. It is called immediately
+// before the first byte is written: since the choice, the router may have dialed a connection
+// or waited for CPU time, while the runner announced that it is leaving, or a request with the
+// same content crashed another runner.
+func (c *call) confirmSend() bool {
 	g := c.gateway
-	if c.quarantined() {
+	if c.isQuarantined() {
 		return false
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if c.continuing {
-		// The run began before, so that its weights may go on.
+		// The run has already started, so it may continue on expired weights.
 		return g.runners.IsActive(c.runner.ID, c.service)
 	}
 	now := g.now()
 	if g.runners.IsLimited(c.runner.ID) {
-		g.metrics.limitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitAt))
+		g.metrics.limitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitRequestedAt))
 	}
-	return g.runners.MaySend(now, c.runner.ID, c.query, c.weights, c.permit)
+	return g.runners.MaySend(now, c.runner.ID, c.query, c.weightVersion, c.permit)
 }
 
-// learnVersion notes the version of the weights that the runner named.
-func (c *call) learnVersion(version uint64) (news bool) {
+// recordWeightVersion records the weight version that the runner reported, and reports whether
+// it is newer than the known one.
+func (c *call) recordWeightVersion(version uint64) (isNew bool) {
 	if version == 0 || !c.route.Cached {
 		return false
 	}
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
-	if !c.gateway.runners.IsListed(c.open) {
+	if !c.gateway.runners.IsListed(c.currentSend) {
 		return false
 	}
-	return c.gateway.runners.LearnVersion(c.runner.ID, c.facts.Model, version)
+	return c.gateway.runners.LearnVersion(c.runner.ID, c.metadata.Model, version)
 }
 
-// end notes the outcome of the current attempt, and how its run ended.
-func (c *call) end(outcome backend.Outcome, run quarantine.RunOutcome, cause string, status int) {
-	c.endSend(outcome, run)
+// endAttempt records, counts and logs the outcome of the current attempt. runOutcome is the
+// outcome for crash detection.
+func (c *call) endAttempt(outcome backend.Outcome, runOutcome quarantine.RunOutcome, cause string, status int) {
+	c.recordOutcome(outcome, runOutcome)
 	if outcome == backend.Succeeded {
 		return
 	}
 	c.gateway.metrics.runnerFailures.WithLabelValues(c.service, outcome.String()).Inc()
-	c.note(events.RequestAnswerBad, events.Fields{
-		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.request.Attempt(),
-		"outcome": outcome.String(), "cause": cause, "status": status, "after_ms": c.gateway.since(c.sent).Milliseconds(), "content": c.content.String(),
+	c.bufferLog(events.RequestAnswerBad, events.Fields{
+		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.attemptState.Attempt(),
+		"outcome": outcome.String(), "cause": cause, "status": status, "after_ms": c.gateway.since(c.sentAt).Milliseconds(), "content": c.content.String(),
 	})
 }
 
-// endSend tells those who count the current attempt how it ended.
-func (c *call) endSend(outcome backend.Outcome, run quarantine.RunOutcome) {
+// recordOutcome reports the outcome of the current attempt to crash detection, fair-share
+// accounting, the runner table and the scheduler that chose the runner.
+func (c *call) recordOutcome(outcome backend.Outcome, runOutcome quarantine.RunOutcome) {
 	g := c.gateway
-	c.noteRun(run)
+	c.recordRunOutcome(runOutcome)
 	g.mutex.Lock()
-	c.barWithdrawal()
-	if c.placed == nil && !c.continuing && g.shares.counts() {
-		g.shares.refund(c.gateway.now(), c.query, c.open, outcome)
+	c.preventWithdrawal()
+	if c.schedulerChoice == nil && !c.continuing && g.shares.counts() {
+		g.shares.refund(c.gateway.now(), c.query, c.currentSend, outcome)
 	}
-	g.runners.End(c.gateway.now(), c.open, outcome)
-	g.runners.AvoidFor(c.gateway.now(), c.open, c.rest)
+	g.runners.End(c.gateway.now(), c.currentSend, outcome)
+	g.runners.AvoidFor(c.gateway.now(), c.currentSend, c.requestedBackoff)
 	g.mutex.Unlock()
-	g.schedulers.notify(c.placed, true, outcome, c.answering, c.rest)
-	c.placed = nil
+	g.schedulers.notify(c.schedulerChoice, true, outcome, c.responseWeightVersion, c.requestedBackoff)
+	c.schedulerChoice = nil
 }
 
-// firstAnswer notes that the runner has begun to answer.
-func (c *call) firstAnswer() {
+// recordFirstResponse records that the runner has begun to respond.
+func (c *call) recordFirstResponse() {
 	g := c.gateway
-	if c.answered.IsZero() {
-		c.answered = c.gateway.now()
+	if c.firstResponseAt.IsZero() {
+		c.firstResponseAt = c.gateway.now()
 	}
-	if !c.open.Responded() && c.route.Kind == routing.Streaming {
-		// Other answers are over as soon as they begin.
-		g.schedulers.notify(c.placed, false, backend.Succeeded, c.answering, 0)
+	if !c.currentSend.Responded() && c.route.Kind == routing.Streaming {
+		// For other responses, the notification of the end follows immediately.
+		g.schedulers.notify(c.schedulerChoice, false, backend.Succeeded, c.responseWeightVersion, 0)
 	}
 	g.mutex.Lock()
 	now := c.gateway.now()
-	c.barWithdrawal()
-	g.runners.FirstResponse(now, c.open)
-	if g.runners.IsListed(c.open) {
-		g.runners.RecordPrefill(now, c.runner.ID, c.query, c.weights)
+	c.preventWithdrawal()
+	g.runners.FirstResponse(now, c.currentSend)
+	if g.runners.IsListed(c.currentSend) {
+		g.runners.RecordPrefill(now, c.runner.ID, c.query, c.weightVersion)
 	}
 	g.mutex.Unlock()
 }
 
-// notAnswered takes a send without the head of an answer.
-func (c *call) notAnswered(err error) attempt.Action {
+// handleSendError handles an attempt that ended without response headers.
+func (c *call) handleSendError(err error) attempt.Action {
 	if c.ctx.Err() != nil {
-		return c.outOfTime(errors.Is(err, httpconn.ErrNotSent))
+		return c.handleCanceled(errors.Is(err, httpconn.ErrNotSent))
 	}
 	if errors.Is(err, httpconn.ErrNotConfirmed) {
-		return c.notConfirmed()
+		return c.handleNotConfirmed()
 	}
-	if c.withdrawn() {
-		return c.endWithdrawn(errors.Is(err, httpconn.ErrNotSent))
+	if c.isWithdrawn() {
+		return c.handleWithdrawn(errors.Is(err, httpconn.ErrNotSent))
 	}
 	if errors.Is(err, httpconn.ErrNotSent) {
-		c.end(backend.Unreachable, quarantine.NotRun, err.Error(), 0)
-		return c.request.NotSent()
+		c.endAttempt(backend.Unreachable, quarantine.NotRun, err.Error(), 0)
+		return c.attemptState.NotSent()
 	}
-	c.end(backend.Unreachable, quarantine.ConnectionLost, err.Error(), 0)
-	return c.lost()
+	c.endAttempt(backend.Unreachable, quarantine.ConnectionLost, err.Error(), 0)
+	return c.connectionLost()
 }
 
-// notConfirmed takes a send that mayBegin stopped. It is no evidence about the runner.
-func (c *call) notConfirmed() attempt.Action {
-	c.endSend(backend.NotConfirmed, quarantine.NotRun)
-	c.note(events.SendNotConfirmed, events.Fields{
-		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.request.Attempt(),
-		"weights": c.weights, "after_ms": c.gateway.since(c.sent).Milliseconds(),
+// handleNotConfirmed handles an attempt that confirmSend stopped. It does not count as a failure
+// of the runner.
+func (c *call) handleNotConfirmed() attempt.Action {
+	c.recordOutcome(backend.NotConfirmed, quarantine.NotRun)
+	c.bufferLog(events.SendNotConfirmed, events.Fields{
+		"runner": c.runner.ID, "address": c.runner.Address, "attempt": c.attemptState.Attempt(),
+		"weights": c.weightVersion, "after_ms": c.gateway.since(c.sentAt).Milliseconds(),
 	})
-	return c.request.DispatchAborted()
+	return c.attemptState.DispatchAborted()
 }
 
-// outOfTime ends the call because its caller left or its time is up.
-func (c *call) outOfTime(notSent bool) attempt.Action {
-	c.end(backend.Abandoned, quarantine.Canceled, "caller left or time is up", 0)
+// handleCanceled ends the call because the caller disconnected or the deadline passed.
+func (c *call) handleCanceled(notSent bool) attempt.Action {
+	c.endAttempt(backend.Abandoned, quarantine.Canceled, "caller disconnected or deadline passed", 0)
 	if notSent {
-		c.request.NotSent()
+		c.attemptState.NotSent()
 	}
-	c.request.Fail()
+	c.attemptState.Fail()
 	return attempt.Stop
 }
 
-// spoilt takes an answer that is not one, or not a whole one.
-func (c *call) spoilt(run quarantine.RunOutcome, cause string) attempt.Action {
+// handleInvalidResponse handles a response that is incomplete or not from a runner.
+func (c *call) handleInvalidResponse(runOutcome quarantine.RunOutcome, cause string) attempt.Action {
 	if c.ctx.Err() != nil {
-		return c.outOfTime(false)
+		return c.handleCanceled(false)
 	}
-	if c.withdrawn() {
-		return c.endWithdrawn(false)
+	if c.isWithdrawn() {
+		return c.handleWithdrawn(false)
 	}
-	c.end(backend.Failed, run, cause, 0)
-	return c.lost()
+	c.endAttempt(backend.Failed, runOutcome, cause, 0)
+	return c.connectionLost()
 }
 
-func (c *call) lost() attempt.Action { return c.request.ConnectionLost() }
+// connectionLost returns the next action after the connection to the runner was lost.
+func (c *call) connectionLost() attempt.Action { return c.attemptState.ConnectionLost() }
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -49,7 +49,7 @@
 // ask has the gateway choose, and keeps the runner as busy as the choice makes it.
 func (g *Gateway) ask(now time.Time, tenant string) (chosen placement.Pick, forShare bool) {
 	q := query(tenant)
-	chosen, _, forShare = g.decide(now, q, time.Minute)
+	chosen, _, forShare = g.placeRequest(now, q, time.Minute)
 	if chosen.Status == placement.Picked {
 		g.runners.Begin(now, chosen.Candidate.Name, q.PromptTokens)
 	}
@@ -84,19 +84,19 @@
 			g.runners.Begin(now, fmt.Sprint(i), 0) // most of its slots are taken
 		}
 	}
-	chosen, _, forShare := g.decideWith(now, query("hot"), time.Minute, beyond)
+	chosen, _, forShare := g.placeRequestWithExcess(now, query("hot"), time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Overloaded))
 	e.Expect(forShare).To(BeTrue())
 	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.RecoveryTime(beyond)), "not before its use has faded")
-	chosen, _, forShare = g.decideWith(now, query("calm"), time.Minute, 1)
+	chosen, _, forShare = g.placeRequestWithExcess(now, query("calm"), time.Minute, 1)
 	e.Expect(chosen.Status).To(Equal(placement.Picked))
 	e.Expect(forShare).To(BeFalse())
 	idle := sharingGateway("hot", "calm")
-	chosen, _, _ = idle.decideWith(now, query("hot"), time.Minute, beyond)
+	chosen, _, _ = idle.placeRequestWithExcess(now, query("hot"), time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Picked), "nothing is refused where nothing queues")
 	admitted := query("hot")
 	admitted.MaxQueueTime = 0
-	chosen, _, _ = g.decideWith(now, admitted, time.Minute, beyond)
+	chosen, _, _ = g.placeRequestWithExcess(now, admitted, time.Minute, beyond)
 	e.Expect(chosen.Status).To(Equal(placement.Picked), "what was let in is not refused")
 }
 
@@ -207,11 +207,11 @@
 	e := NewWithT(t)
 	c := &call{}
 	overloaded := placement.Pick{Status: placement.Overloaded, RetryAfter: time.Second}
-	e.Expect(c.refusalOf(overloaded).reason).To(Equal(placement.Overloaded.String()))
-	c.forShare = true
-	refused := c.refusalOf(overloaded)
-	e.Expect(refused.reason).To(Equal(reasonShare))
-	e.Expect(refused.limited).To(BeTrue())
+	e.Expect(c.refusalFor(overloaded).reason).To(Equal(placement.Overloaded.String()))
+	c.refusedForShare = true
+	refused := c.refusalFor(overloaded)
+	e.Expect(refused.reason).To(Equal(reasonFairShare))
+	e.Expect(refused.queueTooLong).To(BeTrue())
 	e.Expect(refused.retryAfter).To(Equal(time.Second))
-	e.Expect(c.refusalOf(placement.Pick{Status: placement.NoRunner}).retryAfter).To(Equal(busyRetryAfter))
+	e.Expect(c.refusalFor(placement.Pick{Status: placement.NoRunner}).retryAfter).To(Equal(busyRetryAfter))
 }
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -47,7 +47,7 @@
 	g, now := c.gateway, c.gateway.now()
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
-	heard := g.runners.RecordSignals(now, c.sent, c.runner, answer.Signals, success)
+	heard := g.runners.RecordSignals(now, c.sentAt, c.runner, answer.Signals, success)
 	logged := len(answer.Signals.Malformed) > 0 && now.Sub(g.signals.unreadableAt) >= unreadablePause
 	if logged {
 		g.signals.unreadableAt = now
@@ -57,10 +57,10 @@
 		g.metrics.signals.WithLabelValues(c.service, signalUnreadable).Inc()
 	}
 	if logged {
-		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.facts.ID})
+		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.metadata.ID})
 	}
 	if heard.Any() {
-		g.signals.heard(c.runner, c.service, heard, answer.Signals, c.facts.ID)
+		g.signals.heard(c.runner, c.service, heard, answer.Signals, c.metadata.ID)
 	}
 }
 
--- a/internal/gateway/slowreaders_test.go
+++ b/internal/gateway/slowreaders_test.go
@@ -16,9 +16,9 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// impatientEngine streams more than the sockets hold, and ends a stream that is left unread
-// for the time.
-func (f *fleet) impatientEngine(id string, patience time.Duration) *httptest.Server {
+// startEngineWithWriteTimeout starts a runner that streams more data than the socket buffers hold,
+// and closes a stream on which a write blocks for longer than writeTimeout.
+func (f *fleet) startEngineWithWriteTimeout(id string, writeTimeout time.Duration) *httptest.Server {
 	event := "data: " + strings.Repeat("x", 64<<10) + "\n\n"
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == platform.PathReport {
@@ -29,10 +29,10 @@
 		header.Set(platform.HeaderRequestID, request.Header.Get(platform.HeaderRequestID))
 		header.Set(platform.HeaderStamp, "s")
 		header.Set(platform.HeaderVersions, "1")
-		control := http.NewResponseController(writer)
-		for number := range 500 {
-			_ = control.SetWriteDeadline(time.Now().Add(patience))
-			if _, err := fmt.Fprintf(writer, "id: %d\n%s", number+1, event); err != nil {
+		controller := http.NewResponseController(writer)
+		for i := range 500 {
+			_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := fmt.Fprintf(writer, "id: %d\n%s", i+1, event); err != nil {
 				return
 			}
 		}
@@ -45,14 +45,14 @@
 	return server
 }
 
-// A runner ends the answer of a caller that does not read. That is no failure of its own:
-// other callers are not kept from it.
-func TestCallerThatDoesNotReadIsNoEvidenceAgainstTheRunner(t *testing.T) {
+// A runner closes the response of a caller that does not read it. That must not count as a failure
+// of the runner, because other callers would then be kept from it.
+func TestSlowReaderDoesNotCountAgainstRunner(t *testing.T) {
 	t.Parallel()
-	const patience = 1200 * time.Millisecond
+	const writeTimeout = 1200 * time.Millisecond
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	f.impatientEngine("e1", patience)
+	f.startEngineWithWriteTimeout("e1", writeTimeout)
 	r := f.servingRouter("r1", nil)
 	connection, err := net.Dial("tcp", r.address)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -60,8 +60,8 @@
 	_, err = fmt.Fprintf(connection, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n%s: %s\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\n",
 		platform.HeaderRequestID, newRequestID(), platform.HeaderModel, modelName, platform.HeaderDeadline, goodKey)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	time.Sleep(patience + 300*time.Millisecond)
-	// It reads on, up to the end of what the runner has ended.
+	time.Sleep(writeTimeout + 300*time.Millisecond)
+	// Read the rest of the stream that the runner has closed.
 	f.g.Expect(connection.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 	_, _ = io.Copy(io.Discard, connection)
 	r.logs("request ended")
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -59,7 +59,7 @@
 	now := g.now()
 	status := Status{
 		Node: g.settings.Node, Zone: g.settings.Zone, Draining: g.draining.Load(), ProofAgeMillis: -1,
-		Proven: g.proven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.era.newest(), ReadsStore: g.direct.on(),
+		Proven: g.proven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.era.newest(), ReadsStore: g.direct.isEnabled(),
 		LeaseToken: g.leaseToken.Load(),
 	}
 	if current := g.view.Load(); current != nil {
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -96,8 +96,8 @@
 	f.g.Expect(read[`clovertiller_store_era`]).To(Equal(2.0))
 	f.g.Expect(read[`clovertiller_store_restores_total`]).To(Equal(1.0))
 	f.g.Expect(read[`clovertiller_store_lost_objects_total{kind="configuration",state="older"}`]).To(Equal(1.0))
-	f.g.Expect(f.statusOf(metricsAt).StoreEra).To(Equal(uint64(2)))
-	f.g.Expect(f.statusOf(metricsAt).ConfigVersion).To(Equal(uint64(2)))
+	f.g.Expect(f.fetchStatus(metricsAt).StoreEra).To(Equal(uint64(2)))
+	f.g.Expect(f.fetchStatus(metricsAt).ConfigVersion).To(Equal(uint64(2)))
 }
 
 // calls counts the calls to the store of all routers.
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -174,7 +174,7 @@
 		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": verdict.Crashes, "runners": endedRunners(record),
 		"after_ms": now.Sub(first.DetectedAt).Milliseconds(), "for_ms": verdict.Until.Sub(now).Milliseconds(),
 	})
-	g.withdrawContent(record.Content)
+	g.withdrawQuarantinedSends(record.Content)
 }
 
 // endedRunners names the runners that ended under the content.
--- a/internal/gateway/unreadcalls_test.go
+++ b/internal/gateway/unreadcalls_test.go
@@ -15,8 +15,8 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// leaveUnread sends a whole call and ends the connection at once.
-func (r *router) leaveUnread(path string) {
+// sendAndDisconnect sends a complete request and closes the connection immediately.
+func (r *router) sendAndDisconnect(path string) {
 	connection, err := net.Dial("tcp", r.address)
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	_, err = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: h.example\r\nContent-Length: 8\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\nthe body",
@@ -25,9 +25,10 @@
 	r.fleet.g.Expect(connection.Close()).To(Succeed())
 }
 
-// The callers gave up as nobody read their requests: those still lie on the connection with
-// its end, and the server notices the end only once it waits for more.
-func TestCallsWhoseCallersGaveUpUnreadReachNoRunner(t *testing.T) {
+// Callers disconnect before the router has read their requests. The requests and the end of the
+// connection are then both in the socket buffer, and net/http detects the end only when it reads
+// beyond the request.
+func TestCallsOfDisconnectedCallersReachNoRunner(t *testing.T) {
 	t.Parallel()
 	const calls = 40
 	f := newFleet(t)
@@ -35,21 +36,21 @@
 	runner := f.runner("p1", "plain")
 	r := f.routerAt("r1", func(settings *gateway.Settings) { settings.StartWait = 900 * time.Millisecond }, storestand.Busy)
 	for range calls {
-		r.leaveUnread("/safe/x")
+		r.sendAndDisconnect("/safe/x")
 	}
 	time.Sleep(200 * time.Millisecond)
 	r.door.Set(storestand.Healthy)
 	f.g.Eventually(func() int { return r.call("/public/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(200))
 	time.Sleep(200 * time.Millisecond)
-	f.g.Expect(runner.Arrivals()).To(Equal(1), "nobody waits for the others")
+	f.g.Expect(runner.Arrivals()).To(Equal(1), "the callers of all other calls have disconnected")
 }
 
-// A caller that ends only its own side gets no answer that looks whole.
-func TestCallerThatEndsItsSideGetsNoEmptyAnswer(t *testing.T) {
-	for name, body := range map[string]string{"after the call": "the body", "within the body": "the"} {
+// A caller that closes only its sending side must not get an empty response that looks complete.
+func TestHalfClosedConnectionGetsNoEmptyResponse(t *testing.T) {
+	for name, body := range map[string]string{"after the request": "the body", "within the body": "the"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, r, _ := plainFleet(t)
+			f, r, _ := newPlainFleet(t)
 			connection, err := net.Dial("tcp", r.address)
 			f.g.Expect(err).NotTo(HaveOccurred())
 			defer connection.Close()
--- a/internal/gateway/weighttold.go
+++ b/internal/gateway/weighttold.go
@@ -54,5 +54,5 @@
 
 // withdrawAt withdraws what has not begun at the moment.
 func (g *Gateway) withdrawAt(at time.Time, model string) {
-	time.AfterFunc(g.until(at), func() { g.withdrawUnbegun(g.now(), model) })
+	time.AfterFunc(g.until(at), func() { g.withdrawExpiredSends(g.now(), model) })
 }
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -11,102 +11,104 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// errWithdrawn is why a send ends whose weights expire, and errQuarantined why one ends
-// whose content is quarantined, both before it is seen to begin.
+// The causes with which sends are withdrawn that are not known to have started: the runner's
+// weights expire, or the content was quarantined.
 var (
-	errWithdrawn   = errors.New("its weights expire before it begins")
-	errQuarantined = errors.New("its content was quarantined before it began")
+	errWeightsExpired     = errors.New("weights expire before the request starts")
+	errContentQuarantined = errors.New("content was quarantined before the request started")
 )
 
-// unbegunSend is a stream of a model that its runner has not been seen to begin.
-type unbegunSend struct {
+// unstartedSend is a streaming request for a model that its runner is not known to have started.
+type unstartedSend struct {
 	runner string
 	model  string
-	// weights is the version that the runner was known to have at the send.
-	weights uint64
-	content quarantine.ContentID
-	cancel  context.CancelCauseFunc
+	// weightVersion is the version that the runner was known to have when the request was sent.
+	weightVersion uint64
+	content       quarantine.ContentID
+	cancel        context.CancelCauseFunc
 }
 
-// beginSend notes a send with the prompt tokens that the runner has to read. The
-// gateway's mutex is held, so that no withdrawal falls between choice and send.
-func (c *call) beginSend(now time.Time, runner backend.Runner, tokens int) {
+// beginSend records a send for which the runner has to prefill the given number of prompt
+// tokens. The gateway's mutex must be held since the runner was chosen, so that no withdrawal
+// can occur in between.
+func (c *call) beginSend(now time.Time, runner backend.Runner, prefillTokens int) {
 	g := c.gateway
-	c.open = g.runners.BeginQuery(now, runner.ID, tokens, c.query)
+	c.currentSend = g.runners.BeginQuery(now, runner.ID, prefillTokens, c.query)
 	c.run = g.ends.begin(now, runner, c.content)
-	c.sendCtx, c.unbegun = c.ctx, nil
-	if !c.beginIsSeen() {
+	c.sendCtx, c.unstarted = c.ctx, nil
+	if !c.isStartObservable() {
 		return
 	}
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.sendCtx = ctx
-	c.unbegun = &unbegunSend{runner: runner.ID, model: c.query.Model, weights: c.weights, content: c.content, cancel: cancel}
-	g.unbegun[c.unbegun] = struct{}{}
+	c.unstarted = &unstartedSend{runner: runner.ID, model: c.query.Model, weightVersion: c.weightVersion, content: c.content, cancel: cancel}
+	g.unbegun[c.unstarted] = struct{}{}
 }
 
-// beginIsSeen tells whether the send is one that begins on a model's weights, and whose
-// answer shows when. The head of a whole answer comes with its end, and a run that goes on
-// from its copy began before.
-func (c *call) beginIsSeen() bool {
+// isStartObservable reports whether the send starts a run on a model's weights and its response
+// shows when the run starts. The headers of a non-streaming response arrive only at the end of
+// the run, and a run that continues from a copy started earlier.
+func (c *call) isStartObservable() bool {
 	return c.query.Model != "" && c.route.Kind == routing.Streaming && !c.continuing
 }
 
-// barWithdrawal keeps the send from being withdrawn: it has begun, or ended. The
-// gateway's mutex is held.
-func (c *call) barWithdrawal() {
-	if c.unbegun != nil {
-		delete(c.gateway.unbegun, c.unbegun)
+// preventWithdrawal makes the send no longer eligible for withdrawal, because it has started or
+// ended. The gateway's mutex must be held.
+func (c *call) preventWithdrawal() {
+	if c.unstarted != nil {
+		delete(c.gateway.unbegun, c.unstarted)
 	}
 }
 
-// releaseSend frees what the send holds. It comes after the answer's body is closed,
-// as it would close the connection otherwise.
-func (c *call) releaseSend() {
-	if c.unbegun != nil {
-		c.unbegun.cancel(nil)
+// releaseSendContext releases the send's context. It must be called after the response body is
+// closed, because canceling the context earlier closes the connection.
+func (c *call) releaseSendContext() {
+	if c.unstarted != nil {
+		c.unstarted.cancel(nil)
 	}
 }
 
-// withdrawUnbegun ends the connections of the model's streams that wait at runners
-// whose weights must not begin them. When a request begins is only estimated at the
-// send, so this alone bounds it; one timer of a named version covers requests sent
-// before and after it was named.
-func (g *Gateway) withdrawUnbegun(now time.Time, model string) {
+// withdrawExpiredSends closes the connections of the model's streaming requests that wait on
+// runners whose weights may not start them any more. The start of a request is only estimated
+// when it is sent, so only this withdrawal enforces the deadline of the weights. One timer per
+// announced version covers requests sent before and after the announcement.
+func (g *Gateway) withdrawExpiredSends(now time.Time, model string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for send := range g.unbegun {
-		if send.model == model && !g.runners.MayBegin(now, send.runner, model, send.weights) {
+		if send.model == model && !g.runners.MayBegin(now, send.runner, model, send.weightVersion) {
 			delete(g.unbegun, send)
-			send.cancel(errWithdrawn)
+			send.cancel(errWeightsExpired)
 		}
 	}
 }
 
-// withdrawContent ends the connections of streams of the content that wait at runners: each
-// would end its runner, too. One that has begun unseen does so in any case.
-func (g *Gateway) withdrawContent(content quarantine.ContentID) {
+// withdrawQuarantinedSends closes the connections of streaming requests with the content that
+// wait on runners, because each of them would crash its runner, too. A request that has
+// started without the router knowing it may still do so.
+func (g *Gateway) withdrawQuarantinedSends(content quarantine.ContentID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for send := range g.unbegun {
 		if send.content == content {
 			delete(g.unbegun, send)
-			send.cancel(errQuarantined)
+			send.cancel(errContentQuarantined)
 		}
 	}
 }
 
-// withdrawn tells whether the send was ended before it was seen to begin.
-func (c *call) withdrawn() bool {
+// isWithdrawn reports whether the send was withdrawn.
+func (c *call) isWithdrawn() bool {
 	cause := context.Cause(c.sendCtx)
-	return errors.Is(cause, errWithdrawn) || errors.Is(cause, errQuarantined)
+	return errors.Is(cause, errWeightsExpired) || errors.Is(cause, errContentQuarantined)
 }
 
-// endWithdrawn takes a send whose connection was ended before the runner was seen to
-// begin: it may have begun all the same.
-func (c *call) endWithdrawn(notSent bool) attempt.Action {
-	c.end(backend.Abandoned, quarantine.Canceled, context.Cause(c.sendCtx).Error(), 0)
+// handleWithdrawn handles an attempt that was withdrawn. The runner may nevertheless have started
+// the request.
+func (c *call) handleWithdrawn(notSent bool) attempt.Action {
+	c.endAttempt(backend.Abandoned, quarantine.Canceled, context.Cause(c.sendCtx).Error(), 0)
 	if notSent {
-		return c.request.NotSent()
+		return c.attemptState.NotSent()
 	}
-	return c.lost()
+	return c.connectionLost()
 }
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -12,210 +12,214 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// What was seen: a request began on older weights 0.6 s after their deadline. It had
-// been sent in good time, to a runner whose queue then grew. The cause: the router
-// only estimates at the send when a request begins, and did nothing about it later.
+// The tests in this file check that no request starts on weights after their deadline. A request
+// had started 0.6 s after it: it was sent in time, to a runner whose queue then grew. The router
+// only estimates the start when it sends a request, and did not act when the estimate was wrong.
 
 const (
-	// shortDeadline is the deadline of older weights in these tests.
-	shortDeadline = 1200 * time.Millisecond
-	// longQueue outlasts it, however early the request was sent.
-	longQueue = 2 * time.Second
-	// shortSettle is how long a router takes weights that are named to have been named
-	// before it started.
-	shortSettle = 10 * time.Millisecond
+	// shortWeightDeadline is the time after an announcement until which older weights may start
+	// requests.
+	shortWeightDeadline = 1200 * time.Millisecond
+	// longQueueTime is longer than shortWeightDeadline, so a queued request would start too late
+	// whenever it was sent.
+	longQueueTime = 2 * time.Second
+	// shortSettleTime is the time after its start during which a router assumes that weights it
+	// learns of were announced before it started.
+	shortSettleTime = 10 * time.Millisecond
 )
 
-// oldEngine has one runner, which refuses orders for new weights, and one router, which
-// cannot get the lease either.
-func oldEngine(t *testing.T) (*fleet, *router, *runnerstand.Runner) {
+// newFleetWithOldWeights returns a fleet with one runner that refuses orders to load new weights,
+// and one router that cannot acquire the lease either.
+func newFleetWithOldWeights(t *testing.T) (*fleet, *router, *runnerstand.Runner) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.engine("e1", 1)
-	runner.Queue(longQueue)
+	runner.Queue(longQueueTime)
 	runner.SetFence(1 << 40)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
-		settings.WeightDeadline, settings.SettleTime = shortDeadline, shortSettle
+		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
 	r.door.Set(storestand.Loses)
-	time.Sleep(2 * shortSettle)
+	time.Sleep(2 * shortSettleTime)
 	return f, r, runner
 }
 
-// nameNew names new weights, waits until the router knows them, and returns when
-// they were named.
-func (r *router) nameNew() time.Time {
-	named := time.Now()
+// announceNewWeights announces new weights, waits until the router knows of them, and returns the
+// time of the announcement.
+func (r *router) announceNewWeights() time.Time {
+	announcedAt := time.Now()
 	name(r.fleet, 2)
 	r.logs("weights named")
-	return named
+	return announcedAt
 }
 
-// callQueued sends a call and waits until it has arrived at the runner.
-func (r *router) callQueued(path string, runner *runnerstand.Runner) <-chan answer {
+// startQueuedCall starts a call and waits until it has arrived at the runner.
+func (r *router) startQueuedCall(path string, runner *runnerstand.Runner) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call(path, nil) }()
 	r.fleet.g.Eventually(runner.Arrivals, time.Second, 5*time.Millisecond).Should(Equal(1), r.log.String)
 	return answers
 }
 
-func (f *fleet) beganInTime(runner *runnerstand.Runner, named time.Time) {
+// expectNoLateStarts checks that no request started on the runner after the deadline of its weights.
+func (f *fleet) expectNoLateStarts(runner *runnerstand.Runner, announcedAt time.Time) {
 	for _, run := range runner.Runs() {
-		f.g.Expect(run.Began.Sub(named)).To(BeNumerically("<=", shortDeadline), "weights %d began a request", run.Version)
+		f.g.Expect(run.Began.Sub(announcedAt)).To(BeNumerically("<=", shortWeightDeadline), "a request started too late on weights %d", run.Version)
 	}
 }
 
-func TestRequestIsWithdrawnBeforeItBeginsOnExpiredWeights(t *testing.T) {
-	for label, test := range map[string]struct {
-		behaviour runnerstand.Behaviour
-		sentFirst bool
+func TestRequestIsWithdrawnBeforeStartOnExpiredWeights(t *testing.T) {
+	for name, test := range map[string]struct {
+		behaviour              runnerstand.Behaviour
+		sendBeforeAnnouncement bool
 	}{
-		"waits for the head":                        {runnerstand.Queues, false},
+		"waits for the headers":                     {runnerstand.Queues, false},
 		"waits for the first event":                 {runnerstand.QueuesAfterHead, false},
-		"sent before the weights were named":        {runnerstand.Queues, true},
-		"first event, sent before the weights were": {runnerstand.QueuesAfterHead, true},
+		"sent before the announcement":              {runnerstand.Queues, true},
+		"first event, sent before the announcement": {runnerstand.QueuesAfterHead, true},
 	} {
-		t.Run(label, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, r, old := oldEngine(t)
-			old.Behave(test.behaviour)
-			sent := time.Now()
-			var named time.Time
+			f, r, oldRunner := newFleetWithOldWeights(t)
+			oldRunner.Behave(test.behaviour)
+			sentAt := time.Now()
+			var announcedAt time.Time
 			var answers <-chan answer
-			if test.sentFirst {
-				answers = r.callQueued("/stream/x", old)
-				named = r.nameNew()
+			if test.sendBeforeAnnouncement {
+				answers = r.startQueuedCall("/stream/x", oldRunner)
+				announcedAt = r.announceNewWeights()
 			} else {
-				named = r.nameNew()
-				answers = r.callQueued("/stream/x", old)
+				announcedAt = r.announceNewWeights()
+				answers = r.startQueuedCall("/stream/x", oldRunner)
 			}
-			renewed := f.engine("e2", 2)
+			updatedRunner := f.engine("e2", 2)
 			got := <-answers
-			time.Sleep(time.Until(sent.Add(longQueue + 200*time.Millisecond)))
-			f.beganInTime(old, named)
+			time.Sleep(time.Until(sentAt.Add(longQueueTime + 200*time.Millisecond)))
+			f.expectNoLateStarts(oldRunner, announcedAt)
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
-			f.g.Expect(got.body).To(Equal(wholeStream))
-			f.g.Expect(renewed.Runs()).To(HaveLen(1))
-			f.g.Expect(r.log.String()).To(ContainSubstring("its weights expire"))
+			f.g.Expect(got.body).To(Equal(completeStream))
+			f.g.Expect(updatedRunner.Runs()).To(HaveLen(1))
+			f.g.Expect(r.log.String()).To(ContainSubstring("weights expire before the request starts"))
 		})
 	}
 }
 
-// What has been withdrawn may have begun all the same, so nothing is said of it that
-// callers take for the word that it has not run.
-func TestWithdrawnRequestIsNotPromisedToBeUnrun(t *testing.T) {
-	for label, test := range map[string]struct {
-		path  string
-		other bool
+// A withdrawn request may nevertheless have started, so its status must not imply that it has not
+// run.
+func TestWithdrawnRequestIsNotReportedAsNotRun(t *testing.T) {
+	for name, test := range map[string]struct {
+		path           string
+		hasOtherRunner bool
 	}{
-		"may run once":             {"/once/x", true},
-		"no other runner is there": {"/stream/x", false},
+		"may run only once":        {"/once/x", true},
+		"there is no other runner": {"/stream/x", false},
 	} {
-		t.Run(label, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, r, old := oldEngine(t)
-			old.Behave(runnerstand.Queues)
-			named := r.nameNew()
-			answers := r.callQueued(test.path, old)
-			runners := []*runnerstand.Runner{old}
-			if test.other {
+			f, r, oldRunner := newFleetWithOldWeights(t)
+			oldRunner.Behave(runnerstand.Queues)
+			announcedAt := r.announceNewWeights()
+			answers := r.startQueuedCall(test.path, oldRunner)
+			runners := []*runnerstand.Runner{oldRunner}
+			if test.hasOtherRunner {
 				runners = append(runners, f.engine("e2", 2))
 			}
 			got := <-answers
-			f.beganInTime(old, named)
+			f.expectNoLateStarts(oldRunner, announcedAt)
 			f.g.Expect(got.status).To(Equal(http.StatusBadGateway), "neither 408, 421, 429 nor 503")
-			f.g.Expect(runsOf(runners)).To(BeZero())
+			f.g.Expect(totalRuns(runners)).To(BeZero())
 		})
 	}
 }
 
-func TestStreamThatHasBegunOutlivesItsWeights(t *testing.T) {
+func TestStartedStreamSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
-	f, r, old := oldEngine(t)
-	old.Behave(runnerstand.Pauses)
-	answers := r.callQueued("/stream/x", old)
-	named := r.nameNew()
-	renewed := f.engine("e2", 2)
-	time.Sleep(time.Until(named.Add(shortDeadline + 200*time.Millisecond)))
-	old.Resume()
+	f, r, oldRunner := newFleetWithOldWeights(t)
+	oldRunner.Behave(runnerstand.Pauses)
+	answers := r.startQueuedCall("/stream/x", oldRunner)
+	announcedAt := r.announceNewWeights()
+	updatedRunner := f.engine("e2", 2)
+	time.Sleep(time.Until(announcedAt.Add(shortWeightDeadline + 200*time.Millisecond)))
+	oldRunner.Resume()
 	got := <-answers
 	f.g.Expect(got.cut).To(BeFalse())
-	f.g.Expect(got.body).To(Equal(wholeStream))
-	f.g.Expect(renewed.Arrivals()).To(BeZero())
+	f.g.Expect(got.body).To(Equal(completeStream))
+	f.g.Expect(updatedRunner.Arrivals()).To(BeZero())
 }
 
-func TestRequestStaysAtARunnerThatTookNewWeights(t *testing.T) {
-	for label, behaviour := range map[string]runnerstand.Behaviour{
-		"waits for the head": runnerstand.Queues, "waits for the first event": runnerstand.QueuesAfterHead,
+func TestRequestStaysOnRunnerThatLoadedNewWeights(t *testing.T) {
+	for name, behaviour := range map[string]runnerstand.Behaviour{
+		"waits for the headers": runnerstand.Queues, "waits for the first event": runnerstand.QueuesAfterHead,
 	} {
-		t.Run(label, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, r, runner := oldEngine(t)
+			f, r, runner := newFleetWithOldWeights(t)
 			runner.Behave(behaviour)
-			r.nameNew()
-			answers := r.callQueued("/once/x", runner)
+			r.announceNewWeights()
+			answers := r.startQueuedCall("/once/x", runner)
 			runner.SetVersion(2)
 			f.list(runner, "ready")
 			got := <-answers
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
-			f.g.Expect(got.body).To(Equal(wholeStream))
+			f.g.Expect(got.body).To(Equal(completeStream))
 			f.g.Expect(runner.Arrivals()).To(Equal(1))
 		})
 	}
 }
 
-// A run that goes on from its copy began before the weights were named. It was ended there
-// while it waited.
-func TestRunThatGoesOnFromItsCopyOutlivesItsWeights(t *testing.T) {
+// A run that continues from its copy started before the new weights were announced, so it must not
+// be withdrawn while it waits on the second runner. It was.
+func TestContinuedRunSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.engine("e1", 1), f.engine("e2", 1)}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
-		settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortDeadline, shortSettle
+		settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortWeightDeadline, shortSettleTime
 	})
-	f.g.Eventually(func() int { return r.call("/once/x", longPrompt).status }).Should(Equal(http.StatusOK))
-	home, holder := homeOf(runners), runners[0]
-	if holder == home {
-		holder = runners[1]
+	f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(http.StatusOK))
+	preferred, backup := preferredRunner(runners), runners[0]
+	if backup == preferred {
+		backup = runners[1]
 	}
 	for _, runner := range runners {
 		runner.SetFence(1 << 40)
 	}
-	home.Behave(runnerstand.Dies)
-	holder.Behave(runnerstand.Queues)
-	holder.Queue(longQueue)
+	preferred.Behave(runnerstand.Dies)
+	backup.Behave(runnerstand.Queues)
+	backup.Queue(longQueueTime)
 	answers := make(chan answer, 1)
-	go func() { answers <- r.call("/once/x", longPrompt) }()
-	f.g.Eventually(holder.Continued, time.Second, 5*time.Millisecond).Should(HaveLen(1))
+	go func() { answers <- r.call("/once/x", withLongPrompt) }()
+	f.g.Eventually(backup.Continued, time.Second, 5*time.Millisecond).Should(HaveLen(1))
 	r.door.Set(storestand.Loses)
-	time.Sleep(2 * shortSettle)
-	named := r.nameNew()
+	time.Sleep(2 * shortSettleTime)
+	announcedAt := r.announceNewWeights()
 	got := <-answers
-	f.g.Expect(time.Since(named)).To(BeNumerically(">", shortDeadline), "the answer came after the deadline")
+	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the answer came after the deadline")
 	f.g.Expect(got.cut).To(BeFalse())
-	f.g.Expect(got.body).To(Equal(wholeStream))
+	f.g.Expect(got.body).To(Equal(completeStream))
 }
 
-// The head of a whole answer comes with its end, so that nothing shows whether its request
-// has begun. Requests that had begun long before were ended.
-func TestRequestForAWholeAnswerOutlivesItsWeights(t *testing.T) {
+// The headers of a non-streaming response arrive only at its end, so the router cannot tell whether
+// the request has started. Such requests must not be withdrawn: they were, even if they had
+// started long before.
+func TestNonStreamingRequestSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, append(defaultRoutes(), route("whole", "/whole/", "unsafe", "engines", map[string]any{"sticky": true})), goodKey)
 	runner := f.engine("e1", 1)
 	runner.SetFence(1 << 40)
-	runner.Delay = longQueue
+	runner.Delay = longQueueTime
 	runner.Behave(runnerstand.Delays)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
-		settings.WeightDeadline, settings.SettleTime = shortDeadline, shortSettle
+		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
-	answers := r.callQueued("/whole/x", runner)
+	answers := r.startQueuedCall("/whole/x", runner)
 	r.door.Set(storestand.Loses)
-	time.Sleep(2 * shortSettle)
-	named := r.nameNew()
+	time.Sleep(2 * shortSettleTime)
+	announcedAt := r.announceNewWeights()
 	got := <-answers
-	f.g.Expect(time.Since(named)).To(BeNumerically(">", shortDeadline), "the answer came after the deadline")
+	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the answer came after the deadline")
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(got.body).To(Equal(wholeStream))
+	f.g.Expect(got.body).To(Equal(completeStream))
 }
