--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -58,10 +58,10 @@
 mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
 mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeoverDelay/now.Sub(c.changedAt) >= 0/' ./internal/lease
 mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!unloaded && serving-1 < minServing\)/loading > 999 || minServing < 0/' ./test/prove -ginkgo.focus "within the pool"
-mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
-mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
-mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
-mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
+mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.detector.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run TestPoisonRequestIsQuarantined
+mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := d.probe\(runner\)/liveness := max(d.probe(runner), RunnerEnded)/' ./internal/gateway -run TestCrashIsDistinguishedFromLostConnection
+mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/minStoredCrashes = 2/minStoredCrashes = 99/' ./internal/gateway -run 'TestQuarantineSurvivesLossOfAllRouters|TestStoredQuarantinesAreRead'
+mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestQuarantineReachesAllRouters
 mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
 mutant "9 suspensions do not count" internal/clock/clock.go 's/return steady.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return steady/' ./internal/clock
 mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.signalState.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'SignalsAreRespected|PermitAllows'
@@ -70,14 +70,14 @@
 mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
 mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.signalState.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
 mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
-mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
+mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestSignalsReachAllRouters
 mutant "11 eras do not count" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
 mutant "11 watches of another era are taken" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
 mutant "11 the copy is taken as it is" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedWhileTheStore
 mutant "11 runners that the copy lacks are dropped" internal/gateway/newera.go 's/kept := c.missing\(kind, delta\)/kept := c.missing(kind, delta)[:0]/' ./internal/gateway -run RunnersThatACopyOfTheStoreLacks
 mutant "11 a lost lease is taken at once" internal/lease/lease.go 's/now.Before\(c.priorEraLeaseExpiry\)/false/' ./internal/lease
 mutant "11 writes count across eras" internal/lease/lease.go 's/if !sameEra \{/if false \&\& !sameEra {/' ./internal/lease
-mutant "11 lost quarantines stay lost" internal/gateway/keptquarantines.go 's/\t\tk.keepAll\(\)\n//' ./internal/gateway -run QuarantinesThatTheStoreLost
+mutant "11 lost quarantines stay lost" internal/gateway/keptquarantines.go 's/\t\tq.queueAll\(\)\n//' ./internal/gateway -run QuarantinesThatTheStoreLost
 mutant "11 routers that start go by the copy" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterThatStartsInANewEraLearnsWhat
 mutant "11 routers that know nothing transfer it" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run StartTogetherInANewEra
 mutant "11 newer states at listed revisions are passed over" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run SeedsThatAnswerLate
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -19,14 +19,15 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// The store turned all seeds away and served other routers. Seeds asked seeds only, so they
-// sent to runners that had left, and counted the time of older weights from when they were
-// let in again, though routers that asked them knew both all the time.
+// The store rejected the calls of all seeds while it served other routers. Seeds asked only other
+// seeds. They therefore sent requests to runners that had left, and counted the time limit of older
+// weights from when the store accepted their calls again, although the routers that pulled from
+// them knew of both changes all the time.
 
-// olderUntil is until when the router uses weights older than the version, by what it
-// logged last.
-func (r *router) olderUntil(version uint64) time.Time {
-	var until time.Time
+// oldWeightsExpiry returns until when the router uses weights older than the version, according to
+// its last log line about them.
+func (r *router) oldWeightsExpiry(version uint64) time.Time {
+	var expiry time.Time
 	for _, line := range strings.Split(r.log.String(), "\n") {
 		var logged struct {
 			Time    time.Time `json:"time"`
@@ -34,15 +35,15 @@
 			Left    *int64    `json:"older_until_ms"`
 		}
 		if json.Unmarshal([]byte(line), &logged) == nil && logged.Left != nil && logged.Version == version {
-			until = logged.Time.Add(time.Duration(*logged.Left) * time.Millisecond)
+			expiry = logged.Time.Add(time.Duration(*logged.Left) * time.Millisecond)
 		}
 	}
-	return until
+	return expiry
 }
 
-// turnedAwayFleet has two seeds, which the store turns away as the fault says, and a
-// router that reads the store as its seeds prove nothing.
-func turnedAwayFleet(t *testing.T, fault storestand.Fault) (f *fleet, seeds []*router) {
+// newSeedOutageFleet returns a fleet with two seeds, whose store calls then fail with the fault,
+// and one router that reads the store itself because its seeds have no proof of being current.
+func newSeedOutageFleet(t *testing.T, fault storestand.Fault) (f *fleet, seeds []*router) {
 	f = newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
@@ -54,7 +55,7 @@
 		}))
 	}
 	f.servingRouter("other", f.asFollower(addresses))
-	time.Sleep(3500 * time.Millisecond) // all have settled
+	time.Sleep(3500 * time.Millisecond) // until all routers are in a steady state
 	for _, seed := range seeds {
 		seed.door.Set(fault)
 	}
@@ -62,16 +63,16 @@
 	return f, seeds
 }
 
-func TestSeedsThatTheStoreTurnsAwayLearnFromOtherRouters(t *testing.T) {
-	const margin = 500 * time.Millisecond // for clocks in logs, which have milliseconds
+func TestSeedsWithoutStoreLearnFromOtherRouters(t *testing.T) {
+	const margin = 500 * time.Millisecond // log timestamps have millisecond resolution
 	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, seeds := turnedAwayFleet(t, fault)
-			f.changeBoth()
+			f, seeds := newSeedOutageFleet(t, fault)
+			f.drainRunnerAndNameWeights()
 			changed := time.Now()
 			for _, seed := range seeds {
-				f.g.Eventually(seed.log.String, 4*time.Second, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
+				f.g.Eventually(seed.log.String, 4*time.Second, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 			}
 			time.Sleep(time.Until(changed.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
@@ -79,87 +80,88 @@
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
-				f.g.Expect(seed.olderUntil(2)).To(BeTemporally("<", changed.Add(8*time.Second+margin)))
+				f.g.Expect(seed.oldWeightsExpiry(2)).To(BeTemporally("<", changed.Add(8*time.Second+margin)))
 			}
 		})
 	}
 }
 
-func TestSeedsThatTheStoreTurnsAwaySpareLeavingRunners(t *testing.T) {
+func TestSeedsWithoutStoreAvoidLeavingRunners(t *testing.T) {
 	t.Parallel()
-	f, seeds := turnedAwayFleet(t, storestand.Busy)
-	found, _ := f.store.Get(platform.KindServers, "p1")
+	f, seeds := newSeedOutageFleet(t, storestand.Busy)
+	object, _ := f.store.Get(platform.KindServers, "p1")
 	var entry map[string]any
-	f.g.Expect(json.Unmarshal(found.Spec, &entry)).To(Succeed())
+	f.g.Expect(json.Unmarshal(object.Spec, &entry)).To(Succeed())
 	entry["state"] = "draining"
 	f.store.Put(platform.KindServers, "p1", entry)
-	left := time.Now()
+	leftAt := time.Now()
 	time.Sleep(2200 * time.Millisecond)
 	leaving := f.runnerAt(entry["address"].(string))
-	ran, answered := len(leaving.Runs()), 0
-	for time.Since(left) < 4*time.Second {
+	runsBefore, answered := len(leaving.Runs()), 0
+	for time.Since(leftAt) < 4*time.Second {
 		if seeds[0].call("/safe/x", nil).status == http.StatusOK {
 			answered++
 		}
 	}
 	f.g.Expect(answered).To(BeNumerically(">", 0))
-	f.g.Expect(leaving.Runs()).To(HaveLen(ran))
+	f.g.Expect(leaving.Runs()).To(HaveLen(runsBefore))
 }
 
-// A seed that has its configuration, but has not read the weights yet, told no proof of
-// them, and a router that asked it took that for the word of an earlier version, whose copies
-// are as old as its configuration.
-func TestSeedThatHasNotReadWeightsProvesNothingOfThem(t *testing.T) {
+// A seed that had its configuration but had not read the weights yet sent no proof of the weights.
+// A router that pulled from it took that for an answer of an earlier version, whose copies are as
+// old as its configuration.
+func TestSeedWithoutWeightsGivesNoProofOfThem(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	held, store := holdingStore(f, platform.KindVersions, platform.KindServers)
+	blocked, storeAddress := blockingStore(f, platform.KindVersions, platform.KindServers)
 	addresses := []string{loopback.FreeAddress()}
 	asSeed := func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses }
-	former := f.servingRouter("former", asSeed)
+	previousSeed := f.servingRouter("former", asSeed)
 	follower := f.servingRouter("follower", f.asFollower(addresses))
-	time.Sleep(3500 * time.Millisecond) // it has settled
+	time.Sleep(3500 * time.Millisecond) // until it is in a steady state
 	follower.door.Set(storestand.Silent)
-	former.Kill()
+	previousSeed.Kill()
 	f.router("seed", func(settings *gateway.Settings) {
 		asSeed(settings)
-		settings.StoreAddress = store
+		settings.StoreAddress = storeAddress
 	})
 	time.Sleep(1500 * time.Millisecond)
 	name(f, 2)
-	named := time.Now()
+	namedAt := time.Now()
 	time.Sleep(3500 * time.Millisecond)
-	held.Store(false)
-	f.g.Eventually(func() time.Time { return follower.olderUntil(2) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
-	f.g.Expect(follower.olderUntil(2)).To(BeTemporally("<", named.Add(8*time.Second)))
+	blocked.Store(false)
+	f.g.Eventually(func() time.Time { return follower.oldWeightsExpiry(2) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
+	f.g.Expect(follower.oldWeightsExpiry(2)).To(BeTemporally("<", namedAt.Add(8*time.Second)))
 }
 
-// holdingStore returns the address of the store behind something that holds calls for the
-// kinds back until it is told otherwise.
-func holdingStore(f *fleet, kinds ...string) (held *atomic.Bool, address string) {
+// blockingStore returns the address of a proxy to the store that blocks calls for the kinds while
+// blocked is set, as it is at first.
+func blockingStore(f *fleet, kinds ...string) (blocked *atomic.Bool, address string) {
 	door, err := f.store.Open()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(door.Close)
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: door.Address})
-	held = &atomic.Bool{}
-	held.Store(true)
-	front := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	blocked = &atomic.Bool{}
+	blocked.Store(true)
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		for _, kind := range kinds {
-			for strings.Contains(request.URL.Path, kind) && held.Load() && request.Context().Err() == nil {
+			for strings.Contains(request.URL.Path, kind) && blocked.Load() && request.Context().Err() == nil {
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
 		proxy.ServeHTTP(writer, request)
 	}))
-	f.t.Cleanup(front.Close)
-	return held, strings.TrimPrefix(front.URL, "http://")
+	f.t.Cleanup(server.Close)
+	return blocked, strings.TrimPrefix(server.URL, "http://")
 }
 
-// Writes of kinds that nobody copies, as renewals of a lease, raise the store's revision.
-// Each made the watches of runners and weights anew, by two calls; one short one is enough.
-func TestWritesOfOtherKindsCostOneCallAKind(t *testing.T) {
+// Writes of kinds that no router copies, such as renewals of a lease, raise the store's revision.
+// Each of them restarted the watches of runners and weights, with two calls per kind. One short
+// call is enough.
+func TestUnrelatedWritesCostOneCallPerKind(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -171,6 +173,6 @@
 	for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(350 * time.Millisecond) {
 		f.store.Put("leases", "someone", map[string]any{"at": time.Now().UnixNano()})
 	}
-	perRead := int(window/(900*time.Millisecond)) + 1
-	f.g.Expect(r.door.Calls() - before).To(BeNumerically("<=", 3*perRead+2))
+	maxReads := int(window/(900*time.Millisecond)) + 1
+	f.g.Expect(r.door.Calls() - before).To(BeNumerically("<=", 3*maxReads+2))
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -69,8 +69,8 @@
 	queueing time.Duration
 	// placing is a question to a scheduler under way, and placed its choice while a
 	// runner works on the call; nil when this router chose itself.
-	placing *placementAsk
-	placed  *placed
+	placing *placementRequest
+	placed  *placementChoice
 	// permit allows the send to a runner that limits requests, and permitAt is when it was
 	// asked for.
 	permit   backpressure.Permit
@@ -145,13 +145,13 @@
 		c.refuse(refusal)
 		return
 	}
-	c.startQuota()
+	c.startQuotaCheck()
 	c.startPlacement()
 	refusal, gone := c.readBody()
 	gone = gone || c.leftUnread()
 	if gone || refusal != nil {
-		c.abandonQuota()
-		c.placing.abandon()
+		c.cancelQuotaCheck()
+		c.placing.discard()
 	}
 	if gone {
 		// Whoever still listens must not take an empty answer for a whole one.
@@ -163,21 +163,21 @@
 	}
 	c.content = quarantine.NewContentID(c.tenantName(), request.Host, target(request), c.body)
 	if refusal := c.judgeContent(); refusal != nil {
-		c.abandonQuota()
-		c.placing.abandon()
+		c.cancelQuotaCheck()
+		c.placing.discard()
 		c.refuse(refusal)
 		return
 	}
 	if c.suspected {
 		// The question left before the content was known.
-		c.placing.abandon()
+		c.placing.discard()
 		c.startPlacement()
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), g.until(c.deadline))
 	defer cancel()
 	c.ctx = ctx
-	if refusal := c.awaitQuota(); refusal != nil {
-		c.placing.abandon()
+	if refusal := c.awaitQuotaDecision(); refusal != nil {
+		c.placing.discard()
 		c.refuse(refusal)
 		return
 	}
@@ -287,7 +287,7 @@
 			refusal = unavailable("the time is up", busyRetryAfter)
 		}
 		if refusal != nil {
-			c.placing.abandon()
+			c.placing.discard()
 			c.request.Fail()
 			c.giveUp(refusal)
 			return
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -25,12 +25,12 @@
 func (c *call) judgeContent() *refusal {
 	c.awaitCheck()
 	now := c.gateway.now()
-	verdict := c.gateway.suspects.verdict(now, c.content)
+	verdict := c.gateway.suspects.status(now, c.content)
 	c.suspected = verdict.State != quarantine.Clear || c.brokeOff
 	switch {
 	case verdict.State == quarantine.Quarantined:
 		return unavailable(reasonQuarantined, verdict.Until.Sub(now))
-	case verdict.State == quarantine.OnTrial && c.gateway.ends.atWork(c.content):
+	case verdict.State == quarantine.OnTrial && c.gateway.ends.hasOpenRun(c.content):
 		return unavailable(reasonQuarantined, trialRetryAfter)
 	}
 	return nil
@@ -38,7 +38,7 @@
 
 // quarantined tells whether the content may not be sent by now.
 func (c *call) quarantined() bool {
-	return c.gateway.suspects.verdict(c.gateway.now(), c.content).State == quarantine.Quarantined
+	return c.gateway.suspects.status(c.gateway.now(), c.content).State == quarantine.Quarantined
 }
 
 // awaitCheck waits until it is known whether the runner of the last send has ended, if the
@@ -75,7 +75,7 @@
 	g.ends.end(now, c.run, how)
 	switch how {
 	case quarantine.Survived:
-		g.suspects.outlived(now, c.content)
+		g.suspects.runnerSurvived(now, c.content)
 	case quarantine.ConnectionLost:
 		c.brokeOff, c.checked = true, g.ends.check(c.runner)
 	}
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -16,7 +16,7 @@
 	query := backend.Query{
 		Service: c.service, Excluded: c.request.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueue,
 		TargetLatency: c.route.LatencyTarget, MaxEventGap: c.route.MaxEventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.facts.MaxTokens,
-		SuspectContent: c.suspect(), Resting: c.gateway.resting(),
+		SuspectContent: c.suspect(), Resting: c.gateway.restingRunners(),
 	}
 	if c.request.Attempt() > 0 {
 		// What has been let in is not turned away at its second attempt.
--- a/internal/gateway/collectors.go
+++ b/internal/gateway/collectors.go
@@ -56,7 +56,7 @@
 
 // Collect implements prometheus.Collector.
 func (s *contentStates) Collect(figures chan<- prometheus.Metric) {
-	for state, count := range s.gateway.suspects.counts() {
+	for state, count := range s.gateway.suspects.countByState() {
 		figures <- prometheus.MustNewConstMetric(contentStatesDescription, prometheus.GaugeValue, float64(count), state.String())
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -119,9 +119,9 @@
 	schedulers *schedulers
 	// limits keeps tenants to their limits, and shares to their fair shares of short services.
 	limits *limits.Client
-	shares *shares
+	shares *fairShares
 	// ends finds out which runners have ended, and under which requests.
-	ends *runnerEnds
+	ends *crashDetector
 	// signals are what runners say of themselves in answers.
 	signals *signals
 	// suspects are the contents of requests under which runners have ended.
@@ -164,8 +164,8 @@
 	g.metrics = newMetrics(g)
 	ports.RunnerPool.OnOpen, ports.RunnerPool.OnSilentClosed = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
 	ports.RunnerPool.SilenceTimeout = runnerSilence
-	g.schedulers, g.shares = newSchedulers(g), newShares(g)
-	g.ends, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
+	g.schedulers, g.shares = newSchedulers(g), newFairShares(g)
+	g.ends, g.suspects, g.signals = newCrashDetector(g), newSuspects(g), newSignals(g)
 	g.cacheStores = newCacheStoreWatch(g)
 	g.caches = newCacheReader(g)
 	g.copies, g.direct, g.relays = newCopies(g), newDirectSwitch(), newRelays(g)
@@ -187,11 +187,11 @@
 	g.spawn(func() { newLeader(g).run() })
 	g.spawn(g.cacheStores.run)
 	g.spawn(g.caches.run)
-	g.spawn(g.schedulers.shareLoop)
-	g.spawn(g.suspects.out.run)
-	g.spawn(g.signals.out.run)
-	g.spawn(g.suspects.kept.follow)
-	g.spawn(g.suspects.kept.write)
+	g.spawn(g.schedulers.loadReportLoop)
+	g.spawn(g.suspects.broadcasts.run)
+	g.spawn(g.signals.broadcasts.run)
+	g.spawn(g.suspects.stored.readLoop)
+	g.spawn(g.suspects.stored.writeLoop)
 	g.spawn(g.sweepLoop)
 	return g, nil
 }
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -11,77 +11,78 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of the records in the store.
+// Timeouts and delays of store calls for quarantine records.
 const (
-	// quarantineCall bounds one call beyond what it is to wait: the store answers within some
-	// milliseconds, and some hundred where it is slow.
-	quarantineCall = 700 * time.Millisecond
-	// quarantineRetry and quarantineLongest bound the pause after a call that failed.
-	quarantineRetry   = 500 * time.Millisecond
-	quarantineLongest = 4 * time.Second
-	// quarantineSettle is the longest pause before a write: all routers that read the store
-	// hear of an end at once, and the first of them to write spares the others their call.
-	quarantineSettle = 100 * time.Millisecond
-	// endsToKeep is how many runners must have ended under a content before its record is
-	// kept: one names whatever was at work on a runner, mostly several contents.
-	endsToKeep = 2
+	// quarantineCallTimeout is the timeout of a call, in addition to the time that a watch waits.
+	// The store answers within some milliseconds, or some hundred milliseconds where it is slow.
+	quarantineCallTimeout = 700 * time.Millisecond
+	// minQuarantineRetryDelay and maxQuarantineRetryDelay bound the delay after a failed call.
+	minQuarantineRetryDelay = 500 * time.Millisecond
+	maxQuarantineRetryDelay = 4 * time.Second
+	// maxQuarantineWriteDelay is the maximum random delay before a write. All routers that read the
+	// store learn of a crash at once, and the first one to write saves the others their call.
+	maxQuarantineWriteDelay = 100 * time.Millisecond
+	// minStoredCrashes is the number of crashes from which a content's record is stored. A single
+	// crash is recorded for every content that was running on the runner, usually several.
+	minStoredCrashes = 2
 )
 
-// keptQuarantines keeps records of contents in the store, so that they outlast all routers,
-// and reach those that read the store though no seed reaches them: each would have to see
-// three runners end by itself. Only routers that read the store write there, and only
-// contents that were at work on two runners, so the calls are as few as runners end.
-type keptQuarantines struct {
+// storedQuarantines keeps quarantine records in the store. The records thus survive the loss of all
+// routers and reach routers that can read the store but no seed, each of which would otherwise have
+// to see three crashes itself. Only routers that read the store write records, and only those of
+// contents that were running on two crashed runners, so there are few calls per crash.
+type storedQuarantines struct {
 	gateway *Gateway
 	mutex   sync.Mutex
-	// era is that of the store's last list, 0 before any.
+	// era is the era of the store's last list, 0 before the first.
 	era uint64
-	// stored holds what the store is known to have of each content.
+	// stored holds the records that the store is known to have.
 	stored map[quarantine.ContentID]quarantine.Record
-	// pending are contents whose record is to be written or, once it is cleared or
-	// forgotten, taken out; there are as many as records at most.
+	// pending holds the contents whose record must be written to the store or, once it is cleared
+	// or has expired, removed from it. It has at most as many entries as there are records.
 	pending map[quarantine.ContentID]bool
-	// wanted is told when there is something to write.
-	wanted chan struct{}
+	// wakeup receives a value when there is something to write.
+	wakeup chan struct{}
 }
 
-func newKeptQuarantines(g *Gateway) *keptQuarantines {
-	return &keptQuarantines{
-		gateway: g, stored: map[quarantine.ContentID]quarantine.Record{}, pending: map[quarantine.ContentID]bool{}, wanted: make(chan struct{}, 1),
+func newStoredQuarantines(g *Gateway) *storedQuarantines {
+	return &storedQuarantines{
+		gateway: g, stored: map[quarantine.ContentID]quarantine.Record{}, pending: map[quarantine.ContentID]bool{}, wakeup: make(chan struct{}, 1),
 	}
 }
 
-// changed has the content's record written, if it is to be kept or taken out, as soon as this
-// router reads the store.
-func (k *keptQuarantines) changed(content quarantine.ContentID, ends int) {
-	k.mutex.Lock()
-	if _, stored := k.stored[content]; ends >= endsToKeep || stored {
-		k.pending[content] = true
+// recordChanged queues the content if its record must be written to the store or removed from it.
+// The writer handles it as soon as this router reads the store.
+func (q *storedQuarantines) recordChanged(content quarantine.ContentID, crashes int) {
+	q.mutex.Lock()
+	if _, stored := q.stored[content]; crashes >= minStoredCrashes || stored {
+		q.pending[content] = true
 	} else {
-		// There is nothing to write any more, and a router that does not read the store would
-		// never find that out.
-		delete(k.pending, content)
+		// There is nothing to write any more. A router that does not read the store would otherwise
+		// keep the entry forever.
+		delete(q.pending, content)
 	}
-	k.mutex.Unlock()
-	k.want()
+	q.mutex.Unlock()
+	q.wakeWriter()
 }
 
-// want has the writer look for what is to be written.
-func (k *keptQuarantines) want() {
+// wakeWriter makes the writer check for pending contents.
+func (q *storedQuarantines) wakeWriter() {
 	select {
-	case k.wanted <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// follow learns what others keep while this router reads the store.
-func (k *keptQuarantines) follow() {
-	g, revision, failures := k.gateway, storerev.Revision(0), 0
-	// Many read at once where there is no seed: a list that may be old costs the store little.
-	// One whose history is gone leads nowhere, and is not asked for again.
+// readLoop applies the records that other routers store, while this router reads the store.
+func (q *storedQuarantines) readLoop() {
+	g, revision, failures := q.gateway, storerev.Revision(0), 0
+	// Where there is no seed, many routers read at once, and a possibly stale list costs the store
+	// little. Once the history since a stale list has been compacted, stale lists are of no use and
+	// are not requested again.
 	stale := !g.relays.isSource()
 	for g.direct.wait(g.ctx) {
-		next, err := k.learn(revision, stale)
+		next, err := q.read(revision, stale)
 		if err == nil && next > 0 {
 			revision, failures = next, 0
 			continue
@@ -92,29 +93,29 @@
 			}
 			revision, stale = 0, false
 		}
-		if !k.failed(callWatch, err, failures) {
+		if !q.backOffAfter(callWatch, err, failures) {
 			return
 		}
 		failures++
 	}
 }
 
-// learn lists all records at first, and then waits for changes after the revision. It
-// returns the next revision, 0 for none.
-func (k *keptQuarantines) learn(revision storerev.Revision, stale bool) (next storerev.Revision, err error) {
-	g, name, wait, sent := k.gateway, callWatch, directoryWait, k.gateway.now()
+// read lists all records if revision is 0, and otherwise waits for changes after it. It returns the
+// next revision, 0 if there is none.
+func (q *storedQuarantines) read(revision storerev.Revision, stale bool) (next storerev.Revision, err error) {
+	g, callName, wait, start := q.gateway, callWatch, directoryWait, q.gateway.now()
 	if revision == 0 {
-		name, wait = callList, 0
+		callName, wait = callList, 0
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, wait+quarantineCall)
+	ctx, cancel := context.WithTimeout(g.ctx, wait+quarantineCallTimeout)
 	defer cancel()
-	var kept []KeptQuarantine
+	var objects []KeptQuarantine
 	if revision == 0 {
-		kept, next, err = g.ports.Store.Quarantines(ctx, stale)
+		objects, next, err = g.ports.Store.Quarantines(ctx, stale)
 	} else {
-		kept, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
+		objects, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
 	}
-	g.metrics.storeCall(quarantineKind, name, g.since(sent))
+	g.metrics.storeCall(quarantineKind, callName, g.since(start))
 	switch {
 	case err != nil:
 		return revision, err
@@ -123,90 +124,90 @@
 	case revision > 0 && next.Era() > revision.Era():
 		return revision, ErrHistoryGone
 	}
-	restored := revision == 0 && k.enterEra(next.Era())
-	k.take(kept)
+	restored := revision == 0 && q.enterEra(next.Era())
+	q.apply(objects)
 	if restored {
-		k.keepAll()
+		q.queueAll()
 	}
 	if revision == 0 {
-		// What was learned while this router did not read the store may be missing there.
-		k.want()
+		// The store may lack records that this router learned while it did not read the store.
+		q.wakeWriter()
 	}
 	return max(next, revision), nil
 }
 
-// enterEra forgets what the store is known to have when it has come back from a copy since, and
-// tells whether it has.
-func (k *keptQuarantines) enterEra(era uint64) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	restored := k.era != 0 && era > k.era
+// enterEra forgets what the store is known to have if the store was restored from a backup since
+// the last list, and reports whether it was.
+func (q *storedQuarantines) enterEra(era uint64) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	restored := q.era != 0 && era > q.era
 	if restored {
-		clear(k.stored)
+		clear(q.stored)
 	}
-	k.era = max(k.era, era)
+	q.era = max(q.era, era)
 	return restored
 }
 
-// keepAll has the store get all records again that are to be kept and that it lacks. Nobody
-// but routers writes them.
-func (k *keptQuarantines) keepAll() {
-	for _, content := range k.gateway.suspects.contents() {
-		_, verdict := k.gateway.suspects.record(content)
-		k.changed(content, verdict.Crashes)
+// queueAll queues all records that must be stored, because a restored store may lack them and only
+// routers write them.
+func (q *storedQuarantines) queueAll() {
+	for _, content := range q.gateway.suspects.contents() {
+		_, status := q.gateway.suspects.record(content)
+		q.recordChanged(content, status.Crashes)
 	}
 }
 
-// take takes what the store has. What is gone was cleared or forgotten by whoever took it
-// out, and each router finds that out by itself.
-func (k *keptQuarantines) take(kept []KeptQuarantine) {
-	g := k.gateway
+// apply merges the records in the store. Records that are gone were removed by a router because
+// they were cleared or had expired, which each router determines itself.
+func (q *storedQuarantines) apply(objects []KeptQuarantine) {
+	g := q.gateway
 	var records []quarantine.Record
-	for _, found := range kept {
+	for _, object := range objects {
 		switch {
-		case found.Fault != "":
-			g.log.Log(events.ObjectUnreadable, events.Fields{"kind": quarantineKind, "name": found.Name, "fault": found.Fault})
-		case !found.Gone:
-			record := fromTimesOfDay(g.now(), time.Now().Round(0), found.Record)
+		case object.Fault != "":
+			g.log.Log(events.ObjectUnreadable, events.Fields{"kind": quarantineKind, "name": object.Name, "fault": object.Fault})
+		case !object.Gone:
+			record := toLocalClock(g.now(), time.Now().Round(0), object.Record)
 			records = append(records, record)
-			k.noteStored(record)
+			q.markStored(record)
 		}
 	}
-	g.suspects.learn(records)
+	g.suspects.merge(records)
 	for _, record := range records {
-		if _, verdict := g.suspects.record(record.Content); verdict.State == quarantine.Clear {
-			// It is of no use any more, and whoever kept it may be gone.
-			k.changed(record.Content, verdict.Crashes)
+		if _, status := g.suspects.record(record.Content); status.State == quarantine.Clear {
+			// The record is no longer needed, and the router that stored it may not exist any more.
+			q.recordChanged(record.Content, status.Crashes)
 		}
 	}
 }
 
-func (k *keptQuarantines) noteStored(record quarantine.Record) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.stored[record.Content] = record
+func (q *storedQuarantines) markStored(record quarantine.Record) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.stored[record.Content] = record
 }
 
-// write writes changed records until the gateway stops. A write that fails is made again
-// until it is done or its record is of no use any more.
-func (k *keptQuarantines) write() {
-	g, failures := k.gateway, 0
+// writeLoop writes pending records until the gateway stops. It retries a failed write until it
+// succeeds or the record is no longer needed.
+func (q *storedQuarantines) writeLoop() {
+	g, failures := q.gateway, 0
 	for {
 		select {
-		case <-k.wanted:
+		case <-q.wakeup:
 		case <-g.ctx.Done():
 			return
 		}
-		for content, pending := k.next(); pending; content, pending = k.next() {
-			if !g.pause(g.jitter(quarantineSettle)) {
+		for content, pending := q.nextPending(); pending; content, pending = q.nextPending() {
+			if !g.pause(g.jitter(maxQuarantineWriteDelay)) {
 				return
 			}
-			err := k.writeOne(content)
+			err := q.syncRecord(content)
 			if err == nil {
 				failures = 0
 				continue
 			}
-			if !k.failed(callWrite, err, failures) {
+			if !q.backOffAfter(callWrite, err, failures) {
 				return
 			}
 			failures++
@@ -214,88 +215,90 @@
 	}
 }
 
-// next returns a content whose record is to be written, or false when there is none or this
+// nextPending returns a content whose record must be written, or false if there is none or this
 // router does not read the store.
-func (k *keptQuarantines) next() (quarantine.ContentID, bool) {
-	if !k.gateway.direct.on() {
+func (q *storedQuarantines) nextPending() (quarantine.ContentID, bool) {
+	if !q.gateway.direct.on() {
 		return quarantine.ContentID{}, false
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for content := range k.pending {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	for content := range q.pending {
 		return content, true
 	}
 	return quarantine.ContentID{}, false
 }
 
-// writeOne makes the store have what this router knows of the content.
-func (k *keptQuarantines) writeOne(content quarantine.ContentID) error {
-	stored, isStored := k.takePending(content)
-	record, verdict := k.gateway.suspects.record(content)
-	cleared, missing := verdict.State == quarantine.Clear, !isStored
+// syncRecord makes the store's record of the content match this router's.
+func (q *storedQuarantines) syncRecord(content quarantine.ContentID) error {
+	stored, isStored := q.takePending(content)
+	record, status := q.gateway.suspects.record(content)
+	cleared, missing := status.State == quarantine.Clear, !isStored
 	if isStored {
 		record, missing = stored.Merge(record)
 	}
 	var err error
 	switch {
 	case cleared && isStored:
-		err = k.drop(content)
+		err = q.remove(content)
 	case !cleared && missing:
-		err = k.keep(record)
+		err = q.put(record)
 	}
 	if err != nil {
-		k.changed(content, endsToKeep)
+		q.recordChanged(content, minStoredCrashes)
 	}
 	return err
 }
 
-// takePending takes the content out of those to be written, and returns what the store has.
-func (k *keptQuarantines) takePending(content quarantine.ContentID) (stored quarantine.Record, isStored bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	delete(k.pending, content)
-	stored, isStored = k.stored[content]
+// takePending removes the content from the pending ones and returns the store's record of it.
+func (q *storedQuarantines) takePending(content quarantine.ContentID) (stored quarantine.Record, isStored bool) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	delete(q.pending, content)
+	stored, isStored = q.stored[content]
 	return stored, isStored
 }
 
-func (k *keptQuarantines) keep(record quarantine.Record) error {
-	g := k.gateway
-	written, era := toTimesOfDay(g.now(), time.Now().Round(0), record), g.era.newest()
-	if err := k.call(func(ctx context.Context) error { return g.ports.Store.KeepQuarantine(ctx, written) }); err != nil {
+// put writes the record to the store.
+func (q *storedQuarantines) put(record quarantine.Record) error {
+	g := q.gateway
+	written, era := toWallClock(g.now(), time.Now().Round(0), record), g.era.newest()
+	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.KeepQuarantine(ctx, written) }); err != nil {
 		return err
 	}
 	if g.era.newest() != era {
-		// The store may have come back without it.
-		k.changed(record.Content, endsToKeep)
+		// The store may have been restored from a backup without the record.
+		q.recordChanged(record.Content, minStoredCrashes)
 		return nil
 	}
-	k.noteStored(record)
+	q.markStored(record)
 	return nil
 }
 
-func (k *keptQuarantines) drop(content quarantine.ContentID) error {
-	g := k.gateway
-	if err := k.call(func(ctx context.Context) error { return g.ports.Store.DropQuarantine(ctx, content) }); err != nil {
+// remove deletes the record of the content from the store.
+func (q *storedQuarantines) remove(content quarantine.ContentID) error {
+	g := q.gateway
+	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.DropQuarantine(ctx, content) }); err != nil {
 		return err
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	delete(k.stored, content)
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	delete(q.stored, content)
 	return nil
 }
 
-func (k *keptQuarantines) call(call func(ctx context.Context) error) error {
-	g, sent := k.gateway, k.gateway.now()
-	ctx, cancel := context.WithTimeout(g.ctx, quarantineCall)
+func (q *storedQuarantines) callStore(call func(ctx context.Context) error) error {
+	g, start := q.gateway, q.gateway.now()
+	ctx, cancel := context.WithTimeout(g.ctx, quarantineCallTimeout)
 	defer cancel()
-	defer func() { g.metrics.storeCall(quarantineKind, callWrite, g.since(sent)) }()
+	defer func() { g.metrics.storeCall(quarantineKind, callWrite, g.since(start)) }()
 	return call(ctx)
 }
 
-// failed notes a call that failed, or led nowhere, after others, and waits before the next.
-// It returns false when the gateway stops.
-func (k *keptQuarantines) failed(call string, err error, failures int) bool {
-	g := k.gateway
+// backOffAfter counts and logs a call that failed or brought no progress, and waits before the next
+// one. failures is the number of failures before it. It returns false when the gateway stops.
+func (q *storedQuarantines) backOffAfter(callName string, err error, failures int) bool {
+	g := q.gateway
 	if g.ctx.Err() != nil {
 		return false
 	}
@@ -303,29 +306,29 @@
 		g.metrics.storeFailures.WithLabelValues(quarantineKind).Inc()
 	}
 	if err != nil && failures == 0 {
-		g.log.Log(events.QuarantineStoreCallFailed, events.Fields{"call": call, "error": err.Error()})
+		g.log.Log(events.QuarantineStoreCallFailed, events.Fields{"call": callName, "error": err.Error()})
 	}
-	return g.backOff(failures, quarantineRetry, quarantineLongest)
+	return g.backOff(failures, minQuarantineRetryDelay, maxQuarantineRetryDelay)
 }
 
-// fromTimesOfDay moves a record's moments, which the store has as times of day, to this
-// router's clock, on which the time of day may step.
-func fromTimesOfDay(clock, day time.Time, record quarantine.Record) quarantine.Record {
-	moved := record
-	moved.Crashes = nil
-	for _, end := range record.Crashes {
-		ended := clock.Add(-max(day.Sub(end.DetectedAt), 0))
-		moved.Crashes = append(moved.Crashes, quarantine.Crash{Runner: end.Runner, DetectedAt: ended, SentAt: ended.Add(-end.DetectedAt.Sub(end.SentAt))})
+// toLocalClock converts the times of a record, which are wall clock times in the store, to this
+// router's clock, because wall clock time may jump.
+func toLocalClock(local, wall time.Time, record quarantine.Record) quarantine.Record {
+	converted := record
+	converted.Crashes = nil
+	for _, crash := range record.Crashes {
+		detectedAt := local.Add(-max(wall.Sub(crash.DetectedAt), 0))
+		converted.Crashes = append(converted.Crashes, quarantine.Crash{Runner: crash.Runner, DetectedAt: detectedAt, SentAt: detectedAt.Add(-crash.DetectedAt.Sub(crash.SentAt))})
 	}
-	return moved
+	return converted
 }
 
-// toTimesOfDay does the reverse.
-func toTimesOfDay(clock, day time.Time, record quarantine.Record) quarantine.Record {
-	moved := record
-	moved.Crashes = nil
-	for _, end := range record.Crashes {
-		moved.Crashes = append(moved.Crashes, quarantine.Crash{Runner: end.Runner, DetectedAt: day.Add(-clock.Sub(end.DetectedAt)), SentAt: day.Add(-clock.Sub(end.SentAt))})
+// toWallClock is the inverse of toLocalClock.
+func toWallClock(local, wall time.Time, record quarantine.Record) quarantine.Record {
+	converted := record
+	converted.Crashes = nil
+	for _, crash := range record.Crashes {
+		converted.Crashes = append(converted.Crashes, quarantine.Crash{Runner: crash.Runner, DetectedAt: wall.Add(-local.Sub(crash.DetectedAt)), SentAt: wall.Add(-local.Sub(crash.SentAt))})
 	}
-	return moved
+	return converted
 }
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -18,79 +18,79 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// forgetfulStore has forgotten its history up to a revision, and lists that may be old stand
-// for an earlier one.
-type forgetfulStore struct {
+// compactedStore has compacted its history up to compactRevision, and its stale lists have an
+// earlier revision.
+type compactedStore struct {
 	Store
 	calls atomic.Int64
 }
 
 const (
-	oldRevision = 5
-	newRevision = 10
+	staleRevision   = 5
+	compactRevision = 10
 )
 
-func (s *forgetfulStore) Quarantines(_ context.Context, stale bool) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *compactedStore) Quarantines(_ context.Context, stale bool) ([]KeptQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
 	if stale {
-		return nil, oldRevision, nil
+		return nil, staleRevision, nil
 	}
-	return nil, newRevision, nil
+	return nil, compactRevision, nil
 }
 
-func (s *forgetfulStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *compactedStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]KeptQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
-	if revision < newRevision {
+	if revision < compactRevision {
 		return nil, 0, ErrHistoryGone
 	}
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// quarantining is a router with others, which is no seed and does not read the store yet.
-func quarantining(t *testing.T, store Store) *Gateway {
+// newQuarantineGateway returns a router that has peers, is no seed and does not read the store yet.
+func newQuarantineGateway(t *testing.T, store Store) *Gateway {
 	ctx, cancel := context.WithCancel(t.Context())
 	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, direct: newDirectSwitch(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
 	gateway.relays = newRelays(gateway)
-	// Any will do: nothing is sent.
+	// Any transport will do, since nothing is sent.
 	gateway.relays.transport = &wire.Transport{}
 	gateway.metrics, gateway.random = newMetrics(gateway), rand.New(rand.NewPCG(1, 2))
 	gateway.suspects, gateway.era = newSuspects(gateway), newStoreEra(gateway)
 	return gateway
 }
 
-// A router that reads the store for want of seeds listed what may be old, was told that the
-// history since was gone, listed again, and so on: a call each time that the store answers.
-// Found by reading, beside a soak in which no call to the store was answered any more.
-func TestStoreThatForgetsIsNotAskedOnAndOn(t *testing.T) {
+// A router that read the store because it had no seeds requested a stale list, was told that the
+// history since was gone, listed again, and so on, with one call per answer of the store. Found in
+// a code review, beside a soak run in which the store answered no more calls.
+func TestCompactedStoreIsNotListedInALoop(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	store := &forgetfulStore{}
-	gateway := quarantining(t, store)
+	store := &compactedStore{}
+	gateway := newQuarantineGateway(t, store)
 	gateway.direct.set(true)
 	done := make(chan struct{})
-	go func() { gateway.suspects.kept.follow(); close(done) }()
+	go func() { gateway.suspects.stored.readLoop(); close(done) }()
 	time.Sleep(300 * time.Millisecond)
-	g.Expect(store.calls.Load()).To(BeNumerically("<=", 4), "a list, a watch, and both again")
+	g.Expect(store.calls.Load()).To(BeNumerically("<=", 4), "a list and a watch, twice")
 	gateway.cancel()
 	g.Eventually(done, time.Second).Should(BeClosed())
 }
 
-// A router that never reads the store noted each content under which two runners had ended
-// as one to write, and kept the note when its record was forgotten. Found by reading.
-func TestRecordsThatAreForgottenAreNotToBeWrittenForEver(t *testing.T) {
+// A router that never reads the store queued a write for each content with two crashes and kept it
+// queued after the record had expired. Found in a code review.
+func TestPrunedRecordsAreNoLongerPending(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	gateway := quarantining(t, &forgetfulStore{})
+	gateway := newQuarantineGateway(t, &compactedStore{})
 	now := gateway.now()
 	for digest := range uint64(100) {
-		gateway.suspects.learn([]quarantine.Record{{Content: quarantine.ContentID{Digest: digest}, Crashes: []quarantine.Crash{
+		gateway.suspects.merge([]quarantine.Record{{Content: quarantine.ContentID{Digest: digest}, Crashes: []quarantine.Crash{
 			{Runner: quarantine.Runner{ID: "a"}, SentAt: now, DetectedAt: now}, {Runner: quarantine.Runner{ID: "b"}, SentAt: now, DetectedAt: now},
 		}}})
 	}
-	g.Expect(gateway.suspects.kept.pending).To(HaveLen(100))
+	g.Expect(gateway.suspects.stored.pending).To(HaveLen(100))
 	gateway.suspects.sweep(now.Add(2 * time.Hour))
-	g.Expect(gateway.suspects.judge.CountByState(now)).To(BeEmpty())
-	g.Expect(gateway.suspects.kept.pending).To(BeEmpty())
+	g.Expect(gateway.suspects.detector.CountByState(now)).To(BeEmpty())
+	g.Expect(gateway.suspects.stored.pending).To(BeEmpty())
 }
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -18,30 +18,30 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Requests began on weights that had been replaced for too long, and reached runners
-// that had said that they leave. Routers knew neither: the watches of runners and weights
-// wait 12 s, and one that had lost its connection, or its answer, was waited for to the
-// end while the store answered new calls. Only the configuration was proved. The tests
-// below had the news 12 s late, or not at all within their time.
+// Requests began on weights that had been replaced too long ago, and reached runners that had
+// reported that they were leaving. Routers knew of neither change: the watches of runners and
+// weights wait for 12 s, and a watch that had lost its connection or its answer was waited for to
+// the end, although the store answered new calls. Only the configuration was proved to be current.
+// In the tests below, the changes arrived 12 s late, or not at all within the duration of the test.
 
-// newsBound is within which a change is known however the watches were lost: routers are
-// held to it 3 s after such a loss.
-const newsBound = 2500 * time.Millisecond
+// maxChangeDelay is the time within which a router must know of a change, however its watches were
+// lost. Routers are required to know it 3 s after such a loss.
+const maxChangeDelay = 2500 * time.Millisecond
 
-// latestNews are the lines that show what a router knows.
+// Parts of log lines that show which changes a router knows.
 const (
-	lineDraining = `"draining":true`
-	lineNamed    = `"msg":"weights named"`
+	lineDraining     = `"draining":true`
+	lineWeightsNamed = `"msg":"weights named"`
 )
 
-// changeBoth has a runner leave and newer weights named.
-func (f *fleet) changeBoth() {
+// drainRunnerAndNameWeights makes a runner leave and names newer weights.
+func (f *fleet) drainRunnerAndNameWeights() {
 	entry := map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 8, "state": "draining", "cold_remaining_ms": 0, "seq": 2}
 	f.store.Put(platform.KindServers, "p1", entry)
 	name(f, 2)
 }
 
-func TestNewsArrivesThoughAllConnectionsToTheStoreFellSilent(t *testing.T) {
+func TestChangesArriveWhenAllStoreConnectionsAreSilent(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -49,21 +49,21 @@
 	door, err := f.store.Open()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
-	path, err := faultproxy.Start(door.Address)
+	proxy, err := faultproxy.Start(door.Address)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(path.Close)
-	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = path.Address })
+	t.Cleanup(proxy.Close)
+	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = proxy.Address })
 	for range 3 {
 		time.Sleep(time.Second)
-		path.Set(faultproxy.Mute)
+		proxy.Set(faultproxy.Mute)
 	}
-	f.changeBoth()
-	f.g.Eventually(r.log.String, newsBound, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
+	f.drainRunnerAndNameWeights()
+	f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 }
 
-// The watch of the configuration goes on, and what it tells of the store's revision shows
-// that another watch is behind. Routers that ask this one learn of it too.
-func TestNewsArrivesThoughOneWatchFellSilent(t *testing.T) {
+// The watch of the configuration continues, and the store revision in its answers shows that
+// another watch is behind. Routers that pull from this one learn of the changes too.
+func TestChangesArriveWhenOneWatchIsSilent(t *testing.T) {
 	for _, kind := range []string{platform.KindServers, platform.KindVersions} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -77,20 +77,21 @@
 			follower := f.servingRouter("follower", f.asFollower(addresses))
 			time.Sleep(300 * time.Millisecond)
 			seed.door.LoseWatches(kind)
-			f.changeBoth()
+			f.drainRunnerAndNameWeights()
 			for _, r := range []*router{seed, follower} {
-				f.g.Eventually(r.log.String, newsBound, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
+				f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 			}
 			f.g.Expect(follower.door.Calls()).To(BeZero())
 		})
 	}
 }
 
-// A router that learned late of newer weights counted the time of older ones from then,
-// not from when the newer ones were named. What it knew last bounds when that was.
-func TestOlderWeightsExpireByWhenNewerOnesMayHaveBeenNamed(t *testing.T) {
+// A router that learned late of newer weights counted the time limit of the older ones from that
+// moment instead of from when the newer ones were named. The time of its last current state is a
+// lower bound for the latter.
+func TestOldWeightsExpireFromEarliestPossibleNaming(t *testing.T) {
 	const deadline = 4 * time.Second
-	late := func(t *testing.T, silence time.Duration, start func(*fleet) *router) {
+	expectExpiry := func(t *testing.T, silence time.Duration, start func(*fleet) *router) {
 		t.Parallel()
 		f := newFleet(t)
 		f.configure(1, defaultRoutes(), goodKey)
@@ -98,99 +99,100 @@
 		r := start(f)
 		r.door.Set(storestand.Silent)
 		name(f, 2)
-		named := time.Now()
+		namedAt := time.Now()
 		time.Sleep(silence)
-		r.door.Set(storestand.Loses) // nobody can order the runner
-		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineNamed))
-		time.Sleep(time.Until(named.Add(deadline)))
-		ran := len(runner.Runs())
-		for time.Since(named) < deadline+silence {
+		r.door.Set(storestand.Loses) // so that no router can make the runner update
+		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineWeightsNamed))
+		time.Sleep(time.Until(namedAt.Add(deadline)))
+		runsBefore := len(runner.Runs())
+		for time.Since(namedAt) < deadline+silence {
 			f.g.Expect(r.call("/stream/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 			time.Sleep(20 * time.Millisecond)
 		}
-		f.g.Expect(runner.Runs()).To(HaveLen(ran))
+		f.g.Expect(runner.Runs()).To(HaveLen(runsBefore))
 	}
-	brief := func(settings *gateway.Settings) {
+	withShortDeadline := func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = deadline, 10*time.Millisecond
 	}
 	t.Run("running", func(t *testing.T) {
-		late(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", brief) })
+		expectExpiry(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", withShortDeadline) })
 	})
 	t.Run("started", func(t *testing.T) {
-		late(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", brief, storestand.Silent) })
+		expectExpiry(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", withShortDeadline, storestand.Silent) })
 	})
 }
 
-// A store may answer from the past, as a replica that is behind does. Answers below a
-// revision that the router knew of before its call proved its copies and bounded the naming
-// of weights: the time of older ones counted from the last such answer.
-func TestAnswersFromThePastProveAndBoundNothing(t *testing.T) {
+// A store may answer with outdated data, as a lagging replica does. Answers with a revision lower
+// than the one that the router knew before its call counted as a proof of its copies and as a bound
+// for when weights were named, so that the time limit of older weights was counted from the last
+// such answer.
+func TestOutdatedStoreAnswersProveNothing(t *testing.T) {
 	t.Parallel()
-	const deadline, behind = 6 * time.Second, 2500 * time.Millisecond
+	const deadline, staleTime = 6 * time.Second, 2500 * time.Millisecond
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	past := f.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": 1})
-	figuresAt := loopback.FreeAddress()
+	oldRevision := f.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": 1})
+	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
-		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, figuresAt
+		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, metricsAddress
 	})
 	time.Sleep(time.Second)
-	r.door.AnswerAt(past, platform.KindConfig, platform.KindVersions)
-	f.changeBoth()
-	named := time.Now()
+	r.door.AnswerAt(oldRevision, platform.KindConfig, platform.KindVersions)
+	f.drainRunnerAndNameWeights()
+	namedAt := time.Now()
 	r.logs(lineDraining)
-	time.Sleep(time.Until(named.Add(behind)))
-	f.g.Expect(f.statusOf(figuresAt).ProofAgeMillis).To(BeNumerically(">", (behind - time.Second).Milliseconds()))
+	time.Sleep(time.Until(namedAt.Add(staleTime)))
+	f.g.Expect(f.statusOf(metricsAddress).ProofAgeMillis).To(BeNumerically(">", (staleTime - time.Second).Milliseconds()))
 	calls := r.door.Calls()
 	r.door.CatchUp()
-	f.g.Expect(calls).To(BeNumerically("<", 40), "the store is asked with pauses")
+	f.g.Expect(calls).To(BeNumerically("<", 40), "the router pauses between calls to the store")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
-	f.g.Expect(r.olderUntil(2)).To(BeTemporally("<", named.Add(deadline)))
-	f.g.Eventually(func() int64 { return f.statusOf(figuresAt).ProofAgeMillis }, 2*time.Second, 10*time.Millisecond).Should(BeNumerically("<", 1000))
+	f.g.Expect(r.oldWeightsExpiry(2)).To(BeTemporally("<", namedAt.Add(deadline)))
+	f.g.Eventually(func() int64 { return f.statusOf(metricsAddress).ProofAgeMillis }, 2*time.Second, 10*time.Millisecond).Should(BeNumerically("<", 1000))
 }
 
-// Seeds whose calls on runners are not answered, while those on the configuration are,
-// proved the configuration of routers that could read the store themselves: these trusted
-// copies of runners that were 2.2 s old, and sent to runners that had left for 2 s. Where
-// many routers ask a seed they do so each 0.45 s, and another seed may be silent.
-func TestRoutersDoNotWaitForSeedsThatHearNothingOfRunners(t *testing.T) {
-	t.Run("few routers", func(t *testing.T) { testSeedThatHearsNothingOfRunners(t, 0) })
-	t.Run("many routers", func(t *testing.T) { testSeedThatHearsNothingOfRunners(t, 70) })
+// Seeds whose store calls for runners got no answer, while those for the configuration did, proved
+// the configuration of routers that could read the store themselves. These routers trusted copies
+// of the runners that were 2.2 s old, and sent requests to runners that had left 2 s before. Where
+// many routers pull from a seed, each does so every 0.45 s, and another seed may not answer.
+func TestRoutersDoNotWaitForSeedsWithoutRunnerUpdates(t *testing.T) {
+	t.Run("few routers", func(t *testing.T) { testSeedWithoutRunnerUpdates(t, 0) })
+	t.Run("many routers", func(t *testing.T) { testSeedWithoutRunnerUpdates(t, 70) })
 }
 
-func testSeedThatHearsNothingOfRunners(t *testing.T, crowd int) {
-	const bound = 1750 * time.Millisecond // of the 2 s that leaving runners count
+func testSeedWithoutRunnerUpdates(t *testing.T, extraRouters int) {
+	const maxDelay = 1750 * time.Millisecond // requests that reach a leaving runner count as faults after 2 s
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	held, store := holdingStore(f, platform.KindServers)
-	held.Store(false)
-	seedAt, silentAt, figuresAt := loopback.FreeAddress(), silentAddress(f), loopback.FreeAddress()
+	blocked, storeAddress := blockingStore(f, platform.KindServers)
+	blocked.Store(false)
+	seedAddress, silentSeed, metricsAddress := loopback.FreeAddress(), silentAddress(f), loopback.FreeAddress()
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seedAt, []string{seedAt}, store
-		settings.MetricsAddress, settings.DirectFollowers = figuresAt, 1000
+		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seedAddress, []string{seedAddress}, storeAddress
+		settings.MetricsAddress, settings.DirectFollowers = metricsAddress, 1000
 	})
-	askAsMany(f, seedAt, crowd)
-	follower := f.servingRouter("follower", f.asFollower([]string{seedAt, silentAt}))
+	pullAsManyRouters(f, seedAddress, extraRouters)
+	follower := f.servingRouter("follower", f.asFollower([]string{seedAddress, silentSeed}))
 	time.Sleep(1500 * time.Millisecond)
-	held.Store(true)
-	f.runner("p2", "plain") // ends the watch that waits
+	blocked.Store(true)
+	f.runner("p2", "plain") // ends the pending watch
 	follower.logs(`"runner":"p2"`)
 	time.Sleep(500 * time.Millisecond)
-	// Right after all copies were proved.
-	f.g.Eventually(func() int64 { return f.statusOf(figuresAt).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
-	f.changeBoth()
-	left := time.Now()
+	// The change comes right after all copies were proved to be current, which is the worst case.
+	f.g.Eventually(func() int64 { return f.statusOf(metricsAddress).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
+	f.drainRunnerAndNameWeights()
+	changedAt := time.Now()
 	f.g.Eventually(follower.log.String, 4*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineDraining))
-	f.g.Expect(time.Since(left)).To(BeNumerically("<", bound))
-	if crowd == 0 { // made-up routers know nothing
-		f.g.Eventually(seed.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineDraining), "it asks others")
+	f.g.Expect(time.Since(changedAt)).To(BeNumerically("<", maxDelay))
+	if extraRouters == 0 { // the simulated routers have nothing to answer
+		f.g.Eventually(seed.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineDraining), "the seed pulls from other routers")
 	}
 }
 
-// silentAddress returns an address that takes connections and says nothing.
+// silentAddress returns an address that accepts connections and never answers.
 func silentAddress(f *fleet) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -198,8 +200,8 @@
 	return listener.Addr().String()
 }
 
-// askAsMany asks the seed as so many routers would until the test ends.
-func askAsMany(f *fleet, seed string, count int) {
+// pullAsManyRouters pulls from the seed like the given number of routers until the test ends.
+func pullAsManyRouters(f *fleet, seed string, count int) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	f.g.Expect(err).NotTo(HaveOccurred())
 	transport := wire.NewTransport(wire.Identity{Node: "crowd", Incarnation: 1}, listener, func(context.Context, *wire.Envelope) *wire.Envelope { return nil })
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -12,28 +12,30 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners that had said in their answers that they leave went on to get requests: 11 s later
-// from a router that had passed such an answer on. Their entries in the directory said so
-// later, as the store was away, and routers went by the directory alone: the list that they took
-// with the store's return knew nothing of the leaving yet. The tests show it with a store that is
-// there, too, so that a list read anew is only one of the ways back.
+// Runners kept getting requests after their responses had reported that they were leaving, up to 11
+// s later and even from a router that had forwarded such a response. The store was unavailable, so
+// the directory showed it only later, and routers relied on the directory alone: the list that they
+// read when the store returned did not contain the change yet. The tests also cover an available
+// store, since a new list is only one way in which a leaving runner can come back.
 
-// drainTime is how long after a router has passed on an answer that says so a runner that
-// leaves may still get requests from it.
-const drainTime = 2 * time.Second
+// leavingGrace is how long a leaving runner may still get requests from a router that has forwarded
+// one of its responses that reports it.
+const leavingGrace = 2 * time.Second
 
-// leaves has the runners say in all their answers that they leave, and returns from when on.
-func leaves(runners ...*runnerstand.Runner) (announced time.Time) {
+// announceLeaving makes the runners report in all their responses that they are leaving, and
+// returns when that began.
+func announceLeaving(runners ...*runnerstand.Runner) (announcedAt time.Time) {
 	announce(runners, platform.HeaderLeaving, "1")
 	return time.Now()
 }
 
-// arrivedAfterDrain counts the requests that reached the runner later than drainTime after the
-// first one to whose answer it added that it leaves: no router can know of it before.
-func arrivedAfterDrain(runner *runnerstand.Runner, announced time.Time) int {
+// arrivalsAfterGrace returns the number of requests that reached the runner more than leavingGrace
+// after the first request whose response reported that it is leaving. No router can know it before
+// that response.
+func arrivalsAfterGrace(runner *runnerstand.Runner, announcedAt time.Time) int {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(announced) {
-			return arrivedAfter(runner, arrival.At.Add(drainTime))
+		if arrival.At.After(announcedAt) {
+			return arrivalsAfter(runner, arrival.At.Add(leavingGrace))
 		}
 	}
 	return 0
@@ -48,40 +50,40 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
-			f.load(f.routers, time.Second)
+			f.sendLoad(f.routers, time.Second)
 			leaving := f.busiest(2)
-			announced := leaves(leaving...)
-			got := f.load(f.routers, drainTime+3*time.Second)
+			announcedAt := announceLeaving(leaving...)
+			got := f.sendLoad(f.routers, leavingGrace+3*time.Second)
 			for _, runner := range leaving {
-				f.g.Expect(arrivedAfterDrain(runner, announced)).To(BeZero(), "the directory says that %s stays", runner.ID)
+				f.g.Expect(arrivalsAfterGrace(runner, announcedAt)).To(BeZero(), "%s is leaving, although the directory does not say so", runner.ID)
 			}
-			f.g.Expect(got.whole).To(Equal(got.sent), "other runners serve them")
+			f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 		})
 	}
 }
 
-// The list that comes with the store's return knows nothing of the leaving yet.
-func TestDirectoryReadAnewDoesNotBringLeavingRunnersBack(t *testing.T) {
+// The directory that is listed when the store returns does not show yet that the runner is leaving.
+func TestRelistedDirectoryDoesNotRestoreLeavingRunners(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 6, 1, 2)
-	f.load(f.routers, time.Second)
+	f.sendLoad(f.routers, time.Second)
 	leaving := f.busiest(1)
-	announced := leaves(leaving...)
+	announcedAt := announceLeaving(leaving...)
 	for _, r := range f.routers {
 		r.door.Set(storestand.Silent)
 	}
-	f.load(f.routers, drainTime)
+	f.sendLoad(f.routers, leavingGrace)
 	f.list(leaving[0], "ready")
 	for _, r := range f.routers {
 		r.door.Set(storestand.Healthy)
 	}
-	f.load(f.routers, 3*time.Second)
-	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
+	f.sendLoad(f.routers, 3*time.Second)
+	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
 }
 
-// An entry that lapsed with the store comes back as it was; a new start of the runner has said
-// nothing.
-func TestLeavingIsOfOneStart(t *testing.T) {
+// A directory entry that expired while the store was unavailable comes back unchanged, and its
+// runner is still leaving. A new incarnation of the runner is not.
+func TestLeavingSignalAppliesToOneIncarnation(t *testing.T) {
 	t.Parallel()
 	f := &signalFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
@@ -89,40 +91,41 @@
 	leaving := f.startRunner(runnerstand.Config{ID: "p2", Service: "plain", Incarnation: 7})
 	r := f.servingRouter("r", nil)
 	r.logs(`"runner":"p2"`)
-	leaves(other, leaving)
+	announceLeaving(other, leaving)
 	other.Announce()
-	ask := func(times int) {
-		for range times {
+	sendCalls := func(count int) {
+		for range count {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
-	ask(10)
+	sendCalls(10)
 	f.store.Remove(platform.KindServers, leaving.ID)
 	r.logs("runner removed")
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	before := leaving.Arrivals()
-	ask(20)
-	f.g.Expect(leaving.Arrivals()).To(Equal(before), "the same start")
+	sendCalls(20)
+	f.g.Expect(leaving.Arrivals()).To(Equal(before), "the same incarnation is still leaving")
 	leaving.Announce()
 	leaving.Restart()
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
-	ask(20)
-	f.g.Expect(leaving.Arrivals()).To(BeNumerically(">", before), "another start")
+	sendCalls(20)
+	f.g.Expect(leaving.Arrivals()).To(BeNumerically(">", before), "a new incarnation is not leaving")
 }
 
-// A router that was told keeps to it without any other router, and over a suspension.
-func TestRouterOutOfTouchLeavesLeavingRunners(t *testing.T) {
+// A router that received the signal applies it without any other router, and also after its machine
+// was suspended.
+func TestIsolatedRouterAvoidsLeavingRunners(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 4, 1, 1)
-	f.load(f.routers, time.Second)
+	f.sendLoad(f.routers, time.Second)
 	leaving := f.busiest(1)
-	announced := leaves(leaving...)
-	f.load(f.routers, time.Second)
+	announcedAt := announceLeaving(leaving...)
+	f.sendLoad(f.routers, time.Second)
 	f.routers[0].Kill()
 	f.routers[1].door.Set(storestand.Silent)
 	f.routers[1].clock.suspend(time.Second)
-	f.load(f.routers[1:], drainTime+time.Second)
-	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
+	f.sendLoad(f.routers[1:], leavingGrace+time.Second)
+	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
 }
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -7,22 +7,22 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of sharing loads.
+// Intervals of exchanging loads.
 const (
-	// shareInterval is how often schedulers tell each other of changed loads. In the
-	// model of a fleet of 90 runners three schedulers choose as well as one with 5 ms;
-	// with 20 ms one prompt in 100 waits 80 ms (internal/backend, scheduling_test.go).
-	shareInterval = 5 * time.Millisecond
-	// wholeShares is after how many shares one holds all loads, for those that missed
-	// some: twice in the time that the others hold what was told.
-	wholeShares = 50
-	// becomeInterval is how often a router looks whether it has become a scheduler: the
-	// settings that say so come seconds after a change.
-	becomeInterval = 500 * time.Millisecond
+	// loadReportInterval is how often a scheduler sends changed loads to the others. In a simulated
+	// fleet of 90 runners, three schedulers choose as well as a single one at 5 ms; at 20 ms, one
+	// prompt in 100 waits 80 ms (internal/backend, loadsharing_test.go).
+	loadReportInterval = 5 * time.Millisecond
+	// fullReportRounds is the number of rounds after which a report contains all loads, for
+	// schedulers that missed some changes: twice in the time for which they keep reported loads.
+	fullReportRounds = 50
+	// roleCheckInterval is how often a router checks whether it has become a scheduler. The
+	// settings that make it one arrive seconds after a change, so it need not be shorter.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// told takes another scheduler's loads.
-func (s *schedulers) told(router string, share *wire.LoadShare) {
+// handleLoadShare applies the loads, reservations and tenant usage that another scheduler reported.
+func (s *schedulers) handleLoadShare(router string, share *wire.LoadShare) {
 	loads := map[string]backend.Load{}
 	for _, load := range share.GetLoads() {
 		loads[load.GetRunner()] = backend.Load{
@@ -35,49 +35,52 @@
 	defer s.gateway.mutex.Unlock()
 	now := s.gateway.now()
 	s.gateway.runners.SetPeerLoads(now, router, share.GetFull(), loads)
-	for _, told := range share.GetPromises() {
-		s.gateway.order.AddReservation(now, promiseOf(told))
+	for _, reservation := range share.GetPromises() {
+		s.gateway.order.AddReservation(now, promiseOf(reservation))
 	}
 	s.gateway.shares.merge(router, share)
 }
 
-// shareLoop tells the other schedulers what this one has placed, while it is one.
-func (s *schedulers) shareLoop() {
+// loadReportLoop sends what this router has placed to the other schedulers while it is a scheduler
+// itself.
+func (s *schedulers) loadReportLoop() {
 	for round := 0; ; round++ {
-		interval, places := becomeInterval, s.places()
-		if places {
-			interval = shareInterval
+		interval, isScheduler := roleCheckInterval, s.isScheduler()
+		if isScheduler {
+			interval = loadReportInterval
 		}
 		if !s.gateway.pause(interval) {
 			return
 		}
-		if !places {
+		if !isScheduler {
 			continue
 		}
-		whole := round%wholeShares == 0
+		full := round%fullReportRounds == 0
 		s.gateway.mutex.Lock()
-		loads, uses := s.gateway.runners.ChangedLoads(), []*wire.PoolUse(nil)
-		if whole {
+		loads, usage := s.gateway.runners.ChangedLoads(), []*wire.PoolUse(nil)
+		if full {
 			loads = s.gateway.runners.Loads()
-			uses = s.gateway.shares.uses(s.gateway.now())
+			usage = s.gateway.shares.localUsage(s.gateway.now())
 		}
-		promises := s.gateway.order.TakeReservations()
+		reservations := s.gateway.order.TakeReservations()
 		s.gateway.mutex.Unlock()
-		if !whole && len(loads) == 0 && len(promises) == 0 {
+		if !full && len(loads) == 0 && len(reservations) == 0 {
 			continue
 		}
-		message := shareMessage(loads, whole)
-		message.Promises = promiseMessages(promises)
-		if whole {
-			message.Uses = uses
+		message := newLoadShare(loads, full)
+		message.Promises = promiseMessages(reservations)
+		if full {
+			message.Uses = usage
 			message.Routers = uint32(s.gateway.relays.countRouters())
 		}
-		s.share(message)
+		s.broadcastLoadShare(message)
 	}
 }
 
-func shareMessage(loads map[string]backend.Load, whole bool) *wire.LoadShare {
-	share := &wire.LoadShare{Full: whole}
+// newLoadShare returns the message that reports the loads. full means that they are all loads of
+// this router.
+func newLoadShare(loads map[string]backend.Load, full bool) *wire.LoadShare {
+	share := &wire.LoadShare{Full: full}
 	for id, load := range loads {
 		share.Loads = append(share.Loads, &wire.RunnerLoad{
 			Runner: id, Tokens: uint32(max(load.Tokens, 0)), Requests: uint32(max(load.Requests, 0)),
@@ -88,15 +91,15 @@
 	return share
 }
 
-func (s *schedulers) share(share *wire.LoadShare) {
-	for _, address := range s.others() {
-		// What is lost is told again with all loads.
+func (s *schedulers) broadcastLoadShare(share *wire.LoadShare) {
+	for _, address := range s.otherSchedulers() {
+		// Lost reports are repaired by the next one with all loads.
 		_ = s.gateway.relays.transport.Send("", address, &wire.Envelope{Body: &wire.Envelope_LoadShare{LoadShare: share}})
 	}
 }
 
-// others returns the other routers that place requests.
-func (s *schedulers) others() []string {
+// otherSchedulers returns the addresses of the schedulers other than this router.
+func (s *schedulers) otherSchedulers() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.ranking.Others()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -174,10 +174,10 @@
 		m.calls, m.latencies, m.firstEvents, m.refusals, m.attempts, m.retries, m.runnerFailures, m.placements, m.promptTokens, m.runnerChecks, m.runnerEndRuns, m.quarantines, m.quarantineTimes, m.signals, m.limitedSends, m.permitAges, m.grants, m.suspensions, m.connections, m.silentConnections,
 		m.storeCalls, m.storeFailures, m.storeRestores, m.storeBehind, m.storeLosses, m.renewals, m.peerCalls, m.orders, m.weightUpdates, m.cacheReads, m.sources, m.choices, m.placementCalls, m.yields, m.returns, m.shareRefusals,
 		m.quotaDecisions, m.quotaFalseRefusals, m.quotaCalls, m.quotaWaits, &runnerStates{gateway: g}, &copyAges{gateway: g}, &contentStates{gateway: g}, &serviceWork{gateway: g},
-		gauge("placed_requests", "Open requests that this router has placed for others.", func() float64 { return g.schedulers.open() }),
+		gauge("placed_requests", "Open requests that this router has placed for others.", func() float64 { return g.schedulers.placedCount() }),
 		gauge("routers", "Routers that there seem to be, by which budgets and limits are shared out; 0 when unknown.", func() float64 { return float64(g.routers.Load()) }),
 		gauge("quota_tenants", "Tenants whose limits this router keeps a part of.", func() float64 { return g.limits.Tenants() }),
-		gauge("share_tenants", "Tenants of whose recent use of services this router keeps a sum.", func() float64 { return g.shares.tenants() }),
+		gauge("share_tenants", "Tenants of whose recent use of services this router keeps a sum.", func() float64 { return g.shares.tenantCount() }),
 		gauge("store_era", "Era of the store: how often it came back from a copy, counted by itself; 0 when unknown.", func() float64 { return float64(g.era.newest()) }),
 		gauge("config_version", "Version of the configuration in force.", g.configVersion),
 		gauge("config_proof_age_seconds", "Time since the configuration in force was proved; -1 without one.", g.proofAge),
@@ -293,8 +293,8 @@
 
 // Who chose a runner, in counters and logs.
 const (
-	chosenByScheduler = "scheduler"
-	chosenHere        = "itself"
+	schedulerChoices = "scheduler"
+	chosenHere       = "itself"
 )
 
 // yieldBuckets are shares, dense where little is left.
--- a/internal/gateway/newsoutbox.go
+++ b/internal/gateway/newsoutbox.go
@@ -8,96 +8,100 @@
 )
 
 const (
-	// newsPause is for how long news are gathered: the end of one runner is news of each
-	// request that was there, from each router that had one, and a rack takes many runners
-	// along. What is gathered is one message to each router, some milliseconds later.
-	newsPause = 10 * time.Millisecond
-	// mostNews bounds the records in one message: some 30 KB.
-	mostNews = 256
+	// broadcastDelay is how long changes are collected before they are sent. The crash of one
+	// runner changes one record per request that was running there, at each router that had sent
+	// one, and a failing rack takes many runners down. The delay turns these changes into one
+	// message per router, some milliseconds later.
+	broadcastDelay = 10 * time.Millisecond
+	// maxBroadcastRecords is the maximum number of records in one message, about 30 KB.
+	maxBroadcastRecords = 256
 )
 
-// newsOutbox gathers what has changed for other routers, by key. What was found out here goes
-// to the seeds, and everything to the routers that pull from this one.
-type newsOutbox[K comparable] struct {
+// broadcaster collects the keys of changed records and sends the records to other routers. Changes
+// that this router detected itself go to the seeds, and all changes go to the routers that pull
+// from this one.
+type broadcaster[K comparable] struct {
 	gateway *Gateway
-	// message writes what is known by now of the keys, nil for nothing.
-	message func(now time.Time, keys []K) *wire.Envelope
-	mutex   sync.Mutex
-	// forAll are the keys of what has changed, and forSeeds those of what was found out here.
-	forAll, forSeeds map[K]bool
-	// wanted is told when there is something to send.
-	wanted chan struct{}
+	// encode returns a message with the current records of the keys, or nil if there are none.
+	encode func(now time.Time, keys []K) *wire.Envelope
+	mutex  sync.Mutex
+	// forFollowers holds the keys of all changed records, and forSeeds of those whose change this
+	// router detected itself.
+	forFollowers, forSeeds map[K]bool
+	// wakeup receives a value when there is something to send.
+	wakeup chan struct{}
 }
 
-func newNewsOutbox[K comparable](g *Gateway, message func(time.Time, []K) *wire.Envelope) *newsOutbox[K] {
-	return &newsOutbox[K]{
-		gateway: g, message: message, forAll: map[K]bool{}, forSeeds: map[K]bool{}, wanted: make(chan struct{}, 1),
+func newBroadcaster[K comparable](g *Gateway, encode func(time.Time, []K) *wire.Envelope) *broadcaster[K] {
+	return &broadcaster[K]{
+		gateway: g, encode: encode, forFollowers: map[K]bool{}, forSeeds: map[K]bool{}, wakeup: make(chan struct{}, 1),
 	}
 }
 
-// add has what is known of the keys sent soon, to the seeds too if it was found out here.
-func (o *newsOutbox[K]) add(keys []K, found bool) {
-	if o.gateway.relays.transport == nil || len(keys) == 0 {
+// add queues the records of the keys. local means that this router detected the changes, so that
+// they go to the seeds as well.
+func (b *broadcaster[K]) add(keys []K, local bool) {
+	if b.gateway.relays.transport == nil || len(keys) == 0 {
 		return
 	}
-	o.mutex.Lock()
+	b.mutex.Lock()
 	for _, key := range keys {
-		o.forAll[key] = true
-		if found {
-			o.forSeeds[key] = true
+		b.forFollowers[key] = true
+		if local {
+			b.forSeeds[key] = true
 		}
 	}
-	o.mutex.Unlock()
+	b.mutex.Unlock()
 	select {
-	case o.wanted <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run sends what is gathered until the gateway stops.
-func (o *newsOutbox[K]) run() {
+// run sends queued records until the gateway stops.
+func (b *broadcaster[K]) run() {
 	for {
 		select {
-		case <-o.wanted:
-		case <-o.gateway.ctx.Done():
+		case <-b.wakeup:
+		case <-b.gateway.ctx.Done():
 			return
 		}
-		if !o.gateway.pause(newsPause) {
+		if !b.gateway.pause(broadcastDelay) {
 			return
 		}
-		o.send()
+		b.flush()
 	}
 }
 
-// send sends all that is gathered as it is known by now.
-func (o *newsOutbox[K]) send() {
-	o.mutex.Lock()
-	forAll, forSeeds := o.forAll, o.forSeeds
-	o.forAll, o.forSeeds = map[K]bool{}, map[K]bool{}
-	o.mutex.Unlock()
-	// Whoever misses it hears of it by its next pull, and seeds from the next router that
-	// finds it out.
-	o.sendTo(o.gateway.schedulers.others(), forSeeds)
-	o.sendTo(o.gateway.relays.pushed(o.gateway.now()), forAll)
+// flush sends all queued records in their current state.
+func (b *broadcaster[K]) flush() {
+	b.mutex.Lock()
+	forFollowers, forSeeds := b.forFollowers, b.forSeeds
+	b.forFollowers, b.forSeeds = map[K]bool{}, map[K]bool{}
+	b.mutex.Unlock()
+	// A router that misses a message gets the records with its next pull, and a seed from the next
+	// router that detects the same.
+	b.sendTo(b.gateway.schedulers.otherSchedulers(), forSeeds)
+	b.sendTo(b.gateway.relays.pushed(b.gateway.now()), forFollowers)
 }
 
-func (o *newsOutbox[K]) sendTo(addresses []string, changed map[K]bool) {
+func (b *broadcaster[K]) sendTo(addresses []string, changed map[K]bool) {
 	if len(addresses) == 0 || len(changed) == 0 {
 		return
 	}
-	now, keys := o.gateway.now(), make([]K, 0, len(changed))
+	now, keys := b.gateway.now(), make([]K, 0, len(changed))
 	for key := range changed {
 		keys = append(keys, key)
 	}
 	for len(keys) > 0 {
-		part := keys[:min(len(keys), mostNews)]
-		keys = keys[len(part):]
-		message := o.message(now, part)
+		batch := keys[:min(len(keys), maxBroadcastRecords)]
+		keys = keys[len(batch):]
+		message := b.encode(now, batch)
 		if message == nil {
 			continue
 		}
 		for _, address := range addresses {
-			o.gateway.relays.Send(address, message)
+			b.gateway.relays.Send(address, message)
 		}
 	}
 }
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -33,19 +33,19 @@
 	request.MaxWait = limit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
-		chosen.RetryAfter = g.whenTaken(now, query.Service, request.HeldBack)
+		chosen.RetryAfter = g.heldBackRetryAfter(now, query.Service, request.HeldBack)
 	}
 	if chosen.Status == placement.NoRunner || chosen.Status == placement.AllHeldBack {
 		return chosen, limit, false
 	}
 	refused := chosen.Status == placement.Overloaded
 	forShare = refused && chosen.QueueWait <= limit.MaxQueueAtFairShare
-	g.shares.noteChoice(now, query, chosen, forShare)
+	g.shares.recordChoice(now, query, chosen, forShare)
 	after := g.order.RecordDecision(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case forShare:
 		// A caller that comes back before its tenant's use has faded is refused again.
-		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.fades(limit.Excess))
+		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.recoveryTime(limit.Excess))
 	case refused:
 		chosen.RetryAfter = after
 	}
@@ -68,7 +68,7 @@
 func limitOf(answer *wire.RunnerAnswer) admission.QueueLimit {
 	return admission.QueueLimit{
 		MaxQueue:       time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
-		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: excessOf(answer),
+		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: decodeExcess(answer),
 	}
 }
 
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -46,7 +46,7 @@
 // long as nobody more urgent is refused, and gives way as soon as somebody is.
 func TestBulkGivesWayToUrgentCalls(t *testing.T) {
 	t.Parallel()
-	f, routers, runners, figuresAt := scheduledFleet(t, 1, 1, "p1")
+	f, routers, runners, figuresAt := newScheduledFleet(t, 1, 1, "p1")
 	f.configure(2, rankedRoutes(), goodKey)
 	for _, r := range routers {
 		r.settled(2)
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -25,7 +25,7 @@
 func suspectingGateway() *Gateway {
 	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, direct: newDirectSwitch()}
 	g.suspects = newSuspects(g)
-	g.suspects.learn(oneSuspect(g.now()))
+	g.suspects.merge(oneSuspect(g.now()))
 	return g
 }
 
@@ -41,15 +41,15 @@
 func TestVersionsThatDoNotAskAreToldNoContents(t *testing.T) {
 	t.Parallel()
 	e, g := NewWithT(t), suspectingGateway()
-	e.Expect(g.suspects.answer(&wire.CopyPull{})).To(BeNil())
+	e.Expect(g.suspects.answerPull(&wire.CopyPull{})).To(BeNil())
 	pull := &wire.CopyPull{}
-	g.suspects.ask("seed", pull)
-	told := g.suspects.answer(pull)
+	g.suspects.addPullPosition("seed", pull)
+	told := g.suspects.answerPull(pull)
 	e.Expect(told.GetRecords()).To(HaveLen(1))
-	g.suspects.told("seed", told)
-	g.suspects.ask("seed", pull)
-	e.Expect(g.suspects.answer(pull)).To(BeNil(), "nothing has changed since")
-	g.suspects.told("seed of an earlier version", nil)
+	g.suspects.applyPull("seed", told)
+	g.suspects.addPullPosition("seed", pull)
+	e.Expect(g.suspects.answerPull(pull)).To(BeNil(), "nothing has changed since")
+	g.suspects.applyPull("seed of an earlier version", nil)
 }
 
 func TestRecordsPassBetweenRouters(t *testing.T) {
@@ -57,13 +57,13 @@
 	e, now := NewWithT(t), time.Now()
 	records := oneSuspect(now)
 	records[0].SurvivedAt = now.Add(-30 * time.Second)
-	encoded, err := proto.Marshal(suspectNews(now, records))
+	encoded, err := proto.Marshal(newSuspectNews(now, records))
 	e.Expect(err).NotTo(HaveOccurred())
 	// A later version tells more.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
 	var news wire.SuspectNews
 	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	read := recordsOf(now, news.GetRecords())
+	read := decodeSuspects(now, news.GetRecords())
 	e.Expect(read).To(HaveLen(1))
 	e.Expect(read[0].Content).To(Equal(records[0].Content))
 	e.Expect(read[0].SurvivedAt).To(BeTemporally("~", records[0].SurvivedAt, 2*time.Millisecond))
@@ -89,7 +89,7 @@
 func signallingGateway() *Gateway {
 	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, direct: newDirectSwitch(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	g.signals = newSignals(g)
-	g.signals.learn(signalMessages(g.now(), oneSignal(g.now())))
+	g.signals.merge(encodeSignals(g.now(), oneSignal(g.now())))
 	return g
 }
 
@@ -103,28 +103,28 @@
 func TestVersionsThatDoNotAskAreToldNoSignals(t *testing.T) {
 	t.Parallel()
 	e, g := NewWithT(t), signallingGateway()
-	e.Expect(g.signals.answer(&wire.CopyPull{})).To(BeNil())
+	e.Expect(g.signals.answerPull(&wire.CopyPull{})).To(BeNil())
 	pull := &wire.CopyPull{}
-	g.signals.ask("seed", pull)
-	told := g.signals.answer(pull)
+	g.signals.addPullPosition("seed", pull)
+	told := g.signals.answerPull(pull)
 	e.Expect(told.GetSignals()).To(HaveLen(1))
-	g.signals.told("seed", told)
-	g.signals.ask("seed", pull)
-	e.Expect(g.signals.answer(pull)).To(BeNil(), "nothing has changed since")
-	g.signals.told("seed of an earlier version", nil)
+	g.signals.applyPull("seed", told)
+	g.signals.addPullPosition("seed", pull)
+	e.Expect(g.signals.answerPull(pull)).To(BeNil(), "nothing has changed since")
+	g.signals.applyPull("seed of an earlier version", nil)
 }
 
 func TestSignalsPassBetweenRouters(t *testing.T) {
 	t.Parallel()
 	e, now := NewWithT(t), time.Now()
 	records := oneSignal(now)
-	encoded, err := proto.Marshal(&wire.SignalNews{Signals: signalMessages(now, records)})
+	encoded, err := proto.Marshal(&wire.SignalNews{Signals: encodeSignals(now, records)})
 	e.Expect(err).NotTo(HaveOccurred())
 	// A later version tells more.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
 	var news wire.SignalNews
 	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	read := signalsOf(now, news.GetSignals())
+	read := decodeSignals(now, news.GetSignals())
 	e.Expect(read).To(HaveLen(1))
 	e.Expect(read[0].Runner).To(Equal(records[0].Runner))
 	e.Expect(read[0].Rate).To(Equal(1.5))
@@ -138,7 +138,7 @@
 func TestRatesOfOtherRoutersAreChecked(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
-		read := signalsOf(time.Now(), []*wire.RunnerSignal{{Runner: "a", Named: true, Rate: rate}})
+		read := decodeSignals(time.Now(), []*wire.RunnerSignal{{Runner: "a", Named: true, Rate: rate}})
 		NewWithT(t).Expect(read[0].Limited()).To(BeFalse())
 	}
 }
@@ -148,6 +148,6 @@
 func TestChoicesOfEarlierVersionsGrantNothing(t *testing.T) {
 	t.Parallel()
 	e := NewWithT(t)
-	e.Expect((&placed{asked: time.Now()}).permit().Valid(time.Now())).To(BeFalse())
-	e.Expect((&placed{asked: time.Now(), permitted: true}).permit().Valid(time.Now())).To(BeTrue())
+	e.Expect((&placementChoice{requestedAt: time.Now()}).permit().Valid(time.Now())).To(BeFalse())
+	e.Expect((&placementChoice{requestedAt: time.Now(), permitted: true}).permit().Valid(time.Now())).To(BeTrue())
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -7,44 +7,46 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// whenTaken is when a refused caller may come back: at the end of the first rest, or when a
-// limit allows its request after those that were refused before it. The gateway's mutex is held.
-func (g *Gateway) whenTaken(now time.Time, service string, held placement.HeldBack) time.Duration {
-	if held.Limited == 0 {
-		return held.RestWait
+// heldBackRetryAfter returns the delay after which a refused caller should retry: when the first
+// backoff ends, or when a limit allows its request after those of callers refused earlier. The
+// caller holds the gateway's mutex.
+func (g *Gateway) heldBackRetryAfter(now time.Time, service string, heldBack placement.HeldBack) time.Duration {
+	if heldBack.Limited == 0 {
+		return heldBack.RestWait
 	}
-	allowed := g.runners.Permits().RetryAfter(now, service, held.LimitWait, held.Rate)
-	if held.Resting > 0 {
-		return min(allowed, held.RestWait)
+	limitRetryAfter := g.runners.Permits().RetryAfter(now, service, heldBack.LimitWait, heldBack.Rate)
+	if heldBack.Resting > 0 {
+		return min(limitRetryAfter, heldBack.RestWait)
 	}
-	return allowed
+	return limitRetryAfter
 }
 
-// setPermits takes into how many parts limits are cut, 0 if this router grants none. A router
-// that knows no others keeps to all of each limit by itself.
-func (g *Gateway) setPermits(alone bool, parts int) {
+// configurePermits sets the number of schedulers among which the runners' limits are divided, 0 if
+// this router is not a scheduler. A standalone router grants the whole of every limit.
+func (g *Gateway) configurePermits(standalone bool, schedulerCount int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if alone {
+	if standalone {
 		g.runners.Permits().SetStandalone()
 		return
 	}
-	g.runners.Permits().SetSchedulerCount(g.now(), parts)
+	g.runners.Permits().SetSchedulerCount(g.now(), schedulerCount)
 }
 
-// takePermit takes the permit for the send to the chosen runner, if that limits requests: the
-// scheduler's that chose it, or one of this router's own part. The gateway's mutex is held.
+// takePermit takes the permit for the send to the chosen runner, if the runner limits its requests:
+// the one granted by the scheduler that chose it, or one from this router's own share. The caller
+// holds the gateway's mutex.
 func (c *call) takePermit(now time.Time, runner string) {
 	if c.placed != nil {
-		c.permit, c.permitAt = c.placed.permit(), c.placed.asked
+		c.permit, c.permitAt = c.placed.permit(), c.placed.requestedAt
 		return
 	}
-	c.permit, c.permitAt = c.gateway.grant(now, c.service, runner), now
+	c.permit, c.permitAt = c.gateway.grantPermit(now, c.service, runner), now
 }
 
-// grant spends this router's next permit for the runner, if that limits requests. The
-// gateway's mutex is held.
-func (g *Gateway) grant(now time.Time, service, runner string) backpressure.Permit {
+// grantPermit takes a permit for the runner from this router's share, if the runner limits its
+// requests. The caller holds the gateway's mutex.
+func (g *Gateway) grantPermit(now time.Time, service, runner string) backpressure.Permit {
 	permit := g.runners.TakePermit(now, runner)
 	if permit.Valid(now) {
 		g.metrics.grants.WithLabelValues(service).Inc()
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -12,74 +12,78 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// placed is a scheduler's choice for one send.
-type placed struct {
-	scheduler string
-	send      uint64
-	runner    string
-	// cachedTokens is how much of the prompt the runner is expected to keep, wait the
-	// expected time to the first token, and pendingRequests how many it had.
+// placementChoice is a scheduler's answer to a placement request for one send.
+type placementChoice struct {
+	scheduler  string
+	sendNumber uint64
+	runner     string
+	// cachedTokens is the number of prompt tokens that the runner is expected to have cached,
+	// expectedWait the expected time to the first token, and pendingRequests the number of requests
+	// that the runner had when it was chosen.
 	cachedTokens    int
-	wait            time.Duration
+	expectedWait    time.Duration
 	pendingRequests int
-	// refused is set, in place of a runner, when the request would queue for too long
-	// everywhere, and retryAfter is when there will be room.
-	refused    bool
+	// overloaded is set, and runner is empty, when the request would queue for too long at every
+	// runner. retryAfter is the delay after which there is expected to be capacity.
+	overloaded bool
 	retryAfter time.Duration
-	// queueing is the time that the request is expected to queue, and limit the bound
-	// that held for it. forShare is set when it was refused only for its tenant's share.
-	queueing time.Duration
-	limit    admission.QueueLimit
-	forShare bool
-	// heldBack is set in place of a runner when all of them take no request now, and
-	// permitted when the choice is one that the limit of its runner allows; asked is when the
-	// scheduler was asked.
-	heldBack  bool
-	permitted bool
-	asked     time.Time
+	// queueWait is the time that the request is expected to queue, and queueLimit the limit on it
+	// that was applied. forShare is set when the request was refused only because its tenant
+	// exceeds its fair share.
+	queueWait  time.Duration
+	queueLimit admission.QueueLimit
+	forShare   bool
+	// heldBack is set, and runner is empty, when no runner accepts a request at present. permitted
+	// is set when the runner limits its requests and the scheduler granted a permit; requestedAt is
+	// when the scheduler was asked.
+	heldBack    bool
+	permitted   bool
+	requestedAt time.Time
 }
 
-// placementAsk is a question to a scheduler that is under way.
-type placementAsk struct {
+// placementRequest is a request to a scheduler that has not been answered yet.
+type placementRequest struct {
 	schedulers *schedulers
 	scheduler  string
-	answers    chan *placed
-	// unwanted is closed when nobody waits any more.
-	unwanted chan struct{}
+	choices    chan *placementChoice
+	// cancelled is closed when nobody waits for the choice any more.
+	cancelled chan struct{}
 }
 
-// ask asks the nearest scheduler for a runner. It returns nil when this router is to
-// choose itself.
-func (s *schedulers) ask(query backend.Query, left time.Duration) *placementAsk {
+// requestPlacement asks the nearest scheduler to choose a runner. It returns nil if this router has
+// to choose one itself.
+func (s *schedulers) requestPlacement(query backend.Query, timeLeft time.Duration) *placementRequest {
 	scheduler := s.nearest(s.gateway.now())
 	if scheduler == "" {
 		return nil
 	}
-	a := &placementAsk{schedulers: s, scheduler: scheduler, answers: make(chan *placed), unwanted: make(chan struct{})}
-	message := askMessage(query, s.sends.Add(1), left)
+	r := &placementRequest{schedulers: s, scheduler: scheduler, choices: make(chan *placementChoice), cancelled: make(chan struct{})}
+	message := encodePlacementQuery(query, s.lastSendNumber.Add(1), timeLeft)
 	go func() {
-		answer := s.call(scheduler, message)
+		choice := s.callScheduler(scheduler, message)
 		select {
-		case a.answers <- answer:
-		case <-a.unwanted:
-			s.release(answer)
+		case r.choices <- choice:
+		case <-r.cancelled:
+			s.release(choice)
 		}
 	}()
-	return a
+	return r
 }
 
-func askMessage(query backend.Query, send uint64, left time.Duration) *wire.RunnerAsk {
+// encodePlacementQuery returns the message that asks a scheduler for a runner. Resting times are at
+// least 1 ms, so that they remain non-zero on the wire.
+func encodePlacementQuery(query backend.Query, sendNumber uint64, timeLeft time.Duration) *wire.RunnerAsk {
 	message := &wire.RunnerAsk{
-		Send: send, Service: query.Service, Model: query.Model, Owner: query.Owner, PromptTokens: uint32(max(query.PromptTokens, 0)),
-		Family: query.Family, Excluded: query.Excluded, Zone: query.Zone, LeftMillis: uint32(max(left.Milliseconds(), 0)),
+		Send: sendNumber, Service: query.Service, Model: query.Model, Owner: query.Owner, PromptTokens: uint32(max(query.PromptTokens, 0)),
+		Family: query.Family, Excluded: query.Excluded, Zone: query.Zone, LeftMillis: uint32(max(timeLeft.Milliseconds(), 0)),
 		MaxQueueMillis: uint32(query.MaxQueueTime.Milliseconds()),
 		TargetMillis:   uint32(query.TargetLatency.Milliseconds()), GapMillis: uint32(query.MaxEventGap.Milliseconds()),
 		Tier: uint32(query.Rank.Tier), RouteRank: uint32(query.Rank.Route), Tenant: query.Tenant,
 		MaxTokens: uint32(max(query.MaxTokens, 0)), Ticket: query.Ticket, Suspect: query.SuspectContent,
 	}
-	for _, rest := range query.Resting {
-		message.Resting = append(message.Resting, rest.Runner)
-		message.RestingMillis = append(message.RestingMillis, uint32(max(rest.Remaining.Milliseconds(), 1)))
+	for _, resting := range query.Resting {
+		message.Resting = append(message.Resting, resting.Runner)
+		message.RestingMillis = append(message.RestingMillis, uint32(max(resting.Remaining.Milliseconds(), 1)))
 	}
 	for _, part := range query.Shared {
 		message.Parts = append(message.Parts, part.ID)
@@ -88,136 +92,141 @@
 	return message
 }
 
-// call makes one question and returns the choice, or nil.
-func (s *schedulers) call(scheduler string, ask *wire.RunnerAsk) *placed {
-	asked := s.gateway.now()
-	reply, taken := s.gateway.relays.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: ask}})
+// callScheduler sends one request to a scheduler and returns its choice, or nil if the scheduler
+// declined, failed to answer or has no runner.
+func (s *schedulers) callScheduler(scheduler string, message *wire.RunnerAsk) *placementChoice {
+	requestedAt := s.gateway.now()
+	reply, roundTrip := s.gateway.relays.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: message}})
 	answer := reply.GetRunnerAnswer()
 	answered := answer != nil && !answer.GetDeclined()
-	s.gateway.metrics.placementCalls.WithLabelValues(outcomeOf(answered)).Observe(taken.Seconds())
+	s.gateway.metrics.placementCalls.WithLabelValues(outcomeOf(answered)).Observe(roundTrip.Seconds())
 	if !answered {
-		s.noteSilence(scheduler)
+		s.markUnresponsive(scheduler)
 		return nil
 	}
 	s.mutex.Lock()
-	s.ranking.NoteAnswer(scheduler, answer.GetZone(), taken)
+	s.ranking.NoteAnswer(scheduler, answer.GetZone(), roundTrip)
 	s.mutex.Unlock()
-	queueing, limit := time.Duration(answer.GetQueueMillis())*time.Millisecond, limitOf(answer)
+	queueWait, queueLimit := time.Duration(answer.GetQueueMillis())*time.Millisecond, limitOf(answer)
 	if answer.GetOverloaded() {
-		return &placed{
-			scheduler: scheduler, refused: true, retryAfter: time.Duration(answer.GetRetryAfterMillis()) * time.Millisecond,
-			queueing: queueing, limit: limit, forShare: answer.GetForShare(),
+		return &placementChoice{
+			scheduler: scheduler, overloaded: true, retryAfter: time.Duration(answer.GetRetryAfterMillis()) * time.Millisecond,
+			queueWait: queueWait, queueLimit: queueLimit, forShare: answer.GetForShare(),
 		}
 	}
 	if answer.GetHeldBack() {
-		return &placed{scheduler: scheduler, heldBack: true, retryAfter: time.Duration(answer.GetRetryAfterMillis()) * time.Millisecond, limit: limit}
+		return &placementChoice{scheduler: scheduler, heldBack: true, retryAfter: time.Duration(answer.GetRetryAfterMillis()) * time.Millisecond, queueLimit: queueLimit}
 	}
 	if answer.GetRunner() == "" {
 		return nil
 	}
-	return &placed{
-		scheduler: scheduler, send: ask.GetSend(), runner: answer.GetRunner(), cachedTokens: int(answer.GetCachedTokens()),
-		wait: time.Duration(answer.GetWaitMillis()) * time.Millisecond, pendingRequests: int(answer.GetPendingRequests()),
-		queueing: queueing, limit: limit, permitted: answer.GetPermitted(), asked: asked,
+	return &placementChoice{
+		scheduler: scheduler, sendNumber: message.GetSend(), runner: answer.GetRunner(), cachedTokens: int(answer.GetCachedTokens()),
+		expectedWait: time.Duration(answer.GetWaitMillis()) * time.Millisecond, pendingRequests: int(answer.GetPendingRequests()),
+		queueWait: queueWait, queueLimit: queueLimit, permitted: answer.GetPermitted(), requestedAt: requestedAt,
 	}
 }
 
-// permit is what the scheduler has granted for the send, if its runner limits requests.
-func (p *placed) permit() backpressure.Permit {
+// permit returns the permit that the scheduler granted for the send. It is invalid if the runner
+// does not limit its requests.
+func (p *placementChoice) permit() backpressure.Permit {
 	if !p.permitted {
 		return backpressure.Permit{}
 	}
-	return backpressure.NewPermit(p.asked)
+	return backpressure.NewPermit(p.requestedAt)
 }
 
-// noteSilence has a scheduler that did not answer asked last for a while.
-func (s *schedulers) noteSilence(scheduler string) {
+// markUnresponsive makes this router ask the scheduler last for a while.
+func (s *schedulers) markUnresponsive(scheduler string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ranking.NoteSilence(s.gateway.now(), scheduler)
 }
 
-// await returns the choice, or nil if it does not come in time.
-func (a *placementAsk) await(ctx context.Context) *placed {
-	if a == nil {
+// await returns the choice, or nil if none arrives within the timeout or before the context is
+// done. A choice that arrives later is released.
+func (r *placementRequest) await(ctx context.Context) *placementChoice {
+	if r == nil {
 		return nil
 	}
-	timer := time.NewTimer(a.schedulers.gateway.settings.PlacePatience)
+	timer := time.NewTimer(r.schedulers.gateway.settings.PlacePatience)
 	defer timer.Stop()
 	select {
-	case answer := <-a.answers:
-		return answer
+	case choice := <-r.choices:
+		return choice
 	case <-timer.C:
-		a.schedulers.noteSilence(a.scheduler)
+		r.schedulers.markUnresponsive(r.scheduler)
 	case <-ctx.Done():
 	}
-	close(a.unwanted)
+	close(r.cancelled)
 	return nil
 }
 
-// abandon ends the question for a call that sends nothing.
-func (a *placementAsk) abandon() {
-	if a != nil {
-		close(a.unwanted)
+// discard ends the request when the call does not send anything.
+func (r *placementRequest) discard() {
+	if r != nil {
+		close(r.cancelled)
 	}
 }
 
-// release tells the scheduler that its choice is not used. The time since the choice, in
-// which mostly a body arrived, says nothing about the runner.
-func (s *schedulers) release(p *placed) { s.notify(p, true, backend.NotConfirmed, 0, 0) }
+// release tells the scheduler that its choice is not used. The outcome is NotConfirmed because the
+// time since the choice was mostly spent receiving the request body and is no evidence about the
+// runner.
+func (s *schedulers) release(p *placementChoice) { s.notify(p, true, backend.NotConfirmed, 0, 0) }
 
-// notify tells the scheduler what became of the send, the version of the weights that
-// answered, if known, and the rest that the runner wants, if any. A lost notice is made up for
-// when the request's time is over.
-func (s *schedulers) notify(p *placed, ended bool, outcome backend.Outcome, weights uint64, rest time.Duration) {
-	if p == nil || p.refused || p.heldBack {
+// notify tells the scheduler that the send got its first response or ended, which weight version
+// answered, if known, and the backoff that the runner requested, if any. If the notice is lost, the
+// scheduler drops the send after its deadline.
+func (s *schedulers) notify(p *placementChoice, ended bool, outcome backend.Outcome, weightVersion uint64, backoff time.Duration) {
+	if p == nil || p.overloaded || p.heldBack {
 		return
 	}
 	_ = s.gateway.relays.transport.Send("", p.scheduler, &wire.Envelope{Body: &wire.Envelope_SendNotice{
-		SendNotice: &wire.SendNotice{Send: p.send, Ended: ended, Outcome: uint32(outcome), Weights: weights, RestMillis: uint32(rest.Milliseconds())},
+		SendNotice: &wire.SendNotice{Send: p.sendNumber, Ended: ended, Outcome: uint32(outcome), Weights: weightVersion, RestMillis: uint32(backoff.Milliseconds())},
 	}})
 }
 
-// startPlacement asks for the runner of the next send: of the first one while the
-// call's body arrives.
+// startPlacement requests a runner for the next send. For the first send it does so while the
+// request body arrives.
 func (c *call) startPlacement() {
 	c.query = c.newQuery()
-	c.placing = c.gateway.schedulers.ask(c.query, c.gateway.until(c.deadline))
+	c.placing = c.gateway.schedulers.requestPlacement(c.query, c.gateway.until(c.deadline))
 }
 
-// awaitPlacement returns a scheduler's choice for the next send, or nil.
-func (c *call) awaitPlacement() *placed {
-	answer := c.placing.await(c.ctx)
+// awaitPlacement returns the scheduler's choice for the next send, or nil if there is none.
+func (c *call) awaitPlacement() *placementChoice {
+	choice := c.placing.await(c.ctx)
 	c.placing = nil
-	return answer
+	return choice
 }
 
-// takePlaced takes a scheduler's choice, if this router knows nothing against it. The
-// gateway's mutex is held.
-func (c *call) takePlaced(now time.Time, choice *placed) (placement.Pick, bool) {
+// acceptChoice returns the pick that corresponds to a scheduler's choice. It returns false if there
+// is no choice, and rejects and releases the choice of a runner that this router knows not to be
+// usable. The caller holds the gateway's mutex.
+func (c *call) acceptChoice(now time.Time, choice *placementChoice) (placement.Pick, bool) {
 	g := c.gateway
 	c.placed = nil
 	if choice == nil {
 		return placement.Pick{}, false
 	}
-	g.shares.hear(now, c.query, choice.limit.Excess)
-	c.limit, c.forShare = choice.limit, choice.forShare
-	if choice.refused {
-		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueing}, true
+	g.shares.recordReportedExcess(now, c.query, choice.queueLimit.Excess)
+	c.limit, c.forShare = choice.queueLimit, choice.forShare
+	if choice.overloaded {
+		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueWait}, true
 	}
 	if choice.heldBack {
 		return placement.Pick{Status: placement.AllHeldBack, RetryAfter: choice.retryAfter}, true
 	}
 	if !g.runners.Usable(now, choice.runner, c.query, choice.permit()) {
 		c.note(events.PlacementDeclined, events.Fields{"runner": choice.runner, "scheduler": choice.scheduler})
-		if declined, listed := g.runners.Get(choice.runner); listed {
-			g.signals.repeat(now, declined)
+		if rejected, listed := g.runners.Get(choice.runner); listed {
+			g.signals.resend(now, rejected)
 		}
 		g.schedulers.release(choice)
 		return placement.Pick{}, false
 	}
 	c.placed = choice
-	return placement.Pick{Status: placement.Picked, Wait: choice.wait, QueueWait: choice.queueing, Candidate: placement.Candidate{
+	return placement.Pick{Status: placement.Picked, Wait: choice.expectedWait, QueueWait: choice.queueWait, Candidate: placement.Candidate{
 		Name: choice.runner, CachedTokens: choice.cachedTokens, PendingRequests: choice.pendingRequests,
 	}}, true
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -18,89 +18,89 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners ended one after the other, 20 within seconds, and streams of all others on them
-// were cut midway. One tenant asked the same again and again, each time as a new request and
-// at another router, and each runner that began to run it ended. Every router knew its own
-// requests only, and no request beyond its end: evidence was kept on runners and tenants,
-// none on what was asked. The logs showed 18 requests of one tenant, route and length, each
-// sent once, each the last thing that its runner did; no other request was at two of the
-// runners that ended.
+// Runners crashed one after the other, 20 within seconds, and all other streams on them were cut.
+// One tenant sent the same content again and again, each time as a new request and to another
+// router, and it crashed each runner that began to process it. Every router knew only its own
+// requests, and none of them after their end: failures were recorded for runners and tenants, but
+// not for contents. The logs showed 18 requests of one tenant, route and length, each sent once,
+// and each the last that its runner processed. No other request had been on two of the crashed
+// runners.
 
 const (
-	// contactTime is how long after a third runner has ended its requests may still be sent:
-	// routers need not have heard of it.
-	contactTime = 3 * time.Second
-	// sendsAfter is how many sends are borne after that.
-	sendsAfter = 3
-	// innocentRefusals is one in how many requests of others may be refused at most.
-	innocentRefusals = 200
-	// reviveTime is how long an ended runner takes to start again, as another incarnation.
-	reviveTime = 1500 * time.Millisecond
-	poisonBody = "a body that ends runners"
+	// propagationTime is how long after the third crash the poison request may still be sent,
+	// because routers may not know of the crashes yet.
+	propagationTime = 3 * time.Second
+	// maxSendsAfter is the number of runs of the poison that are tolerated after that.
+	maxSendsAfter = 3
+	// minSendsPerRefusal bounds the share of refused innocent requests: at most one in this many.
+	minSendsPerRefusal = 200
+	// restartDelay is the time in which a crashed runner restarts as another incarnation.
+	restartDelay = 1500 * time.Millisecond
+	poisonBody   = "a body that ends runners"
 )
 
-// poisonedFleet is runners that end under poisonBody and start again, before routers.
+// poisonedFleet is a fleet whose runners crash when they process poisonBody, and restart.
 type poisonedFleet struct {
 	*fleet
 	service string
 	silent  bool
 	routers []*router
-	// poisonEvery is one in how many thirtieths of a second the poison is sent.
+	// poisonEvery is the number of ticks of a thirtieth of a second between two poison requests.
 	poisonEvery int
 	mutex       sync.Mutex
-	// started holds all runners that ever were, and ends when some of them ended.
-	started []*runnerstand.Runner
-	ends    []time.Time
-	reviver sync.WaitGroup
+	// runners holds all runners that were ever started, and crashTimes when some of them crashed.
+	runners    []*runnerstand.Runner
+	crashTimes []time.Time
+	restarts   sync.WaitGroup
 }
 
-// newPoisonedFleet starts runners of a model; silent ones end without the head of an answer.
-func newPoisonedFleet(t *testing.T, runners int, silent bool) *poisonedFleet {
-	return newPoisonedService(t, "engines", runners, silent)
+// newPoisonedFleet starts runners of a model. Silent ones crash before they send response headers.
+func newPoisonedFleet(t *testing.T, count int, silent bool) *poisonedFleet {
+	return newPoisonedServiceFleet(t, "engines", count, silent)
 }
 
-func newPoisonedService(t *testing.T, service string, runners int, silent bool) *poisonedFleet {
+func newPoisonedServiceFleet(t *testing.T, service string, count int, silent bool) *poisonedFleet {
 	p := &poisonedFleet{fleet: newFleet(t), service: service, silent: silent, poisonEvery: 5}
 	p.configure(1, defaultRoutes(), goodKey)
-	for range runners {
-		p.start()
+	for range count {
+		p.startNext()
 	}
-	t.Cleanup(p.reviver.Wait)
+	t.Cleanup(p.restarts.Wait)
 	return p
 }
 
-// start starts one more runner.
-func (p *poisonedFleet) start() {
+// startNext starts one more runner.
+func (p *poisonedFleet) startNext() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	config := runnerstand.Config{
-		ID: fmt.Sprintf("e%d", len(p.started)), Service: p.service,
-		Poison: runnerstand.Poison{Prefix: poisonBody, After: 60 * time.Millisecond, Silent: p.silent, Ended: p.ended},
+		ID: fmt.Sprintf("e%d", len(p.runners)), Service: p.service,
+		Poison: runnerstand.Poison{Prefix: poisonBody, After: 60 * time.Millisecond, Silent: p.silent, Ended: p.runnerCrashed},
 	}
 	if p.service == "engines" {
 		config.Model, config.Version, config.Events, config.EventTime = modelName, 1, 4, 40*time.Millisecond
 	}
-	p.started = append(p.started, p.startRunner(config))
+	p.runners = append(p.runners, p.startRunner(config))
 }
 
-// ended notes the end of a runner and starts it again later.
-func (p *poisonedFleet) ended(runner *runnerstand.Runner, _ runnerstand.Run) {
+// runnerCrashed records the crash of a runner and restarts it after restartDelay.
+func (p *poisonedFleet) runnerCrashed(runner *runnerstand.Runner, _ runnerstand.Run) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.ends = append(p.ends, time.Now())
-	p.reviver.Go(func() {
+	p.crashTimes = append(p.crashTimes, time.Now())
+	p.restarts.Go(func() {
 		select {
-		case <-time.After(reviveTime):
+		case <-time.After(restartDelay):
 		case <-p.t.Context().Done():
 			return
 		}
 		p.store.Remove(platform.KindServers, runner.ID)
-		p.start()
+		p.startNext()
 	})
 }
 
-// route starts a seed and followers before the runners.
-func (p *poisonedFleet) route(followers int) {
+// startRouters starts a seed and followers.
+func (p *poisonedFleet) startRouters(followers int) {
 	seeds := []string{loopback.FreeAddress()}
 	p.routers = append(p.routers, p.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seeds[0], seeds }))
 	for i := range followers {
@@ -108,49 +108,50 @@
 	}
 }
 
-// endedBy returns how many runners have ended, and the moment after which sends count.
-func (p *poisonedFleet) endedBy() (count int, counted time.Time) {
+// crashCount returns the number of crashes, and from when on sends of the poison count, which is
+// zero before the third crash.
+func (p *poisonedFleet) crashCount() (count int, countFrom time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.ends) >= 3 {
-		counted = p.ends[2].Add(contactTime)
+	if len(p.crashTimes) >= 3 {
+		countFrom = p.crashTimes[2].Add(propagationTime)
 	}
-	return len(p.ends), counted
+	return len(p.crashTimes), countFrom
 }
 
-// sentAfter counts the runs of the poison that began after the moment.
-func (p *poisonedFleet) sentAfter(moment time.Time) (sent int) {
+// poisonRunsAfter returns the number of runs of the poison that began after the moment.
+func (p *poisonedFleet) poisonRunsAfter(moment time.Time) (count int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, runner := range p.started {
+	for _, runner := range p.runners {
 		for _, run := range runner.Runs() {
 			if run.Body == poisonBody && run.Began.After(moment) {
-				sent++
+				count++
 			}
 		}
 	}
-	return sent
+	return count
 }
 
-// asking replaces a call's body.
-func asking(body string) func(*http.Request) {
+// withBody replaces the body of a call.
+func withBody(body string) func(*http.Request) {
 	return func(request *http.Request) {
 		request.Body, request.GetBody, request.ContentLength = io.NopCloser(strings.NewReader(body)), nil, int64(len(body))
 	}
 }
 
-// outcomes counts what callers got.
+// outcomes counts the results of calls.
 type outcomes struct {
-	mutex                        sync.Mutex
-	group                        sync.WaitGroup
-	sent, whole, refused, broken int
+	mutex                            sync.Mutex
+	group                            sync.WaitGroup
+	sent, succeeded, refused, failed int
 }
 
-// ask sends a call beside others and counts its outcome.
-func (o *outcomes) ask(r *router, path, body string) { o.askWith(r, path, asking(body)) }
+// send makes a call in the background and counts its result.
+func (o *outcomes) send(r *router, path, body string) { o.sendWith(r, path, withBody(body)) }
 
-// askWith sends a changed call beside others and counts its outcome.
-func (o *outcomes) askWith(r *router, path string, change func(*http.Request)) {
+// sendWith makes a modified call in the background and counts its result.
+func (o *outcomes) sendWith(r *router, path string, change func(*http.Request)) {
 	o.group.Go(func() {
 		got := r.callWithin(context.Background(), path, change)
 		o.mutex.Lock()
@@ -158,33 +159,33 @@
 		o.sent++
 		switch {
 		case got.cut:
-			o.broken++
+			o.failed++
 		case got.status == http.StatusOK:
-			o.whole++
+			o.succeeded++
 		case got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests:
 			o.refused++
 		default:
-			o.broken++
+			o.failed++
 		}
 	})
 }
 
-// load sends the poison at the routers in turn, beside 30 other requests a second, half of
-// them all the same.
-func (p *poisonedFleet) load(path string, duration time.Duration) (poison, others *outcomes) {
+// sendLoad sends the poison to the routers in turn, beside 30 other requests per second, half of
+// which are identical.
+func (p *poisonedFleet) sendLoad(path string, duration time.Duration) (poison, others *outcomes) {
 	poison, others = &outcomes{}, &outcomes{}
 	ticks := time.NewTicker(time.Second / 30)
 	defer ticks.Stop()
 	for tick := 0; tick < int(duration/(time.Second/30)); tick++ {
 		<-ticks.C
 		r := p.routers[tick%len(p.routers)]
-		body, target := "the same for all", path+"x"
+		body, callPath := "the same for all", path+"x"
 		if tick%2 == 0 {
-			body, target = fmt.Sprintf("body %d", tick), fmt.Sprintf("%s%d", path, tick)
+			body, callPath = fmt.Sprintf("body %d", tick), fmt.Sprintf("%s%d", path, tick)
 		}
-		others.ask(r, target, body)
+		others.send(r, callPath, body)
 		if tick%p.poisonEvery == 0 {
-			poison.ask(p.routers[tick/p.poisonEvery%len(p.routers)], path+"x", poisonBody)
+			poison.send(p.routers[tick/p.poisonEvery%len(p.routers)], path+"x", poisonBody)
 		}
 	}
 	poison.group.Wait()
@@ -192,93 +193,95 @@
 	return poison, others
 }
 
-func TestRequestThatEndsItsRunnersIsNotSentForever(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	for name, test := range map[string]struct {
 		service, path string
 		runners       int
 		silent        bool
 	}{
-		"may run once, after an event":   {"engines", "/once/", 12, false},
-		"may run once, without a head":   {"engines", "/once/", 12, true},
-		"may be resumed, after an event": {"engines", "/stream/", 12, false},
-		"may be resumed, without a head": {"engines", "/stream/", 12, true},
-		"no model, may run once":         {"plain", "/unsafe/", 4, true},
-		"no model, may be repeated":      {"plain", "/safe/", 4, true},
+		"at most once, crash after an event": {"engines", "/once/", 12, false},
+		"at most once, crash before headers": {"engines", "/once/", 12, true},
+		"resumable, crash after an event":    {"engines", "/stream/", 12, false},
+		"resumable, crash before headers":    {"engines", "/stream/", 12, true},
+		"no model, at most once":             {"plain", "/unsafe/", 4, true},
+		"no model, repeatable":               {"plain", "/safe/", 4, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newPoisonedService(t, test.service, test.runners, test.silent)
-			p.route(2)
-			poison, others := p.load(test.path, 6*time.Second)
-			ended, counted := p.endedBy()
-			t.Logf("runners ended %d, sends after %d; poison %d, refused %d; others %d, whole %d, refused %d, broken %d",
-				ended, p.sentAfter(counted), poison.sent, poison.refused, others.sent, others.whole, others.refused, others.broken)
-			p.g.Expect(ended).To(BeNumerically(">", 0))
-			if !counted.IsZero() {
-				p.g.Expect(p.sentAfter(counted)).To(BeNumerically("<=", sendsAfter), "%d runners ended", ended)
+			p := newPoisonedServiceFleet(t, test.service, test.runners, test.silent)
+			p.startRouters(2)
+			poison, others := p.sendLoad(test.path, 6*time.Second)
+			crashed, countFrom := p.crashCount()
+			t.Logf("crashes %d, late poison runs %d; poison sent %d, refused %d; others sent %d, succeeded %d, refused %d, failed %d",
+				crashed, p.poisonRunsAfter(countFrom), poison.sent, poison.refused, others.sent, others.succeeded, others.refused, others.failed)
+			p.g.Expect(crashed).To(BeNumerically(">", 0))
+			if !countFrom.IsZero() {
+				p.g.Expect(p.poisonRunsAfter(countFrom)).To(BeNumerically("<=", maxSendsAfter), "%d runners crashed", crashed)
 			}
-			p.g.Expect(others.refused*innocentRefusals).To(BeNumerically("<", others.sent), "%d of %d others were refused", others.refused, others.sent)
+			p.g.Expect(others.refused*minSendsPerRefusal).To(BeNumerically("<", others.sent), "%d of %d innocent requests were refused", others.refused, others.sent)
 		})
 	}
 }
 
-// What is known of such a request outlives all routers: each relearning would cost three
-// runners more.
-func TestRequestThatEndsItsRunnersIsKnownAfterTheLossOfAllRouters(t *testing.T) {
+// Routers that start after the loss of all others must know of the poison, since learning it anew
+// costs three more runners.
+func TestQuarantineSurvivesLossOfAllRouters(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 12, false)
-	p.route(2)
-	p.load("/once/", time.Second)
-	ended, _ := p.endedBy()
-	p.g.Expect(ended).To(BeNumerically(">=", 3))
-	time.Sleep(contactTime)
+	p.startRouters(2)
+	p.sendLoad("/once/", time.Second)
+	crashed, _ := p.crashCount()
+	p.g.Expect(crashed).To(BeNumerically(">=", 3))
+	time.Sleep(propagationTime)
 	for range 2 {
 		for _, r := range p.routers {
 			r.Kill()
 		}
 		p.routers = nil
-		p.route(2)
-		p.load("/once/", 2*time.Second)
+		p.startRouters(2)
+		p.sendLoad("/once/", 2*time.Second)
 	}
-	_, counted := p.endedBy()
-	p.g.Expect(p.sentAfter(counted)).To(BeNumerically("<=", sendsAfter))
+	_, countFrom := p.crashCount()
+	p.g.Expect(p.poisonRunsAfter(countFrom)).To(BeNumerically("<=", maxSendsAfter))
 }
 
-// Routers that reach the store and none of each other: each alone would end three runners.
-func TestRoutersThatReachOnlyTheStoreJudgeTogether(t *testing.T) {
+// The routers reach the store but not each other. Without sharing, each of them would crash three
+// runners.
+func TestRoutersExchangeCrashesThroughStore(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 16, false)
 	for i := range 5 {
 		p.routers = append(p.routers, p.servingRouter(fmt.Sprint("alone-", i), p.asFollower([]string{silentPeer(p.fleet)})))
 	}
 	p.poisonEvery = 20
-	p.load("/once/", 10*time.Second)
-	ended, counted := p.endedBy()
-	p.g.Expect(p.sentAfter(counted)).To(BeNumerically("<=", sendsAfter), "%d runners ended", ended)
+	p.sendLoad("/once/", 10*time.Second)
+	crashed, countFrom := p.crashCount()
+	p.g.Expect(p.poisonRunsAfter(countFrom)).To(BeNumerically("<=", maxSendsAfter), "%d runners crashed", crashed)
 }
 
-// A request that waits at a runner when its content is quarantined would end that one, too.
-func TestWhatWaitsAtARunnerWhenItIsQuarantinedIsWithdrawn(t *testing.T) {
+// A request that is queued at a runner when its content is quarantined would crash that runner as
+// well.
+func TestQueuedRequestIsWithdrawnOnQuarantine(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 1, false)
-	p.route(1)
-	slow := p.started[0]
-	slow.Queue(3 * time.Second)
-	slow.Behave(runnerstand.Queues)
-	waiting := make(chan answer, 1)
-	go func() { waiting <- p.routers[1].call("/once/x", asking(poisonBody)) }()
-	p.g.Eventually(slow.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
-	p.list(slow, "draining")
+	p.startRouters(1)
+	queueing := p.runners[0]
+	queueing.Queue(3 * time.Second)
+	queueing.Behave(runnerstand.Queues)
+	answers := make(chan answer, 1)
+	go func() { answers <- p.routers[1].call("/once/x", withBody(poisonBody)) }()
+	p.g.Eventually(queueing.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
+	p.list(queueing, "draining")
 	for range 6 {
-		p.start()
+		p.startNext()
 	}
 	for _, r := range p.routers {
 		r.logs(`"draining":true`)
 		r.logs(`"runner":"e6"`)
 	}
-	p.endRunners(3)
-	got := <-waiting
-	p.g.Expect(got.status).To(Equal(http.StatusBadGateway), "it may have begun")
+	p.crashRunners(3)
+	got := <-answers
+	p.g.Expect(got.status).To(Equal(http.StatusBadGateway), "the runner may have begun to process it")
 	p.g.Expect(got.after).To(BeNumerically("<", 2*time.Second))
-	p.g.Expect(slow.Runs()).To(BeEmpty())
+	p.g.Expect(queueing.Runs()).To(BeEmpty())
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -215,8 +215,8 @@
 	if answer.GetStoreOnly() {
 		r.gateway.transfer.begin()
 	}
-	r.gateway.suspects.told(address, answer.GetSuspects())
-	r.gateway.signals.told(address, answer.GetSignals())
+	r.gateway.suspects.applyPull(address, answer.GetSuspects())
+	r.gateway.signals.applyPull(address, answer.GetSignals())
 	r.gateway.takeBounds(answer.GetWeightBounds(), sent)
 	r.applyDeltas(deltas, proof{at: sent.Add(-age), given: true})
 	r.checkProofs(answer, sent, age)
@@ -268,8 +268,8 @@
 		// The first answer is to be small, and a whole feed is not asked for twice soon.
 		g.caches.ask(address, request)
 	}
-	g.suspects.ask(address, request)
-	g.signals.ask(address, request)
+	g.suspects.addPullPosition(address, request)
+	g.signals.addPullPosition(address, request)
 	for _, kind := range kinds {
 		request.Have = append(request.Have, &wire.CopyRevision{Kind: uint32(kind), Revision: uint64(g.copies.revision(kind))})
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -19,161 +19,165 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// endRunners has one caller after the other ask what ends runners, each at the next router.
-func (p *poisonedFleet) endRunners(count int) {
+// crashRunners sends the poison the given number of times, each to the next router, and waits for
+// the crashes.
+func (p *poisonedFleet) crashRunners(count int) {
 	for i := range count {
-		p.g.Expect(p.routers[i%len(p.routers)].call("/once/x", asking(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable))
-		p.g.Eventually(func() int { ended, _ := p.endedBy(); return ended }, time.Second, time.Millisecond).Should(Equal(i + 1))
+		p.g.Expect(p.routers[i%len(p.routers)].call("/once/x", withBody(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable))
+		p.g.Eventually(func() int { ended, _ := p.crashCount(); return ended }, time.Second, time.Millisecond).Should(Equal(i + 1))
 	}
 }
 
-// keeps waits until the store keeps one content with so many ends.
-func (p *poisonedFleet) keeps(ends int) {
-	p.g.Eventually(func() (kept []int) {
+// expectStoredCrashes waits until the store has exactly one record, with the given number of
+// crashes.
+func (p *poisonedFleet) expectStoredCrashes(count int) {
+	p.g.Eventually(func() (crashes []int) {
 		for _, spec := range p.store.Specs(platform.KindQuarantines) {
-			kept = append(kept, strings.Count(spec, `"runner":`))
+			crashes = append(crashes, strings.Count(spec, `"runner":`))
 		}
-		return kept
-	}, 2*time.Second, 5*time.Millisecond).Should(Equal([]int{ends}))
+		return crashes
+	}, 2*time.Second, 5*time.Millisecond).Should(Equal([]int{count}))
 }
 
-// Callers are told at once, with the moment from which it is worth to come again, and the
-// figures and the log say why.
-func TestQuarantinedRequestsAreRefusedAtOnce(t *testing.T) {
+// Callers are refused at once with a Retry-After header, and metrics, status and log give the
+// reason.
+func TestQuarantinedRequestsAreRefusedImmediately(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 6, false)
-	at := loopback.FreeAddress()
-	p.routers = []*router{p.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })}
-	p.endRunners(3)
+	metricsAddress := loopback.FreeAddress()
+	p.routers = []*router{p.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })}
+	p.crashRunners(3)
 	p.routers[0].logs("content is not sent any more")
-	got := p.routers[0].call("/once/x", asking(poisonBody))
+	got := p.routers[0].call("/once/x", withBody(poisonBody))
 	p.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	p.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond))
-	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
+	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	p.g.Expect(err).NotTo(HaveOccurred())
-	p.g.Expect(after).To(BeNumerically("~", 300, 5), "seconds")
-	p.g.Expect(p.routers[0].call("/once/x", asking("another body")).status).To(Equal(http.StatusOK))
-	p.g.Expect(p.routers[0].call("/once/y", asking(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable), "another path is another content")
-	listed := p.statusOf(at).Quarantined
+	p.g.Expect(retryAfter).To(BeNumerically("~", 300, 5), "seconds")
+	p.g.Expect(p.routers[0].call("/once/x", withBody("another body")).status).To(Equal(http.StatusOK))
+	p.g.Expect(p.routers[0].call("/once/y", withBody(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable), "a different path is a different content")
+	listed := p.statusOf(metricsAddress).Quarantined
 	p.g.Expect(listed).To(HaveLen(1))
 	p.g.Expect(listed[0].Runners).To(HaveLen(3))
 	p.g.Expect(listed[0].LeftMillis).To(BeNumerically("~", 300_000, 5_000))
 	p.g.Expect(p.routers[0].log.String()).To(ContainSubstring(`"content":"` + listed[0].Content + `","event":511`))
-	read := figures(p.g, at)
-	p.g.Expect(read[`clovertiller_quarantines_total`]).To(Equal(1.0))
-	p.g.Expect(read[`clovertiller_quarantine_seconds_count`]).To(Equal(1.0))
-	p.g.Expect(read[`clovertiller_contents{state="quarantined"}`]).To(Equal(1.0))
-	p.g.Expect(read[`clovertiller_refusals_total{reason="runners ended under requests with this content",status="503"}`]).To(Equal(1.0))
+	metrics := figures(p.g, metricsAddress)
+	p.g.Expect(metrics[`clovertiller_quarantines_total`]).To(Equal(1.0))
+	p.g.Expect(metrics[`clovertiller_quarantine_seconds_count`]).To(Equal(1.0))
+	p.g.Expect(metrics[`clovertiller_contents{state="quarantined"}`]).To(Equal(1.0))
+	p.g.Expect(metrics[`clovertiller_refusals_total{reason="runners ended under requests with this content",status="503"}`]).To(Equal(1.0))
 }
 
-// A request shares each runner that ends with the one that ends it, and is served once the
-// other one is known.
-func TestRequestThatSharedTheEndedRunnersIsServed(t *testing.T) {
+// An innocent request that runs beside the poison on each crashed runner is served once the poison
+// is identified.
+func TestInnocentRequestOnCrashedRunnersIsServed(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
-	p.route(1)
+	p.startRouters(1)
 	for range 3 {
 		var group sync.WaitGroup
 		for _, body := range []string{"an innocent body", poisonBody} {
-			group.Go(func() { p.routers[1].call("/once/x", asking(body)) })
+			group.Go(func() { p.routers[1].call("/once/x", withBody(body)) })
 		}
 		group.Wait()
 	}
-	p.g.Eventually(func() int { return p.routers[0].call("/once/x", asking(poisonBody)).status }, time.Second).Should(Equal(http.StatusServiceUnavailable))
+	p.g.Eventually(func() int { return p.routers[0].call("/once/x", withBody(poisonBody)).status }, time.Second).Should(Equal(http.StatusServiceUnavailable))
 	for _, r := range p.routers {
-		got := r.call("/once/x", asking("an innocent body"))
+		got := r.call("/once/x", withBody("an innocent body"))
 		p.g.Expect(got.status).To(Equal(http.StatusOK))
-		p.g.Expect(got.after).To(BeNumerically("<", 600*time.Millisecond), "its four events take 160 ms")
+		p.g.Expect(got.after).To(BeNumerically("<", 600*time.Millisecond), "the four events of its response take 160 ms")
 	}
 }
 
-// Routers know of ends that others saw, also one that starts later, and the store keeps what
-// is quarantined until a runner has outlived it.
-func TestAllRoutersKnowWhatIsQuarantined(t *testing.T) {
+// Routers know the crashes that others detected, even if they start later, and the store keeps the
+// quarantine until a runner survives the content.
+func TestQuarantineReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
-	p.route(3)
-	p.endRunners(3)
+	p.startRouters(3)
+	p.crashRunners(3)
 	for _, r := range p.routers {
 		r.logs("content is not sent any more")
 	}
-	p.keeps(3)
+	p.expectStoredCrashes(3)
 	late := p.servingRouter("late", p.asFollower(p.routers[0].seeds))
-	p.g.Expect(late.call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
+	p.g.Expect(late.call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 }
 
-// The first router starts while the store is away, and learns what it keeps when it is back.
-func TestKeptQuarantinesAreReadWhenTheStoreIsBack(t *testing.T) {
+// The first router starts while the store is unavailable, and reads the stored records once it is
+// back.
+func TestStoredQuarantinesAreReadAfterStoreOutage(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
 	p.routers = []*router{p.servingRouter("r1", nil)}
-	p.endRunners(3)
-	p.keeps(3)
+	p.crashRunners(3)
+	p.expectStoredCrashes(3)
 	p.routers[0].Kill()
 	next := p.routerAt("r2", nil, storestand.Busy)
 	time.Sleep(300 * time.Millisecond)
 	next.door.Set(storestand.Healthy)
 	next.logs("configuration in force")
 	p.g.Eventually(next.log.String, 3*time.Second, 5*time.Millisecond).Should(ContainSubstring("content is not sent any more"))
-	p.g.Expect(next.call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
-	ended, _ := p.endedBy()
-	p.g.Expect(ended).To(Equal(3))
+	p.g.Expect(next.call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
+	crashed, _ := p.crashCount()
+	p.g.Expect(crashed).To(Equal(3))
 }
 
-// What a refused call has taken is given back: its scheduler does not count it.
-func TestRefusedForItsContentIsCountedNowhere(t *testing.T) {
+// The scheduler does not count requests that were refused because of their content: their placement
+// is released.
+func TestQuarantineRefusalReleasesPlacement(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 6, false)
-	at := loopback.FreeAddress()
+	metricsAddress := loopback.FreeAddress()
 	seeds := []string{loopback.FreeAddress()}
 	seed := p.servingRouter("seed", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds, settings.MetricsAddress = seeds[0], seeds, at
+		settings.PeerAddress, settings.Seeds, settings.MetricsAddress = seeds[0], seeds, metricsAddress
 	})
 	p.routers = []*router{seed, p.servingRouter("follower", p.asFollower(seeds))}
-	p.endRunners(3)
+	p.crashRunners(3)
 	p.routers[1].logs("content is not sent any more")
 	for range 10 {
-		p.g.Expect(p.routers[1].call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
+		p.g.Expect(p.routers[1].call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 	}
-	p.g.Eventually(func() float64 { return figures(p.g, at)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
+	p.g.Eventually(func() float64 { return figures(p.g, metricsAddress)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
 }
 
-// Once a runner has outlived a content, the store keeps nothing of it: by another caller's
-// run that was under way, for one.
-func TestClearedContentIsTakenOutOfTheStore(t *testing.T) {
+// Once a runner has survived the content, for example in a run of another caller that was already
+// in progress, the store must not keep a record of it.
+func TestClearedContentIsRemovedFromStore(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
 	p.routers = []*router{p.servingRouter("r1", nil)}
 	survivor := p.engine("survivor", 1)
 	survivor.Behave(runnerstand.Pauses)
-	for _, runner := range p.started {
+	for _, runner := range p.runners {
 		p.list(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
-	whole := make(chan answer, 1)
-	go func() { whole <- p.routers[0].call("/once/x", asking(poisonBody)) }()
+	answers := make(chan answer, 1)
+	go func() { answers <- p.routers[0].call("/once/x", withBody(poisonBody)) }()
 	p.g.Eventually(survivor.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
 	p.list(survivor, "draining")
-	for _, runner := range p.started {
+	for _, runner := range p.runners {
 		p.list(runner, "ready")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":false`) }, time.Second).Should(BeNumerically(">=", 16))
-	p.endRunners(3)
-	p.keeps(3)
+	p.crashRunners(3)
+	p.expectStoredCrashes(3)
 	survivor.Resume()
-	p.g.Expect((<-whole).status).To(Equal(http.StatusOK))
+	p.g.Expect((<-answers).status).To(Equal(http.StatusOK))
 	p.routers[0].logs("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
 }
 
-// All routers were away for longer than the record was of use: nobody else takes it out.
-func TestRecordThatIsOfNoUseAnyMoreIsTakenOutOfTheStore(t *testing.T) {
+// All routers were down until the record had expired, so a new one must remove it.
+func TestExpiredRecordIsRemovedFromStore(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 1, false)
 	record := quarantine.Record{Content: quarantine.ContentID{Tenant: "tenant-one", Digest: 255}}
 	for i, id := range []string{"a", "b", "c"} {
-		ended := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
-		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: ended.Add(-time.Millisecond), DetectedAt: ended})
+		detectedAt := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
+		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: detectedAt.Add(-time.Millisecond), DetectedAt: detectedAt})
 	}
 	door, err := p.store.Open()
 	p.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -9,23 +9,22 @@
 	"github.com/clovertiller/clovertiller/internal/quota"
 )
 
-// leastQuotaRetry is the shortest time told to a caller that is over its limit.
-const leastQuotaRetry = 20 * time.Millisecond
+// minQuotaRetryAfter is the shortest retry delay sent to a caller whose tenant is over its limit.
+const minQuotaRetryAfter = 20 * time.Millisecond
 
-// limitsConfig says what keeps tenants to their limits.
+// limitsConfig returns the configuration of the client that enforces tenants' limits.
 func (g *Gateway) limitsConfig() limits.Config {
 	return limits.Config{
 		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, Started: g.started,
 		Peers: g.relays, Routers: g.routerCount,
-		Asked: func(answered bool, taken time.Duration) {
-			g.metrics.quotaCalls.WithLabelValues(outcomeOf(answered)).Observe(taken.Seconds())
+		Asked: func(answered bool, roundTrip time.Duration) {
+			g.metrics.quotaCalls.WithLabelValues(outcomeOf(answered)).Observe(roundTrip.Seconds())
 		},
 	}
 }
 
-// startQuota begins to count the call against its tenant's limit, while its body
-// arrives.
-func (c *call) startQuota() {
+// startQuotaCheck starts to charge the call to its tenant's limit while the request body arrives.
+func (c *call) startQuotaCheck() {
 	if c.tenant == nil || c.tenant.Quota == nil {
 		return
 	}
@@ -34,20 +33,21 @@
 		Tenant: c.tenant.Name, Amount: limit.Amount(c.facts.PromptTokens, c.facts.MaxTokens, c.facts.Counted),
 		Limit: quota.Limit{Rate: limit.Rate, Burst: limit.Burst, Window: c.gateway.settings.QuotaWindow, Revision: uint64(c.view.revision)},
 	}
-	decided, arrived, ctx, s := make(chan limits.Decision, 1), make(chan struct{}), c.caller.Context(), c.spending
-	go func() { decided <- c.gateway.limits.Decide(ctx, s, arrived) }()
-	c.quotaDecided, c.bodyArrived = decided, arrived
+	decisions, arrived, ctx, spendingCopy := make(chan limits.Decision, 1), make(chan struct{}), c.caller.Context(), c.spending
+	go func() { decisions <- c.gateway.limits.Decide(ctx, spendingCopy, arrived) }()
+	c.quotaDecided, c.bodyArrived = decisions, arrived
 }
 
-// awaitQuota says why the call is refused if its tenant's limit is reached.
-func (c *call) awaitQuota() *refusal {
+// awaitQuotaDecision waits for the decision and returns the refusal, or nil if the tenant is within
+// its limit.
+func (c *call) awaitQuotaDecision() *refusal {
 	if c.quotaDecided == nil {
 		return nil
 	}
-	began := time.Now()
+	waitStart := time.Now()
 	close(c.bodyArrived)
 	decision := <-c.quotaDecided
-	waited := time.Since(began)
+	waited := time.Since(waitStart)
 	c.spentAt = decision.Keeper
 	c.gateway.metrics.quotaDecided(decision, waited)
 	c.note(events.QuotaDecided, events.Fields{
@@ -58,21 +58,21 @@
 	if decision.Granted {
 		return nil
 	}
-	refused := &refusal{status: http.StatusTooManyRequests, reason: "the tenant's limit is reached"}
+	result := &refusal{status: http.StatusTooManyRequests, reason: "the tenant's limit is reached"}
 	if decision.By == limits.BySize {
-		refused.reason = "the request is larger than the tenant's limit allows"
-		return refused
+		result.reason = "the request is larger than the tenant's limit allows"
+		return result
 	}
 	if decision.By == limits.ByItself {
-		// The tenant may well be below its limit.
+		// Without an answer the tenant may be below its limit, so this is not a 429.
 		return unavailable("no router that keeps the tenant's limit answers", busyRetryAfter)
 	}
-	refused.retryAfter = max(decision.RetryAfter, leastQuotaRetry)
-	return refused
+	result.retryAfter = max(decision.RetryAfter, minQuotaRetryAfter)
+	return result
 }
 
-// abandonQuota gives back what is granted to a call that ends before its body is here.
-func (c *call) abandonQuota() {
+// cancelQuotaCheck returns what was granted to a call that ends before its body has arrived.
+func (c *call) cancelQuotaCheck() {
 	if c.quotaDecided == nil {
 		return
 	}
@@ -84,8 +84,8 @@
 	}()
 }
 
-// unspend gives back what was granted to a call that has not run.
-func (c *call) unspend() {
+// refundQuota returns what was granted to a call that was not executed.
+func (c *call) refundQuota() {
 	if c.spentAt == "" {
 		return
 	}
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -14,8 +14,8 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// limited is a configuration whose one tenant has the limit.
-func limited(version int, limit map[string]any) map[string]any {
+// limitedConfig returns a configuration whose only tenant has the limit.
+func limitedConfig(version int, limit map[string]any) map[string]any {
 	spec := config(version, defaultRoutes(), goodKey)
 	tenant := spec["tenants"].([]map[string]any)[0]
 	for name, value := range limit {
@@ -28,17 +28,17 @@
 	return map[string]any{"rate_per_s": rate, "burst": burst, "unit": "tokens", "plain_tokens": 10}
 }
 
-func counts(value string) func(*http.Request) {
-	return func(request *http.Request) { request.Header.Set(platform.HeaderTokens, value) }
+func withTokenCounts(counts string) func(*http.Request) {
+	return func(request *http.Request) { request.Header.Set(platform.HeaderTokens, counts) }
 }
 
-// limitedFleet has three keepers of limits and more routers that ask them.
-func limitedFleet(t *testing.T, others int, limit map[string]any) (f *fleet, routers []*router) {
+// newLimitedFleet returns a fleet with three keepers of the limit and followers that ask them.
+func newLimitedFleet(t *testing.T, followers int, limit map[string]any) (f *fleet, routers []*router) {
 	f = newFleet(t)
-	f.store.Put(configKind, configName, limited(1, limit))
+	f.store.Put(configKind, configName, limitedConfig(1, limit))
 	f.runner("p1", "plain")
 	seeds := []string{loopback.FreeAddress(), loopback.FreeAddress(), loopback.FreeAddress()}
-	for i := range len(seeds) + others {
+	for i := range len(seeds) + followers {
 		routers = append(routers, f.servingRouter(fmt.Sprintf("r%d", i), func(settings *gateway.Settings) {
 			settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), seeds
 			if i < len(seeds) {
@@ -49,12 +49,12 @@
 	return f, routers
 }
 
-// spendFor calls each router in turn until the time is over and returns what was
-// served and the refusals.
-func spendFor(routers []*router, tokens int, length time.Duration) (served int, refused []answer) {
-	for end := time.Now().Add(length); time.Now().Before(end); {
+// sendFor calls the routers in turn for the duration, and returns the number of served tokens and
+// the refusals.
+func sendFor(routers []*router, tokens int, duration time.Duration) (served int, refused []answer) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		for _, r := range routers {
-			switch got := r.call("/safe/x", counts(strconv.Itoa(tokens)+",0")); got.status {
+			switch got := r.call("/safe/x", withTokenCounts(strconv.Itoa(tokens)+",0")); got.status {
 			case http.StatusOK:
 				served += tokens
 			case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -65,15 +65,15 @@
 	return served, refused
 }
 
-func TestTokensOfATenantAreCountedOverAllRouters(t *testing.T) {
+func TestTenantTokensAreCountedAcrossRouters(t *testing.T) {
 	t.Parallel()
 	const rate, burst, tokens = 6000, 3000, 300
-	f, routers := limitedFleet(t, 2, tokenLimit(rate, burst))
-	began := time.Now()
-	served, refused := spendFor(routers, tokens, 2*time.Second)
-	length := time.Since(began).Seconds()
-	f.g.Expect(served).To(BeNumerically("<=", rate*length+burst+3*tokens), "each of three parts overspends by one request at most")
-	f.g.Expect(served).To(BeNumerically(">=", 0.8*rate*length))
+	f, routers := newLimitedFleet(t, 2, tokenLimit(rate, burst))
+	start := time.Now()
+	served, refused := sendFor(routers, tokens, 2*time.Second)
+	elapsed := time.Since(start).Seconds()
+	f.g.Expect(served).To(BeNumerically("<=", rate*elapsed+burst+3*tokens), "each of the three keepers overspends by at most one request")
+	f.g.Expect(served).To(BeNumerically(">=", 0.8*rate*elapsed))
 	f.g.Expect(refused).NotTo(BeEmpty())
 	retryAfter, err := strconv.ParseFloat(refused[0].header.Get("Retry-After"), 64)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -81,117 +81,118 @@
 	f.g.Expect(routers[4].log.String()).To(And(ContainSubstring(`"by":"keeper"`), ContainSubstring("the tenant's limit is reached")))
 }
 
-func TestLostKeeperTakesItsPartAlongAndNoMore(t *testing.T) {
+func TestLostKeeperRemovesOnlyItsShare(t *testing.T) {
 	t.Parallel()
 	const rate, tokens = 6000, 300
-	f, routers := limitedFleet(t, 2, tokenLimit(rate, 300))
-	spendFor(routers[3:], tokens, 300*time.Millisecond)
+	f, routers := newLimitedFleet(t, 2, tokenLimit(rate, 300))
+	sendFor(routers[3:], tokens, 300*time.Millisecond)
 	routers[0].Kill()
-	began := time.Now()
-	served, _ := spendFor(routers[3:], tokens, 2*time.Second)
-	length := time.Since(began).Seconds()
-	f.g.Expect(served).To(BeNumerically("<=", rate*length*2/3+300+3*tokens))
-	f.g.Expect(served).To(BeNumerically(">=", 0.5*rate*length), "the other two parts are used up")
+	start := time.Now()
+	served, _ := sendFor(routers[3:], tokens, 2*time.Second)
+	elapsed := time.Since(start).Seconds()
+	f.g.Expect(served).To(BeNumerically("<=", rate*elapsed*2/3+300+3*tokens))
+	f.g.Expect(served).To(BeNumerically(">=", 0.5*rate*elapsed), "the shares of the other two keepers are used")
 }
 
-func TestRoutersWithoutKeepersSpendAPart(t *testing.T) {
+func TestRoutersWithoutKeepersGrantAShare(t *testing.T) {
 	t.Parallel()
 	const rate, tokens = 6000, 300
-	f, routers := limitedFleet(t, 2, tokenLimit(rate, 3000))
-	spendFor(routers, tokens, time.Second)
+	f, routers := newLimitedFleet(t, 2, tokenLimit(rate, 3000))
+	sendFor(routers, tokens, time.Second)
 	for _, keeper := range routers[:3] {
 		keeper.Kill()
 	}
-	began := time.Now()
-	served, refused := spendFor(routers[3:], tokens, time.Second)
-	length := time.Since(began).Seconds()
-	f.g.Expect(served).To(BeNumerically(">", 0), "not everything is refused")
-	f.g.Expect(served).To(BeNumerically("<=", 0.6*rate*length), "two of five routers")
+	start := time.Now()
+	served, refused := sendFor(routers[3:], tokens, time.Second)
+	elapsed := time.Since(start).Seconds()
+	f.g.Expect(served).To(BeNumerically(">", 0), "some requests are served")
+	f.g.Expect(served).To(BeNumerically("<=", 0.6*rate*elapsed), "the shares of two of five routers")
 	f.g.Expect(refused).NotTo(BeEmpty())
-	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "nobody knows whether the limit is reached")
-	var waited int
+	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "without keepers it is unknown whether the limit is reached")
+	var slow int
 	for _, refusal := range refused {
 		if refusal.after >= 100*time.Millisecond {
-			waited++
+			slow++
 		}
 	}
-	f.g.Expect(waited).To(BeNumerically("<=", len(refused)/10), "nobody waits for lost keepers, but for one call in 0.3 s that looks whether they are back")
+	f.g.Expect(slow).To(BeNumerically("<=", len(refused)/10), "calls do not wait for lost keepers, except one per 0.3 s that checks whether they are back")
 }
 
-func TestLoweredLimitBindsAndARaisedOneServes(t *testing.T) {
+func TestChangedLimitsTakeEffect(t *testing.T) {
 	t.Parallel()
-	f, routers := limitedFleet(t, 1, tokenLimit(1e6, 1e6))
-	served, refused := spendFor(routers, 300, 200*time.Millisecond)
+	f, routers := newLimitedFleet(t, 1, tokenLimit(1e6, 1e6))
+	served, refused := sendFor(routers, 300, 200*time.Millisecond)
 	f.g.Expect(served).To(BeNumerically(">", 0))
 	f.g.Expect(refused).To(BeEmpty())
-	f.store.Put(configKind, configName, limited(2, tokenLimit(900, 0)))
+	f.store.Put(configKind, configName, limitedConfig(2, tokenLimit(900, 0)))
 	for _, r := range routers {
 		r.settled(2)
 	}
-	served, refused = spendFor(routers, 300, time.Second)
+	served, refused = sendFor(routers, 300, time.Second)
 	f.g.Expect(served).To(BeNumerically("<=", 900+4*300))
 	f.g.Expect(refused).NotTo(BeEmpty())
-	f.store.Put(configKind, configName, limited(3, nil))
+	f.store.Put(configKind, configName, limitedConfig(3, nil))
 	for _, r := range routers {
 		r.settled(3)
 	}
-	_, refused = spendFor(routers, 300, 200*time.Millisecond)
-	f.g.Expect(refused).To(BeEmpty(), "no limit any more")
+	_, refused = sendFor(routers, 300, 200*time.Millisecond)
+	f.g.Expect(refused).To(BeEmpty(), "the limit was removed")
 }
 
-func TestRequestsAreCountedAsTheyTellTheirTokens(t *testing.T) {
+func TestTokenCountsDetermineCost(t *testing.T) {
 	t.Parallel()
-	for _, example := range []struct {
+	for _, test := range []struct {
 		name, counts string
 		amount       int
 	}{
 		{"sum of prompt and answer", "60,40", 100},
-		{"none told", "", 10},
+		{"empty header", "", 10},
 		{"negative", "-5,10", 10},
-		{"no numbers", "many,few", 10},
+		{"not numbers", "many,few", 10},
 		{"one number only", "50", 10},
-		{"nothing at all", "0,0", 0},
+		{"zero", "0,0", 0},
 	} {
-		t.Run(example.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFleet(t)
-			f.store.Put(configKind, configName, limited(1, tokenLimit(50, 0)))
+			f.store.Put(configKind, configName, limitedConfig(1, tokenLimit(50, 0)))
 			f.runner("p1", "plain")
 			r := f.servingRouter("r", nil)
-			f.g.Expect(r.call("/safe/x", counts(example.counts)).status).To(Equal(http.StatusOK))
-			// The tenant owes the amount, which its rate takes this long to bring in.
-			refused := r.call("/safe/x", counts("400,0"))
-			if example.amount == 0 {
+			f.g.Expect(r.call("/safe/x", withTokenCounts(test.counts)).status).To(Equal(http.StatusOK))
+			// The tenant owes the amount, so Retry-After is the time in which its rate pays the
+			// amount back.
+			refused := r.call("/safe/x", withTokenCounts("400,0"))
+			if test.amount == 0 {
 				f.g.Expect(refused.status).To(Equal(http.StatusOK))
 				return
 			}
 			f.g.Expect(refused.status).To(Equal(http.StatusTooManyRequests))
 			retryAfter, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 			f.g.Expect(err).NotTo(HaveOccurred())
-			f.g.Expect(retryAfter).To(BeNumerically("~", float64(example.amount)/50, 0.15))
+			f.g.Expect(retryAfter).To(BeNumerically("~", float64(test.amount)/50, 0.15))
 		})
 	}
 }
 
-func TestRequestBeyondAnyLimitIsRefusedWithoutAPromise(t *testing.T) {
+func TestRequestAboveLimitIsRefusedWithoutRetryAfter(t *testing.T) {
 	t.Parallel()
-	f, routers := limitedFleet(t, 0, tokenLimit(1000, 1000))
+	f, routers := newLimitedFleet(t, 0, tokenLimit(1000, 1000))
 	for _, huge := range []string{"500000,1", "9223372036854775807,9223372036854775807", "99999999999999999999999,1"} {
-		got := routers[0].call("/safe/x", counts(huge))
+		got := routers[0].call("/safe/x", withTokenCounts(huge))
 		f.g.Expect(got.status).To(Equal(http.StatusTooManyRequests), huge)
 		f.g.Expect(got.header.Get("Retry-After")).To(BeEmpty(), huge)
 	}
-	f.g.Expect(routers[0].call("/safe/x", counts("100,1")).status).To(Equal(http.StatusOK), "it owes nothing")
+	f.g.Expect(routers[0].call("/safe/x", withTokenCounts("100,1")).status).To(Equal(http.StatusOK), "the refused requests were not charged")
 }
 
-func TestLimitInRequestsCountsRequests(t *testing.T) {
+func TestRequestLimitCountsRequests(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.store.Put(configKind, configName, limited(1, map[string]any{"rate_per_s": 5, "burst": 0}))
+	f.store.Put(configKind, configName, limitedConfig(1, map[string]any{"rate_per_s": 5, "burst": 0}))
 	f.runner("p1", "plain")
 	r := f.servingRouter("r", nil)
-	served, began := 0, time.Now()
-	for time.Since(began) < time.Second {
-		if r.call("/safe/x", counts("9000,9")).status == http.StatusOK {
+	served, start := 0, time.Now()
+	for time.Since(start) < time.Second {
+		if r.call("/safe/x", withTokenCounts("9000,9")).status == http.StatusOK {
 			served++
 		}
 	}
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if c.request.RunState() == attempt.NotRun {
-		c.unspend()
+		c.refundQuota()
 		c.refuse(r)
 		return
 	}
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -53,13 +53,13 @@
 	case *wire.Envelope_RunnerAsk:
 		return &wire.Envelope{Body: &wire.Envelope_RunnerAnswer{RunnerAnswer: r.gateway.schedulers.place(envelope, body.RunnerAsk)}}
 	case *wire.Envelope_SendNotice:
-		r.gateway.schedulers.noticed(envelope, body.SendNotice)
+		r.gateway.schedulers.handleSendNotice(envelope, body.SendNotice)
 	case *wire.Envelope_LoadShare:
-		r.gateway.schedulers.told(envelope.GetFrom(), body.LoadShare)
+		r.gateway.schedulers.handleLoadShare(envelope.GetFrom(), body.LoadShare)
 	case *wire.Envelope_SuspectNews:
-		r.gateway.suspects.learn(recordsOf(r.gateway.now(), body.SuspectNews.GetRecords()))
+		r.gateway.suspects.merge(decodeSuspects(r.gateway.now(), body.SuspectNews.GetRecords()))
 	case *wire.Envelope_SignalNews:
-		r.gateway.signals.learn(body.SignalNews.GetSignals())
+		r.gateway.signals.merge(body.SignalNews.GetSignals())
 	case *wire.Envelope_QuotaReturn:
 		r.gateway.limits.Returned(body.QuotaReturn)
 	}
@@ -91,7 +91,7 @@
 		answer.Unconfigured = true
 		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(*empty))
 	}
-	answer.Suspects, answer.Signals = g.suspects.answer(pull), g.signals.answer(pull)
+	answer.Suspects, answer.Signals = g.suspects.answerPull(pull), g.signals.answerPull(pull)
 	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.firmBounds()
 	if newest, known := g.copies.checkpoints.newest(); known {
 		answer.StoreRevision, answer.StoreAgeMillis = uint64(newest.revision), wire.AgeMillis(r.gateway.since(newest.at))
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -14,47 +14,48 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners that turned requests away and asked for 3 s of rest got up to 8 more from the same
-// router in that time. A refusal set its runner aside for 0.15 s, whatever it asked for, and as
-// a preference only, and schedulers that choose for others did not hear of it: the second try of
-// a request went to a runner that rested, too. One router alone sends as many, so that the
-// time is the cause at any number of routers.
+// Runners that refused requests and asked for a backoff of 3 s got up to 8 more requests from the
+// same router in that time. A refusal made routers avoid the runner for 0.15 s whatever it asked
+// for, and only as a preference, and the schedulers that choose for others did not learn of it, so
+// that the second attempt of a request also went to a runner in backoff. A single router sent as
+// many, so the cause was the duration, whatever the number of routers.
 
 const (
-	// restTime is the rest that runners ask for, and restSeconds the same in their answers.
-	restTime    = 3 * time.Second
-	restSeconds = "3"
-	// restBorne is how many requests a runner may get from one router from restSlack after it
-	// has asked it for rest until the end of that.
-	restSlack = 500 * time.Millisecond
-	restBorne = 2
+	// backoffTime is the backoff that runners request, and backoffSeconds the same as a header
+	// value.
+	backoffTime    = 3 * time.Second
+	backoffSeconds = "3"
+	// maxSendsInBackoff is the number of requests that a runner may get from one router between
+	// backoffSlack after it requested a backoff and the end of the backoff.
+	backoffSlack      = 500 * time.Millisecond
+	maxSendsInBackoff = 2
 )
 
-// shed has the runners turn all requests away and ask for rest.
-func shed(runners []*runnerstand.Runner) {
-	announce(runners, platform.HeaderRetryAfter, restSeconds)
+// refuseWithBackoff makes the runners refuse all requests and ask for a backoff.
+func refuseWithBackoff(runners []*runnerstand.Runner) {
+	announce(runners, platform.HeaderRetryAfter, backoffSeconds)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Sheds)
 	}
 }
 
-// loadNamed is load with the router's number in the path of each request.
-func (f *signalFleet) loadNamed(duration time.Duration) *outcomes {
+// sendLoadByRouter is like sendLoad with the number of the router in the path of each request.
+func (f *signalFleet) sendLoadByRouter(duration time.Duration) *outcomes {
 	got := &outcomes{}
-	ticks := time.NewTicker(time.Second / limitLoad)
+	ticks := time.NewTicker(time.Second / loadRate)
 	defer ticks.Stop()
-	for tick := range int(duration.Seconds() * limitLoad) {
+	for tick := range int(duration.Seconds() * loadRate) {
 		<-ticks.C
 		number := tick % len(f.routers)
-		got.askWith(f.routers[number], fmt.Sprintf("/once/%d", number), withPrompt(fmt.Sprintf("f%d:400,own%d:50", tick%5, tick)))
+		got.sendWith(f.routers[number], fmt.Sprintf("/once/%d", number), withPrompt(fmt.Sprintf("f%d:400,own%d:50", tick%5, tick)))
 	}
 	got.group.Wait()
 	return got
 }
 
-// mostInRest is the most requests that reached the runner from one router in a rest that it
-// had asked it for.
-func mostInRest(runner *runnerstand.Runner, since time.Time) (most int) {
+// maxArrivalsInBackoff returns the highest number of requests that reached the runner from one
+// router during a backoff that it had requested from that router.
+func maxArrivalsInBackoff(runner *runnerstand.Runner, since time.Time) (highest int) {
 	byRouter := map[string][]time.Time{}
 	for _, arrival := range runner.ArrivalLog() {
 		if arrival.At.After(since) {
@@ -62,18 +63,18 @@
 			byRouter[router] = append(byRouter[router], arrival.At)
 		}
 	}
-	for _, times := range byRouter {
-		for i, asked := range times {
+	for _, arrivals := range byRouter {
+		for i, start := range arrivals {
 			count := 0
-			for _, at := range times[i+1:] {
-				if at.Sub(asked) >= restSlack && at.Sub(asked) < restTime {
+			for _, at := range arrivals[i+1:] {
+				if at.Sub(start) >= backoffSlack && at.Sub(start) < backoffTime {
 					count++
 				}
 			}
-			most = max(most, count)
+			highest = max(highest, count)
 		}
 	}
-	return most
+	return highest
 }
 
 func TestRestingRunnerIsLeftAlone(t *testing.T) {
@@ -85,47 +86,48 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
-			f.loadNamed(time.Second)
+			f.sendLoadByRouter(time.Second)
 			resting, since := f.busiest(test.resting), time.Now()
-			shed(resting)
-			got := f.loadNamed(2*restTime + time.Second)
-			t.Logf("callers: %d, served %d, refused %d", got.sent, got.whole, got.refused)
+			refuseWithBackoff(resting)
+			got := f.sendLoadByRouter(2*backoffTime + time.Second)
+			t.Logf("calls %d, served %d, refused %d", got.sent, got.succeeded, got.refused)
 			for _, runner := range resting {
-				t.Logf("%s: at most %d in a rest, %d in all", runner.ID, mostInRest(runner, since), arrivedAfter(runner, since))
-				f.g.Expect(mostInRest(runner, since)).To(BeNumerically("<=", restBorne))
+				t.Logf("%s: at most %d requests in a backoff, %d in total", runner.ID, maxArrivalsInBackoff(runner, since), arrivalsAfter(runner, since))
+				f.g.Expect(maxArrivalsInBackoff(runner, since)).To(BeNumerically("<=", maxSendsInBackoff))
 			}
-			f.g.Expect(got.broken).To(BeZero())
+			f.g.Expect(got.failed).To(BeZero())
 			if test.resting < len(f.engines) {
-				f.g.Expect(got.whole).To(Equal(got.sent), "other runners serve them")
+				f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 			}
 			for _, runner := range resting {
 				runner.Behave(runnerstand.Well)
 			}
-			time.Sleep(restTime)
-			got = f.loadNamed(2 * time.Second)
-			f.g.Expect(got.whole).To(Equal(got.sent), "the rest is over")
+			time.Sleep(backoffTime)
+			got = f.sendLoadByRouter(2 * time.Second)
+			f.g.Expect(got.succeeded).To(Equal(got.sent), "the backoff is over")
 		})
 	}
 }
 
-// Where all runners rest, a caller is told at once when the first one takes requests again.
-func TestRefusedForRestAreToldWhenItEnds(t *testing.T) {
+// Where all runners are in backoff, callers are refused at once with the time until the first one
+// accepts requests again.
+func TestRefusalReportsEndOfBackoff(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
-	shed(f.engines)
+	refuseWithBackoff(f.engines)
 	r := f.routers[0]
-	asked := time.Now()
+	backoffStart := time.Now()
 	r.call("/once/x", nil)
 	refused := r.call("/once/x", nil)
 	f.g.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(refused.after).To(BeNumerically("<", 250*time.Millisecond))
 	seconds, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	f.g.Expect(time.Now().Add(time.Duration(seconds * float64(time.Second)))).To(BeTemporally("~", asked.Add(restTime), 300*time.Millisecond))
+	f.g.Expect(time.Now().Add(time.Duration(seconds * float64(time.Second)))).To(BeTemporally("~", backoffStart.Add(backoffTime), 300*time.Millisecond))
 }
 
-// A rest that cannot be read is a refusal like any other.
-func TestRestThatCannotBeReadIsHarmless(t *testing.T) {
+// A refusal with a malformed backoff is treated like a refusal without one.
+func TestMalformedBackoffIsIgnored(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
 	for _, value := range []string{"-3", "NaN", "soon", "1e999"} {
@@ -133,8 +135,8 @@
 		for _, engine := range f.engines {
 			engine.BehaveOnce(runnerstand.Sheds)
 		}
-		f.load(f.routers, time.Second)
-		got := f.load(f.routers, time.Second)
-		f.g.Expect(got.whole).To(Equal(got.sent), value)
+		f.sendLoad(f.routers, time.Second)
+		got := f.sendLoad(f.routers, time.Second)
+		f.g.Expect(got.succeeded).To(Equal(got.sent), value)
 	}
 }
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -10,147 +10,152 @@
 	"github.com/clovertiller/clovertiller/internal/quarantine"
 )
 
-// Times of asking whether a runner still runs.
+// Limits of checking whether a runner is still alive.
 const (
-	// livenessTime bounds one question: a runner that runs, or the machine of one that has
-	// ended, answers a new connection within some milliseconds.
-	livenessTime = 250 * time.Millisecond
-	// livenessAsks is how often a runner is asked that gives no answer either way. One that
-	// ended is back after a second or more.
-	livenessAsks = 3
+	// livenessTimeout is the timeout of one probe. A running runner, or the machine of a crashed
+	// one, answers a new connection within some milliseconds.
+	livenessTimeout = 250 * time.Millisecond
+	// livenessAttempts is the number of probes sent to a runner whose state stays unknown. A
+	// crashed runner needs a second or more to restart, so it is not up again before the last
+	// probe.
+	livenessAttempts = 3
 )
 
-// toldContents bounds the contents in one line of the log.
-const toldContents = 16
-
-// runnerEnds notes what is at work at runners, and finds out whether a runner whose answer
-// broke off has ended: a lost connection looks the same.
-type runnerEnds struct {
-	gateway *Gateway
-	mutex   sync.Mutex
-	work    *quarantine.RunTable
-	// asking holds the runners that are being asked, each with what is closed after that.
-	asking map[quarantine.Runner]chan struct{}
+// maxLoggedContents is the maximum number of contents in one log line.
+const maxLoggedContents = 16
+
+// crashDetector tracks the requests running on each runner and determines whether a runner whose
+// response broke off has crashed. A lost connection breaks off the response in the same way.
+type crashDetector struct {
+	gateway  *Gateway
+	mutex    sync.Mutex
+	runTable *quarantine.RunTable
+	// checks holds the runners that are being checked, each with a channel that is closed when the
+	// check is done.
+	checks map[quarantine.Runner]chan struct{}
 }
 
-func newRunnerEnds(g *Gateway) *runnerEnds {
-	return &runnerEnds{gateway: g, work: quarantine.NewRunTable(), asking: map[quarantine.Runner]chan struct{}{}}
+func newCrashDetector(g *Gateway) *crashDetector {
+	return &crashDetector{gateway: g, runTable: quarantine.NewRunTable(), checks: map[quarantine.Runner]chan struct{}{}}
 }
 
-func startOf(runner backend.Runner) quarantine.Runner {
+// incarnationOf returns the identity of the runner's current process.
+func incarnationOf(runner backend.Runner) quarantine.Runner {
 	return quarantine.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
 }
 
-// begin notes a request that is about to be sent.
-func (e *runnerEnds) begin(now time.Time, runner backend.Runner, content quarantine.ContentID) *quarantine.Run {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.work.Begin(now, startOf(runner), content)
+// begin records a request that is about to be sent.
+func (d *crashDetector) begin(now time.Time, runner backend.Runner, content quarantine.ContentID) *quarantine.Run {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.runTable.Begin(now, incarnationOf(runner), content)
 }
 
-// end notes the end of a run.
-func (e *runnerEnds) end(now time.Time, run *quarantine.Run, how quarantine.RunOutcome) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.work.End(now, run, how)
+// end records the outcome of a run.
+func (d *crashDetector) end(now time.Time, run *quarantine.Run, outcome quarantine.RunOutcome) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.runTable.End(now, run, outcome)
 }
 
-// check finds out whether the runner has ended, unless that is known, was to be expected or
-// is being found out already. The channel is closed once that is known.
-func (e *runnerEnds) check(runner backend.Runner) <-chan struct{} {
-	// Requests begin under the gateway's mutex and take this one then, so the gateway's must
-	// not be waited for under this one.
-	start, expected := startOf(runner), e.expectedToRun(runner)
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if done, found := e.asking[start]; found {
+// check determines in the background whether the runner has crashed, unless that is known already,
+// a shutdown was expected or a check is in progress. The returned channel is closed when the check
+// is done.
+func (d *crashDetector) check(runner backend.Runner) <-chan struct{} {
+	// Requests lock this mutex while they hold the gateway's mutex, so the gateway's mutex must not
+	// be locked while this one is held.
+	incarnation, expected := incarnationOf(runner), d.expectedToRun(runner)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if done, found := d.checks[incarnation]; found {
 		return done
 	}
 	done := make(chan struct{})
-	if e.work.HasCrashed(start) || !expected {
+	if d.runTable.HasCrashed(incarnation) || !expected {
 		close(done)
 		return done
 	}
-	e.asking[start] = done
-	e.gateway.spawn(func() {
-		e.find(runner)
-		e.mutex.Lock()
-		delete(e.asking, start)
-		e.mutex.Unlock()
+	d.checks[incarnation] = done
+	d.gateway.spawn(func() {
+		d.runCheck(runner)
+		d.mutex.Lock()
+		delete(d.checks, incarnation)
+		d.mutex.Unlock()
 		close(done)
 	})
 	return done
 }
 
-// expectedToRun tells whether the directory lists this start of the runner and it has not
-// said that it leaves, there or in an answer: the end of one that leaves is planned.
-func (e *runnerEnds) expectedToRun(runner backend.Runner) bool {
-	g := e.gateway
+// expectedToRun reports whether the directory lists this incarnation of the runner, and neither the
+// directory nor a response says that it is shutting down. The end of a runner that is shutting down
+// is planned.
+func (d *crashDetector) expectedToRun(runner backend.Runner) bool {
+	g := d.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	listed, found := g.runners.Get(runner.ID)
 	return found && listed.Incarnation == runner.Incarnation && g.runners.IsActive(runner.ID, listed.Service)
 }
 
-// find asks the runner and notes what that shows.
-func (e *runnerEnds) find(runner backend.Runner) {
-	asked := e.gateway.now()
-	liveness := e.ask(runner)
-	e.gateway.metrics.runnerChecks.WithLabelValues(runner.Service, liveness.String()).Inc()
+// runCheck probes the runner and records the result.
+func (d *crashDetector) runCheck(runner backend.Runner) {
+	probedAt := d.gateway.now()
+	liveness := d.probe(runner)
+	d.gateway.metrics.runnerChecks.WithLabelValues(runner.Service, liveness.String()).Inc()
 	switch liveness {
 	case RunnerRuns:
-		e.mutex.Lock()
-		e.work.RunnerAlive(asked, startOf(runner))
-		e.mutex.Unlock()
+		d.mutex.Lock()
+		d.runTable.RunnerAlive(probedAt, incarnationOf(runner))
+		d.mutex.Unlock()
 	case RunnerEnded:
-		e.noteEnded(runner)
+		d.recordCrash(runner)
 	}
 }
 
-// noteEnded notes a runner that has ended.
-func (e *runnerEnds) noteEnded(runner backend.Runner) {
-	now := e.gateway.now()
-	e.mutex.Lock()
-	runs := e.work.RunnerCrashed(now, startOf(runner))
-	e.mutex.Unlock()
-	e.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
-	e.gateway.log.Log(events.RunnerEndDetected, events.Fields{
+// recordCrash records that the runner has crashed.
+func (d *crashDetector) recordCrash(runner backend.Runner) {
+	now := d.gateway.now()
+	d.mutex.Lock()
+	runs := d.runTable.RunnerCrashed(now, incarnationOf(runner))
+	d.mutex.Unlock()
+	d.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
+	d.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
-	e.gateway.suspects.runnerEnded(now, runs)
+	d.gateway.suspects.runnerCrashed(now, runs)
 }
 
-// ask asks the runner until it is known whether it runs, or livenessAsks times.
-func (e *runnerEnds) ask(runner backend.Runner) RunnerLiveness {
-	for range livenessAsks {
-		ctx, cancel := context.WithTimeout(e.gateway.ctx, livenessTime)
-		liveness := e.gateway.ports.Runners.Liveness(ctx, runner)
+// probe probes the runner until its state is known, at most livenessAttempts times.
+func (d *crashDetector) probe(runner backend.Runner) RunnerLiveness {
+	for range livenessAttempts {
+		ctx, cancel := context.WithTimeout(d.gateway.ctx, livenessTimeout)
+		liveness := d.gateway.ports.Runners.Liveness(ctx, runner)
 		cancel()
-		if liveness != RunnerUnknown || e.gateway.ctx.Err() != nil {
+		if liveness != RunnerUnknown || d.gateway.ctx.Err() != nil {
 			return liveness
 		}
 	}
 	return RunnerUnknown
 }
 
-// atWork tells whether a run of the content is open.
-func (e *runnerEnds) atWork(content quarantine.ContentID) bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.work.HasOpenRun(content)
+// hasOpenRun reports whether a run of the content is open.
+func (d *crashDetector) hasOpenRun(content quarantine.ContentID) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.runTable.HasOpenRun(content)
 }
 
-// sweep forgets runs that are over.
-func (e *runnerEnds) sweep(now time.Time) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.work.Prune(now)
+// sweep removes runs that are no longer needed.
+func (d *crashDetector) sweep(now time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.runTable.Prune(now)
 }
 
-// contentNames lists the contents of runs for the log.
+// contentNames returns the contents of the runs for the log, at most maxLoggedContents.
 func contentNames(runs []*quarantine.Run) []string {
 	var names []string
-	for _, run := range runs[:min(len(runs), toldContents)] {
+	for _, run := range runs[:min(len(runs), maxLoggedContents)] {
 		names = append(names, run.Content.String())
 	}
 	return names
--- a/internal/gateway/runnerends_internal_test.go
+++ b/internal/gateway/runnerends_internal_test.go
@@ -10,21 +10,21 @@
 	"github.com/clovertiller/clovertiller/internal/quarantine"
 )
 
-// A router answered nothing any more: one request began while the gateway's mutex was held,
-// as it always is then, and waited for that of the runners' ends; another one, whose answer had
-// broken off, held this one and waited for the first to look up its runner. Found by the
-// soak, once in 25 runs of 30 s, a moment after a runner had ended.
-func TestLookingIntoARunnersEndHoldsNoRequestUp(t *testing.T) {
+// Two requests deadlocked, after which the router answered nothing. A request begins with the
+// gateway's mutex held, and waited for the mutex of the crash detector. Another one, whose response
+// had broken off, held that mutex and waited for the gateway's to look up its runner. Found by a
+// soak test, once in 25 runs of 30 s, just after a runner had crashed.
+func TestLivenessCheckDoesNotBlockRequests(t *testing.T) {
 	g := NewWithT(t)
 	gateway := &Gateway{runners: backend.NewSet("z")}
-	ends := newRunnerEnds(gateway)
+	detector := newCrashDetector(gateway)
 	gateway.mutex.Lock()
 	defer gateway.mutex.Unlock()
-	go ends.check(backend.Runner{ID: "r1"})
+	go detector.check(backend.Runner{ID: "r1"})
 	time.Sleep(50 * time.Millisecond)
 	began := make(chan struct{})
 	go func() {
-		ends.begin(time.Now(), backend.Runner{ID: "r2"}, quarantine.ContentID{})
+		detector.begin(time.Now(), backend.Runner{ID: "r2"}, quarantine.ContentID{})
 		close(began)
 	}()
 	g.Eventually(began, time.Second).Should(BeClosed())
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -13,55 +13,55 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// counts waits until the figures at the address have the value of the series.
-func (f *fleet) counts(address, series string, value float64) {
+// expectMetric waits until the metric series at the address has the value.
+func (f *fleet) expectMetric(address, series string, value float64) {
 	f.g.Eventually(func() float64 { return figures(f.g, address)[series] }, time.Second, 5*time.Millisecond).Should(Equal(value))
 }
 
-// A runner that ends is told from one whose connections break, and the log names what was
-// at work on it.
-func TestEndOfARunnerIsToldFromALostConnection(t *testing.T) {
+// The crash of a runner is distinguished from a lost connection, and the log contains the contents
+// that were running on it.
+func TestCrashIsDistinguishedFromLostConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
-	at := loopback.FreeAddress()
-	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
-	asked := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
+	metricsAddress := loopback.FreeAddress()
+	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
+	content := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
 	runner.Behave(runnerstand.BreaksOff)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
-	f.counts(at, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
-	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+asked), Not(ContainSubstring("runner ended with requests at work"))))
+	f.expectMetric(metricsAddress, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
+	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+content), Not(ContainSubstring("runner ended while requests were running"))))
 	runner.Behave(runnerstand.Dies)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
-	r.logs("runner ended with requests at work")
-	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + asked + `"]`))
-	f.counts(at, `clovertiller_runner_checks_total{outcome="ended",service="engines"}`, 1)
+	r.logs("runner ended while requests were running")
+	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + content + `"]`))
+	f.expectMetric(metricsAddress, `clovertiller_runner_checks_total{outcome="ended",service="engines"}`, 1)
 }
 
-// The end of a runner that has said that it leaves is planned, and not looked into: the contents
-// at it would be suspected.
-func TestPlannedEndOfARunnerIsNotLookedInto(t *testing.T) {
-	for name, byAnswer := range map[string]bool{"by its entry": false, "by its answer": true} {
-		t.Run(name, func(t *testing.T) { testPlannedEnd(t, byAnswer) })
+// The end of a runner that reported that it is leaving is planned. Checking it for a crash would
+// make the contents running on it suspects.
+func TestPlannedShutdownIsNoCrash(t *testing.T) {
+	for name, inResponse := range map[string]bool{"in the directory": false, "in a response": true} {
+		t.Run(name, func(t *testing.T) { testPlannedShutdown(t, inResponse) })
 	}
 }
 
-func testPlannedEnd(t *testing.T, byAnswer bool) {
+func testPlannedShutdown(t *testing.T, inResponse bool) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
 	runner.Behave(runnerstand.Pauses)
-	if byAnswer {
+	if inResponse {
 		runner.Announce(platform.HeaderLeaving, "1")
 	}
-	at := loopback.FreeAddress()
-	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
+	metricsAddress := loopback.FreeAddress()
+	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
 	done := make(chan answer)
 	go func() { done <- r.call("/once/x", nil) }()
 	f.g.Eventually(runner.Arrivals).Should(Equal(1))
-	if byAnswer {
+	if inResponse {
 		r.logs(`"leaving":true`)
 	} else {
 		f.list(runner, "draining")
@@ -69,6 +69,6 @@
 	}
 	runner.Close()
 	f.g.Expect((<-done).cut).To(BeTrue())
-	f.g.Consistently(r.log.String, "300ms").ShouldNot(ContainSubstring("runner ended with requests at work"))
-	f.g.Expect(figures(f.g, at)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
+	f.g.Consistently(r.log.String, "300ms").ShouldNot(ContainSubstring("runner ended while requests were running"))
+	f.g.Expect(figures(f.g, metricsAddress)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
 }
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -17,30 +17,31 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners in need named a limit of one request a second in their answers, and went on to get
-// what they had got before: up to 21 requests in 4 s. Routers passed the answers on and read
-// nothing of them: what a runner said of itself had no way into the choice of a runner. A test
-// at one router, which nobody else chooses for, got as many requests as one at six, so that it
-// was not a matter of telling those who choose; the sum over several needs that as well.
+// Overloaded runners reported a limit of one request per second in their responses and still got as
+// many requests as before, up to 21 in 4 s. Routers forwarded the responses and did not read the
+// headers, so that a runner's limit had no effect on placement. A single router without schedulers
+// sent as many as six routers did, so the problem was not only to inform the schedulers, although a
+// limit on the sum over several routers requires that as well.
 
 const (
-	// limitWindow is the time over which a limit is judged, limitShare how much of it may
-	// come in that time and limitSlack how many requests beyond that.
-	limitWindow = 4 * time.Second
-	limitShare  = 1.5
-	limitSlack  = 5
-	// limitedRate is the limit that runners name, in requests a second.
-	limitedRate = 1
-	// limitLoad is the load of the tests, in requests a second.
-	limitLoad = 60
+	// limitWindow is the window in which arrivals are counted. A runner may get windowRateFactor
+	// times what its limit allows in the window, plus windowBurst requests.
+	limitWindow      = 4 * time.Second
+	windowRateFactor = 1.5
+	windowBurst      = 5
+	// runnerLimit is the limit that runners report, in requests per second.
+	runnerLimit = 1
+	// loadRate is the rate of calls in the tests, in requests per second.
+	loadRate = 60
 )
 
-// allowedInWindow is how many requests a limited runner may get in any limitWindow.
-func allowedInWindow(rate float64) int {
-	return int(limitShare*rate*limitWindow.Seconds() + limitSlack)
+// maxAllowedInWindow returns the number of requests that a runner with the limit may get in any
+// limitWindow.
+func maxAllowedInWindow(rate float64) int {
+	return int(windowRateFactor*rate*limitWindow.Seconds() + windowBurst)
 }
 
-// signalFleet is runners of a model before routers, some of which choose for the others.
+// signalFleet is a fleet with runners of a model and routers, some of which are schedulers.
 type signalFleet struct {
 	*fleet
 	seeds   []string
@@ -48,7 +49,7 @@
 	engines []*runnerstand.Runner
 }
 
-// newSignalFleet starts a router alone, or seeds with followers.
+// newSignalFleet starts a single router, or seeds with followers.
 func newSignalFleet(t *testing.T, engines, seeds, followers int) *signalFleet {
 	f := &signalFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
@@ -75,39 +76,40 @@
 	return f
 }
 
-// asSeed starts a router that chooses for others, at the peer address.
+// asSeed returns settings for a seed, which is a scheduler, at the peer address.
 func (f *signalFleet) asSeed(address string) func(*gateway.Settings) {
 	return func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, f.seeds }
 }
 
-// busiest returns the runners that have got the most requests.
+// busiest returns the runners that got the most requests.
 func (f *signalFleet) busiest(count int) []*runnerstand.Runner {
 	order := slices.SortedFunc(slices.Values(f.engines), func(a, b *runnerstand.Runner) int { return cmp.Compare(b.Arrivals(), a.Arrivals()) })
 	return order[:count]
 }
 
-// announce has the runners bear the headers in all their answers.
+// announce makes the runners add the headers to all their responses.
 func announce(runners []*runnerstand.Runner, headers ...string) {
 	for _, runner := range runners {
 		runner.Announce(headers...)
 	}
 }
 
-// load sends requests of five families of prompts at the routers in turn.
-func (f *signalFleet) load(routers []*router, duration time.Duration) *outcomes {
+// sendLoad sends requests of five prompt families to the routers in turn.
+func (f *signalFleet) sendLoad(routers []*router, duration time.Duration) *outcomes {
 	got := &outcomes{}
-	ticks := time.NewTicker(time.Second / limitLoad)
+	ticks := time.NewTicker(time.Second / loadRate)
 	defer ticks.Stop()
-	for tick := range int(duration.Seconds() * limitLoad) {
+	for tick := range int(duration.Seconds() * loadRate) {
 		<-ticks.C
-		got.askWith(routers[tick%len(routers)], "/once/x", withPrompt(fmt.Sprintf("f%d:400,own%d:50", tick%5, tick)))
+		got.sendWith(routers[tick%len(routers)], "/once/x", withPrompt(fmt.Sprintf("f%d:400,own%d:50", tick%5, tick)))
 	}
 	got.group.Wait()
 	return got
 }
 
-// mostInWindow is the most requests that reached the runner within any window after the moment.
-func mostInWindow(runner *runnerstand.Runner, after time.Time) (most int) {
+// maxArrivalsInWindow returns the highest number of requests that reached the runner in any
+// limitWindow after the given time.
+func maxArrivalsInWindow(runner *runnerstand.Runner, after time.Time) (highest int) {
 	var times []time.Time
 	for _, arrival := range runner.ArrivalLog() {
 		if arrival.At.After(after) {
@@ -119,15 +121,15 @@
 		for at.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
-// arrivedAfter counts the requests that reached the runner after the moment.
-func arrivedAfter(runner *runnerstand.Runner, moment time.Time) (count int) {
+// arrivalsAfter returns the number of requests that reached the runner after the given time.
+func arrivalsAfter(runner *runnerstand.Runner, after time.Time) (count int) {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(moment) {
+		if arrival.At.After(after) {
 			count++
 		}
 	}
@@ -144,67 +146,67 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
-			f.load(f.routers, time.Second)
-			limited, named := f.busiest(test.limited), time.Now()
-			announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
-			counted := named.Add(contactTime)
-			got := f.load(f.routers, contactTime+3*limitWindow)
-			lasted := time.Since(counted).Seconds()
-			t.Logf("callers: %d, served %d, refused %d, broken %d", got.sent, got.whole, got.refused, got.broken)
+			f.sendLoad(f.routers, time.Second)
+			limited, limitedAt := f.busiest(test.limited), time.Now()
+			announce(limited, platform.HeaderLimit, strconv.Itoa(runnerLimit))
+			countFrom := limitedAt.Add(propagationTime)
+			got := f.sendLoad(f.routers, propagationTime+3*limitWindow)
+			elapsed := time.Since(countFrom).Seconds()
+			t.Logf("calls %d, served %d, refused %d, failed %d", got.sent, got.succeeded, got.refused, got.failed)
 			for _, engine := range limited {
-				rate := float64(arrivedAfter(engine, counted)) / lasted
-				t.Logf("%s: at most %d in a window, %.2f a second", engine.ID, mostInWindow(engine, counted), rate)
-				f.g.Expect(mostInWindow(engine, counted)).To(BeNumerically("<=", allowedInWindow(limitedRate)))
-				f.g.Expect(rate).To(BeNumerically(">", 0.3*limitedRate), "only its answers tell whether it still names the limit")
+				rate := float64(arrivalsAfter(engine, countFrom)) / elapsed
+				t.Logf("%s: at most %d requests in a window, %.2f per second", engine.ID, maxArrivalsInWindow(engine, countFrom), rate)
+				f.g.Expect(maxArrivalsInWindow(engine, countFrom)).To(BeNumerically("<=", maxAllowedInWindow(runnerLimit)))
+				f.g.Expect(rate).To(BeNumerically(">", 0.3*runnerLimit), "only responses show whether the runner still reports the limit")
 				if test.limited == len(f.engines) {
-					f.g.Expect(rate).To(BeNumerically(">=", 0.7*limitedRate), "the runner takes more than it gets")
+					f.g.Expect(rate).To(BeNumerically(">=", 0.7*runnerLimit), "most of the limit is used")
 				}
 			}
 			if test.limited < len(f.engines) {
-				f.g.Expect(got.whole).To(Equal(got.sent), "other runners serve them")
+				f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 			}
-			f.g.Expect(got.broken).To(BeZero())
+			f.g.Expect(got.failed).To(BeZero())
 		})
 	}
 }
 
-// A limit holds for as long as the runner says so, and is over soon after.
-func TestLimitEndsWithTheAnswersThatNameIt(t *testing.T) {
+// A limit applies while the runner's responses report it, and ends soon after.
+func TestLimitEndsWhenResponsesStopReportingIt(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 4, 3, 2)
-	f.load(f.routers, time.Second)
+	f.sendLoad(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
-	f.load(f.routers, 6*time.Second)
+	announce(limited, platform.HeaderLimit, strconv.Itoa(runnerLimit))
+	f.sendLoad(f.routers, 6*time.Second)
 	announce(limited)
-	f.load(f.routers, 8*time.Second)
-	free := time.Now()
-	f.load(f.routers, 4*time.Second)
-	f.g.Expect(mostInWindow(limited[0], free)).To(BeNumerically(">", 2*allowedInWindow(limitedRate)), "its families come back")
+	f.sendLoad(f.routers, 8*time.Second)
+	freedAt := time.Now()
+	f.sendLoad(f.routers, 4*time.Second)
+	f.g.Expect(maxArrivalsInWindow(limited[0], freedAt)).To(BeNumerically(">", 2*maxAllowedInWindow(runnerLimit)), "its prompt families return")
 }
 
-// What a router has been told binds it also when it reaches nobody who grants requests: the
-// sum of routers that each go by what they see themselves has no bound.
-func TestRouterThatReachesNoSchedulerKeepsToLimits(t *testing.T) {
+// A router respects the limits that it knows even if it reaches no scheduler. If each router went
+// only by the limits in its own responses, nothing would bound their sum.
+func TestRouterWithoutSchedulerRespectsLimits(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 4, 1, 4)
-	f.load(f.routers, time.Second)
+	f.sendLoad(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
-	named := time.Now()
-	f.load(f.routers, contactTime)
+	announce(limited, platform.HeaderLimit, strconv.Itoa(runnerLimit))
+	limitedAt := time.Now()
+	f.sendLoad(f.routers, propagationTime)
 	f.routers[0].Kill()
-	got := f.load(f.routers[1:], 2*limitWindow)
-	f.g.Expect(mostInWindow(limited[0], named.Add(contactTime))).To(BeNumerically("<=", allowedInWindow(limitedRate)))
-	f.g.Expect(got.whole).To(Equal(got.sent), "other runners serve them")
+	got := f.sendLoad(f.routers[1:], 2*limitWindow)
+	f.g.Expect(maxArrivalsInWindow(limited[0], limitedAt.Add(propagationTime))).To(BeNumerically("<=", maxAllowedInWindow(runnerLimit)))
+	f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 }
 
-// Callers that no runner takes are told when one does, at once.
-func TestRefusedForLimitsAreToldWhenThereIsRoom(t *testing.T) {
+// Callers whom no runner accepts are refused at once and told when a runner will accept them.
+func TestLimitRefusalReportsRetryAfter(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
 	announce(f.engines, platform.HeaderLimit, "0.5")
-	f.load(f.routers, 4*time.Second)
+	f.sendLoad(f.routers, 4*time.Second)
 	r := f.routers[0]
 	refused := r.call("/once/x", nil)
 	for refused.status == http.StatusOK {
@@ -219,52 +221,52 @@
 	f.g.Expect(r.call("/once/x", nil).status).To(Equal(http.StatusOK))
 }
 
-// Values that make no sense are logged and change nothing.
-func TestLimitsThatCannotBeReadAreHarmless(t *testing.T) {
+// Malformed values are logged and have no other effect.
+func TestMalformedLimitsAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 2, 0, 0)
 	for _, value := range []string{"NaN", "-1", "Inf", "x", "1e999"} {
 		announce(f.engines, platform.HeaderLimit, value, platform.HeaderLeaving, value)
-		got := f.load(f.routers, time.Second)
-		f.g.Expect(got.whole).To(Equal(got.sent), value)
+		got := f.sendLoad(f.routers, time.Second)
+		f.g.Expect(got.succeeded).To(Equal(got.sent), value)
 	}
-	f.routers[0].logs("what a runner says of itself cannot be read")
+	f.routers[0].logs("signal headers of a runner cannot be read")
 	announce(f.engines, platform.HeaderLimit, "1e300")
-	got := f.load(f.routers, time.Second)
-	f.g.Expect(got.whole).To(Equal(got.sent), "as good as none")
+	got := f.sendLoad(f.routers, time.Second)
+	f.g.Expect(got.succeeded).To(Equal(got.sent), "such a high limit has no effect")
 }
 
-// A scheduler that restarts knows of no limit. It chose the limited runner for routers that
-// know it, which took none of these choices, and the runner got nothing from then on.
-func TestRestartedSchedulerLearnsLimitsFromThoseItChoosesFor(t *testing.T) {
+// A restarted scheduler knows no limits. It kept choosing the limited runner for routers that knew
+// the limit and rejected these choices, so that the runner got no requests at all.
+func TestRestartedSchedulerLearnsLimitsFromRouters(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 4, 1, 3)
-	f.load(f.routers, time.Second)
+	f.sendLoad(f.routers, time.Second)
 	limited := f.busiest(1)
-	announce(limited, platform.HeaderLimit, strconv.Itoa(limitedRate))
-	named := time.Now()
-	f.load(f.routers, contactTime)
+	announce(limited, platform.HeaderLimit, strconv.Itoa(runnerLimit))
+	limitedAt := time.Now()
+	f.sendLoad(f.routers, propagationTime)
 	f.routers[0].Kill()
 	f.routers[0] = f.servingRouter("seed-0-again", f.asSeed(f.seeds[0]))
-	restarted := time.Now()
-	got := f.load(f.routers[1:], 2*limitWindow)
-	f.routers[0].logs("another router told what a runner says of itself")
-	f.load(f.routers[1:], limitWindow)
-	f.g.Expect(got.whole).To(Equal(got.sent))
-	f.g.Expect(mostInWindow(limited[0], named.Add(contactTime))).To(BeNumerically("<=", allowedInWindow(limitedRate)))
-	f.g.Expect(arrivedAfter(limited[0], restarted.Add(2*limitWindow))).To(BeNumerically(">", 0))
+	restartedAt := time.Now()
+	got := f.sendLoad(f.routers[1:], 2*limitWindow)
+	f.routers[0].logs("received a runner's signal from another router")
+	f.sendLoad(f.routers[1:], limitWindow)
+	f.g.Expect(got.succeeded).To(Equal(got.sent))
+	f.g.Expect(maxArrivalsInWindow(limited[0], limitedAt.Add(propagationTime))).To(BeNumerically("<=", maxAllowedInWindow(runnerLimit)))
+	f.g.Expect(arrivalsAfter(limited[0], restartedAt.Add(2*limitWindow))).To(BeNumerically(">", 0))
 }
 
-// What one router hears all know soon, those that choose for others first.
-func TestAllRoutersKnowWhatARunnerSays(t *testing.T) {
+// All routers soon know the signals that one of them receives, the schedulers first.
+func TestSignalsReachAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newSignalFleet(t, 1, 2, 8)
 	announce(f.engines, platform.HeaderLimit, "5", platform.HeaderLeaving, "1")
 	f.g.Expect(f.routers[len(f.routers)-1].call("/once/x", nil).status).To(Equal(http.StatusOK))
-	heard := time.Now()
+	receivedAt := time.Now()
 	for _, r := range f.routers[:len(f.routers)-1] {
-		f.g.Eventually(r.log.String, time.Second, time.Millisecond).Should(ContainSubstring("another router told what a runner says of itself"))
+		f.g.Eventually(r.log.String, time.Second, time.Millisecond).Should(ContainSubstring("received a runner's signal from another router"))
 	}
-	t.Logf("all routers know after %v", time.Since(heard))
-	f.g.Expect(time.Since(heard)).To(BeNumerically("<", 500*time.Millisecond))
+	t.Logf("all routers know the signals after %v", time.Since(receivedAt))
+	f.g.Expect(time.Since(receivedAt)).To(BeNumerically("<", 500*time.Millisecond))
 }
