--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -16,92 +16,91 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// All open connections to a runner went silent, without a reset, while new ones worked.
-// Each call was sent on another kept connection, as silent as the one before, and waited
-// there until its deadline: as many calls were lost as connections had been kept, though
-// the first of them had shown that nothing came back.
-func TestFewCallsAreLostWhenKeptConnectionsToARunnerFallSilent(t *testing.T) {
+// All open connections to a runner went silent without a reset, while new ones worked. Each call
+// was sent on another idle connection, which was silent as well, and waited there until its
+// deadline. As many calls were lost as there were idle connections, although the first call had
+// shown that nothing came back.
+func TestFewCallsAreLostOnSilentIdleConnections(t *testing.T) {
 	t.Parallel()
 	const (
-		kept     = 6
+		idle     = 6
 		interval = 300 * time.Millisecond
-		// noticed is within which the silence shows.
-		noticed = 1500 * time.Millisecond
+		// detectionTime is the time within which the router notices the silence.
+		detectionTime = 1500 * time.Millisecond
 	)
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner, path := f.runnerBehindProxy("p1")
+	runner, proxy := f.runnerBehindProxy("p1")
 	r := f.servingRouter("r1", nil)
-	f.keepConnections(r, runner, kept)
-	path.Set(faultproxy.Mute)
-	answers := callAtOnce(r, 3*kept, interval)
-	f.g.Expect(answers[int(noticed/interval):]).To(HaveEach(http.StatusOK), "%v", answers)
+	f.openIdleConnections(r, runner, idle)
+	proxy.Set(faultproxy.Mute)
+	statuses := callConcurrently(r, 3*idle, interval)
+	f.g.Expect(statuses[int(detectionTime/interval):]).To(HaveEach(http.StatusOK), "%v", statuses)
 }
 
-// Connections of the whole machine went silent at once. Those to other routers are asked
-// all the time and show it first.
-func TestSilentConnectionsToRoutersWarnOfThoseToRunners(t *testing.T) {
+// All connections of a machine went silent at once. Those to other routers are probed all the time
+// and show it first.
+func TestSilentRouterConnectionClosesIdleRunnerConnections(t *testing.T) {
 	t.Parallel()
 	const (
-		kept     = 16
+		idle     = 16
 		interval = 50 * time.Millisecond
-		// rounds bounds how often connections are lost on a machine that is too busy to
-		// answer a new one within the 50 ms that tell a lost one from a slow router.
-		rounds = 4
+		// maxRounds bounds the attempts. A round fails on a machine that is too busy to open a new
+		// connection within 50 ms, which is how a lost connection is told from a slow router.
+		maxRounds = 4
 	)
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner, toRunner := f.runnerBehindProxy("p1")
+	runner, runnerProxy := f.runnerBehindProxy("p1")
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress = loopback.FreeAddress()
 		settings.Seeds = []string{settings.PeerAddress}
 	})
-	toSeed, err := faultproxy.Start(seed.seeds[0])
+	seedProxy, err := faultproxy.Start(seed.seeds[0])
 	f.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(toSeed.Close)
-	r := f.servingRouter("r1", f.asFollower([]string{toSeed.Address}))
-	warned := func() bool { return strings.Contains(r.log.String(), "connection to another router was lost") }
-	for round := 0; round < rounds && !warned(); round++ {
-		time.Sleep(5 * time.Second) // a younger connection tells of a slow router
-		f.keepConnections(r, runner, kept)
-		toSeed.Set(faultproxy.Mute)
-		toRunner.Set(faultproxy.Mute)
-		for muted := time.Now(); time.Since(muted) < time.Second && !warned(); {
+	t.Cleanup(seedProxy.Close)
+	r := f.servingRouter("r1", f.asFollower([]string{seedProxy.Address}))
+	detected := func() bool { return strings.Contains(r.log.String(), "connection to another router was lost") }
+	for round := 0; round < maxRounds && !detected(); round++ {
+		time.Sleep(5 * time.Second) // silence on a younger connection counts as a slow router
+		f.openIdleConnections(r, runner, idle)
+		seedProxy.Set(faultproxy.Mute)
+		runnerProxy.Set(faultproxy.Mute)
+		for start := time.Now(); time.Since(start) < time.Second && !detected(); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	f.g.Expect(warned()).To(BeTrue())
-	f.g.Expect(callAtOnce(r, kept, interval)).To(HaveEach(http.StatusOK))
+	f.g.Expect(detected()).To(BeTrue())
+	f.g.Expect(callConcurrently(r, idle, interval)).To(HaveEach(http.StatusOK))
 }
 
 // runnerBehindProxy starts a runner that is listed with the address of a proxy.
 func (f *fleet) runnerBehindProxy(id string) (*runnerstand.Runner, *faultproxy.Proxy) {
 	runner := f.runner(id, "plain")
-	path, err := faultproxy.Start(runner.Address)
+	proxy, err := faultproxy.Start(runner.Address)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	f.t.Cleanup(path.Close)
+	f.t.Cleanup(proxy.Close)
 	entry := runner.Entry("ready")
-	entry["address"] = path.Address
+	entry["address"] = proxy.Address
 	f.store.Put(platform.KindServers, id, entry)
-	return runner, path
+	return runner, proxy
 }
 
-// keepConnections leaves the router so many idle connections to the runner.
-func (f *fleet) keepConnections(r *router, runner *runnerstand.Runner, count int) {
+// openIdleConnections leaves the router with the given number of idle connections to the runner.
+func (f *fleet) openIdleConnections(r *router, runner *runnerstand.Runner, count int) {
 	runner.Behave(runnerstand.Delays)
-	f.g.Expect(callAtOnce(r, count, 0)).To(HaveEach(http.StatusOK))
+	f.g.Expect(callConcurrently(r, count, 0)).To(HaveEach(http.StatusOK))
 	runner.Behave(runnerstand.Well)
 }
 
-// callAtOnce makes so many calls with pauses between their beginnings and returns how they
-// were answered.
-func callAtOnce(r *router, calls int, pause time.Duration) []int {
-	statuses := make([]int, calls)
-	var done sync.WaitGroup
-	for i := range calls {
-		done.Go(func() { statuses[i] = r.call("/unsafe/x", nil).status })
-		time.Sleep(pause)
+// callConcurrently starts calls at the interval and returns the status of each.
+func callConcurrently(r *router, count int, interval time.Duration) []int {
+	statuses := make([]int, count)
+	var calls sync.WaitGroup
+	for i := range count {
+		calls.Go(func() { statuses[i] = r.call("/unsafe/x", nil).status })
+		time.Sleep(interval)
 	}
-	done.Wait()
+	calls.Wait()
 	return statuses
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -12,44 +12,47 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// ledgerSlack is how much longer than its deadline a placed request may take to be
-// told to have ended.
-const ledgerSlack = time.Second
+// placedSendSlack is how long after the deadline of a placed request its router may still report
+// the end of it.
+const placedSendSlack = time.Second
 
-// schedulers lets few routers choose the runners of all requests, so that each choice
-// is made by somebody who knows what has been placed on the runners: the seeds of the
-// settings. A router asks the nearest one and tells it when the runner answers and how
-// the request ends; schedulers tell each other their sums. A router that gets no
-// answer in time chooses by itself, by what it knows of its own requests.
+// schedulers is the client and server side of central placement. A few routers, the seeds of the
+// settings, choose the runners for the requests of all routers, so that each choice takes into
+// account what has been placed on the runners. A router asks the nearest scheduler and reports to
+// it when the runner responds and how the request ends; schedulers exchange the loads that they
+// have placed. A router that gets no answer in time chooses a runner itself, knowing only its own
+// requests.
 type schedulers struct {
 	gateway *Gateway
 	mutex   sync.Mutex
 	ranking *peers.Ranking
-	// sends numbers the requests of this router.
-	sends atomic.Uint64
-	// ledger holds the requests placed for others. The gateway's mutex guards it.
-	ledger *backend.PlacedSends
+	// lastSendNumber is the number of this router's last placement request.
+	lastSendNumber atomic.Uint64
+	// placedSends holds the open requests that this router placed for others. The gateway's mutex
+	// guards it.
+	placedSends *backend.PlacedSends
 }
 
 func newSchedulers(g *Gateway) *schedulers {
-	s := &schedulers{gateway: g, ranking: peers.NewRanking(g.settings.PeerAddress, g.settings.Zone), ledger: backend.NewPlacedSends(g.runners)}
+	s := &schedulers{gateway: g, ranking: peers.NewRanking(g.settings.PeerAddress, g.settings.Zone), placedSends: backend.NewPlacedSends(g.runners)}
 	s.setSchedulers(g.settings.Seeds)
 	return s
 }
 
-// setSchedulers takes over the routers that place requests for others.
-func (s *schedulers) setSchedulers(seeds []string) {
+// setSchedulers sets the addresses of the routers that place requests for others.
+func (s *schedulers) setSchedulers(addresses []string) {
 	s.mutex.Lock()
-	s.ranking.Set(seeds)
-	parts := 0
+	s.ranking.Set(addresses)
+	count := 0
 	if s.ranking.HasSelf() {
-		parts = s.ranking.Count()
+		count = s.ranking.Count()
 	}
 	s.mutex.Unlock()
-	s.gateway.setPermits(len(seeds) == 0 || s.gateway.settings.PeerAddress == "", parts)
+	s.gateway.configurePermits(len(addresses) == 0 || s.gateway.settings.PeerAddress == "", count)
 }
 
-// nearest returns the scheduler to ask, or "" when this router is to choose itself.
+// nearest returns the address of the scheduler to ask, or "" if this router has to choose runners
+// itself.
 func (s *schedulers) nearest(now time.Time) string {
 	if s.gateway.relays.transport == nil {
 		return ""
@@ -63,45 +66,45 @@
 	return order[0]
 }
 
-// place chooses a runner for another router. One that is stopping or whose
-// configuration or directory is not proved declines, as it may not know which runners
-// there are.
-func (s *schedulers) place(envelope *wire.Envelope, ask *wire.RunnerAsk) *wire.RunnerAnswer {
+// place chooses a runner for another router. It declines if this router is shutting down or its
+// configuration or directory is not proved to be current, because it may then not know which
+// runners exist.
+func (s *schedulers) place(envelope *wire.Envelope, message *wire.RunnerAsk) *wire.RunnerAnswer {
 	g, now := s.gateway, s.gateway.now()
-	if g.draining.Load() || !g.proven(now) || g.copies.behind(now, usableFor(g.settings.ConfigLease)) || !s.places() {
+	if g.draining.Load() || !g.proven(now) || g.copies.behind(now, usableFor(g.settings.ConfigLease)) || !s.isScheduler() {
 		return &wire.RunnerAnswer{Declined: true}
 	}
-	query := queryOf(ask)
+	query := decodePlacementQuery(message)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	left := time.Duration(ask.GetLeftMillis()) * time.Millisecond
-	chosen, limit, forShare := g.decide(now, query, left)
+	timeLeft := time.Duration(message.GetLeftMillis()) * time.Millisecond
+	pick, limit, forShare := g.decide(now, query, timeLeft)
 	answer := &wire.RunnerAnswer{
-		Zone: g.settings.Zone, QueueMillis: uint32(max(chosen.QueueWait.Milliseconds(), 0)),
+		Zone: g.settings.Zone, QueueMillis: uint32(max(pick.QueueWait.Milliseconds(), 0)),
 		MaxQueueMillis: uint32(limit.MaxQueue.Milliseconds()), YieldPercent: uint32(percent * limit.PriorityFactor), Returned: limit.Returned,
-		ExcessPercent: excessMessage(limit.Excess), ForShare: forShare,
+		ExcessPercent: encodeExcess(limit.Excess), ForShare: forShare,
 	}
-	if chosen.Status == placement.Overloaded {
-		answer.Overloaded, answer.RetryAfterMillis = true, uint32(chosen.RetryAfter.Milliseconds())
+	if pick.Status == placement.Overloaded {
+		answer.Overloaded, answer.RetryAfterMillis = true, uint32(pick.RetryAfter.Milliseconds())
 		return answer
 	}
-	if chosen.Status == placement.AllHeldBack {
-		answer.HeldBack, answer.RetryAfterMillis = true, uint32(chosen.RetryAfter.Milliseconds())
+	if pick.Status == placement.AllHeldBack {
+		answer.HeldBack, answer.RetryAfterMillis = true, uint32(pick.RetryAfter.Milliseconds())
 		return answer
 	}
-	if chosen.Status != placement.Picked {
+	if pick.Status != placement.Picked {
 		return answer
 	}
-	answer.Permitted = g.grant(now, query.Service, chosen.Candidate.Name).Valid(now)
-	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Number: ask.GetSend()}
-	s.ledger.Begin(now, key, chosen.Candidate.Name, max(query.PromptTokens-chosen.Candidate.CachedTokens, 0), query, left+ledgerSlack)
-	answer.Runner, answer.CachedTokens = chosen.Candidate.Name, uint32(chosen.Candidate.CachedTokens)
-	answer.WaitMillis, answer.PendingRequests = uint32(max(chosen.Wait.Milliseconds(), 0)), uint32(chosen.Candidate.PendingRequests)
+	answer.Permitted = g.grantPermit(now, query.Service, pick.Candidate.Name).Valid(now)
+	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Number: message.GetSend()}
+	s.placedSends.Begin(now, key, pick.Candidate.Name, max(query.PromptTokens-pick.Candidate.CachedTokens, 0), query, timeLeft+placedSendSlack)
+	answer.Runner, answer.CachedTokens = pick.Candidate.Name, uint32(pick.Candidate.CachedTokens)
+	answer.WaitMillis, answer.PendingRequests = uint32(max(pick.Wait.Milliseconds(), 0)), uint32(pick.Candidate.PendingRequests)
 	return answer
 }
 
-// places tells whether this router places requests for others.
-func (s *schedulers) places() bool {
+// isScheduler reports whether this router places requests for others.
+func (s *schedulers) isScheduler() bool {
 	if s.gateway.relays.transport == nil {
 		return false
 	}
@@ -110,53 +113,54 @@
 	return s.ranking.HasSelf()
 }
 
-func queryOf(ask *wire.RunnerAsk) backend.Query {
+// decodePlacementQuery returns the query that encodePlacementQuery encoded.
+func decodePlacementQuery(message *wire.RunnerAsk) backend.Query {
 	query := backend.Query{
-		Service: ask.GetService(), Model: ask.GetModel(), Owner: ask.GetOwner(), PromptTokens: int(ask.GetPromptTokens()),
-		Family: ask.GetFamily(), Excluded: ask.GetExcluded(), Zone: ask.GetZone(),
-		MaxQueueTime:  time.Duration(ask.GetMaxQueueMillis()) * time.Millisecond,
-		TargetLatency: time.Duration(ask.GetTargetMillis()) * time.Millisecond,
-		MaxEventGap:   time.Duration(ask.GetGapMillis()) * time.Millisecond,
-		Rank:          admission.Rank{Tier: int(ask.GetTier()), Route: int(ask.GetRouteRank())},
-		Tenant:        ask.GetTenant(), MaxTokens: int(ask.GetMaxTokens()),
-		Ticket: ask.GetTicket(), SuspectContent: ask.GetSuspect(),
+		Service: message.GetService(), Model: message.GetModel(), Owner: message.GetOwner(), PromptTokens: int(message.GetPromptTokens()),
+		Family: message.GetFamily(), Excluded: message.GetExcluded(), Zone: message.GetZone(),
+		MaxQueueTime:  time.Duration(message.GetMaxQueueMillis()) * time.Millisecond,
+		TargetLatency: time.Duration(message.GetTargetMillis()) * time.Millisecond,
+		MaxEventGap:   time.Duration(message.GetGapMillis()) * time.Millisecond,
+		Rank:          admission.Rank{Tier: int(message.GetTier()), Route: int(message.GetRouteRank())},
+		Tenant:        message.GetTenant(), MaxTokens: int(message.GetMaxTokens()),
+		Ticket: message.GetTicket(), SuspectContent: message.GetSuspect(),
 	}
-	for i, runner := range ask.GetResting() {
-		if i < len(ask.GetRestingMillis()) {
-			left := time.Duration(ask.GetRestingMillis()[i]) * time.Millisecond
-			query.Resting = append(query.Resting, backend.RestingRunner{Runner: runner, Remaining: left})
+	for i, runner := range message.GetResting() {
+		if i < len(message.GetRestingMillis()) {
+			remaining := time.Duration(message.GetRestingMillis()[i]) * time.Millisecond
+			query.Resting = append(query.Resting, backend.RestingRunner{Runner: runner, Remaining: remaining})
 		}
 	}
-	for i, part := range ask.GetParts() {
-		if i < len(ask.GetDepths()) {
-			query.SharedTokens = int(ask.GetDepths()[i])
+	for i, part := range message.GetParts() {
+		if i < len(message.GetDepths()) {
+			query.SharedTokens = int(message.GetDepths()[i])
 			query.Shared = append(query.Shared, backend.SharedPart{ID: part, Depth: query.SharedTokens})
 		}
 	}
 	return query
 }
 
-// noticed takes another router's word on a request that was placed for it.
-func (s *schedulers) noticed(envelope *wire.Envelope, notice *wire.SendNotice) {
+// handleSendNotice applies another router's report on a request that was placed for it.
+func (s *schedulers) handleSendNotice(envelope *wire.Envelope, notice *wire.SendNotice) {
 	key := backend.SendKey{Router: envelope.GetFrom(), Incarnation: envelope.GetFromIncarnation(), Number: notice.GetSend()}
 	outcome := backend.Outcome(min(notice.GetOutcome(), uint32(backend.NotConfirmed)))
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	s.ledger.LearnVersion(key, notice.GetWeights())
+	s.placedSends.LearnVersion(key, notice.GetWeights())
 	if notice.GetEnded() {
-		if query, send, found := s.ledger.Get(key); found {
+		if query, send, found := s.placedSends.Get(key); found {
 			s.gateway.shares.refund(s.gateway.now(), query, send, outcome)
 		}
-		s.ledger.AvoidRunner(s.gateway.now(), key, time.Duration(notice.GetRestMillis())*time.Millisecond)
-		s.ledger.End(s.gateway.now(), key, outcome)
+		s.placedSends.AvoidRunner(s.gateway.now(), key, time.Duration(notice.GetRestMillis())*time.Millisecond)
+		s.placedSends.End(s.gateway.now(), key, outcome)
 		return
 	}
-	s.ledger.FirstResponse(s.gateway.now(), key)
+	s.placedSends.FirstResponse(s.gateway.now(), key)
 }
 
-// open counts the requests placed for others that have not ended.
-func (s *schedulers) open() float64 {
+// placedCount returns the number of open requests that this router placed for others.
+func (s *schedulers) placedCount() float64 {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	return float64(s.ledger.Len())
+	return float64(s.placedSends.Len())
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -98,10 +98,10 @@
 }
 
 // choose takes the scheduler's choice, or makes one here. The gateway's mutex is held.
-func (c *call) choose(now time.Time, choice *placed) (chosen placement.Pick, by string) {
+func (c *call) choose(now time.Time, choice *placementChoice) (chosen placement.Pick, by string) {
 	g := c.gateway
-	if chosen, taken := c.takePlaced(now, choice); taken {
-		g.metrics.choices.WithLabelValues(chosenByScheduler).Inc()
+	if chosen, taken := c.acceptChoice(now, choice); taken {
+		g.metrics.choices.WithLabelValues(schedulerChoices).Inc()
 		return chosen, choice.scheduler
 	}
 	g.metrics.choices.WithLabelValues(chosenHere).Inc()
@@ -126,7 +126,7 @@
 	defer response.Body.Close()
 	answer := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
 	c.answering, c.rest = answer.WeightVersion, answer.Signals.Backoff
-	c.hear(answer, response.Status)
+	c.receiveSignals(answer, response.Status)
 	news := c.learnVersion(answer.WeightVersion)
 	switch {
 	case answer.NotRun:
@@ -228,7 +228,7 @@
 	c.noteRun(run)
 	g.mutex.Lock()
 	c.barWithdrawal()
-	if c.placed == nil && !c.continuing && g.shares.counts() {
+	if c.placed == nil && !c.continuing && g.shares.tracksUsage() {
 		g.shares.refund(c.gateway.now(), c.query, c.open, outcome)
 	}
 	g.runners.End(c.gateway.now(), c.open, outcome)
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -8,92 +8,97 @@
 	"github.com/clovertiller/clovertiller/internal/placement"
 )
 
-// toldExcessTime is how long a scheduler's word on a tenant's share counts at a router that
-// chooses runners itself for want of an answer: as long as other schedulers' sums count.
-const toldExcessTime = 2 * time.Second
+// reportedExcessExpiry is how long a tenant's excess reported by a scheduler applies when this
+// router chooses runners itself because no scheduler answered. It equals the time for which the
+// usage reported by other schedulers counts.
+const reportedExcessExpiry = 2 * time.Second
 
-// shares keeps tenants to their fair shares of short services: it counts what this router
-// places for others, or for itself if it places for others too, and shortens the queueing
-// time of requests of tenants that are beyond their share. The gateway's mutex guards it.
-type shares struct {
+// fairShares limits tenants to their fair shares of overloaded services. It records what this
+// router places, for others and for itself, if it is a scheduler or the only router, and shortens
+// the accepted queueing time of requests whose tenants exceed their share. The gateway's mutex
+// guards it.
+type fairShares struct {
 	gateway *Gateway
 	tracker *fairshare.Tracker
-	// weighed is the configuration whose weights are in force.
-	weighed *view
-	// told holds the tenants that schedulers named as beyond their share, by service and
-	// name, of the configuration in force at most.
-	told map[string]toldExcess
+	// weightsView is the configuration whose tenant weights are applied.
+	weightsView *view
+	// reportedExcesses holds the excesses that schedulers reported, by service and tenant name. It
+	// is cleared when the configuration changes, so it holds only entries of the current one.
+	reportedExcesses map[string]reportedExcess
 }
 
-type toldExcess struct {
-	excess float64
-	at     time.Time
+type reportedExcess struct {
+	excess     float64
+	reportedAt time.Time
 }
 
-func newShares(g *Gateway) *shares {
-	return &shares{gateway: g, tracker: fairshare.New(fairshare.Config{}), told: map[string]toldExcess{}}
+func newFairShares(g *Gateway) *fairShares {
+	return &fairShares{gateway: g, tracker: fairshare.New(fairshare.Config{}), reportedExcesses: map[string]reportedExcess{}}
 }
 
-// poolOf names those who share: tenants of one tier with requests of one rank. What gives
-// way to a more urgent rank is held against nobody of that rank.
+// poolOf returns the pool in which the request's tenant competes: tenants of one tier with requests
+// of one rank. Requests that yield to a more urgent rank do not count against tenants of that rank.
 func poolOf(query backend.Query) fairshare.Pool {
 	return fairshare.Pool{Service: query.Service, Tier: query.Rank.Tier, Route: query.Rank.Route}
 }
 
-// shared tells whether there is anybody to share with, and takes over the weights of the
-// configuration.
-func (s *shares) shared() bool {
+// syncWeights applies the tenant weights of the current configuration and reports whether there are
+// at least two tenants, so that there is something to share.
+func (s *fairShares) syncWeights() bool {
 	current := s.gateway.view.Load()
 	if current == nil || len(current.table.TenantWeights()) < 2 {
 		return false
 	}
-	if current != s.weighed {
-		if s.weighed == nil || s.weighed.table != current.table {
+	if current != s.weightsView {
+		if s.weightsView == nil || s.weightsView.table != current.table {
 			s.tracker.SetWeights(current.table.TenantWeights())
-			clear(s.told)
+			clear(s.reportedExcesses)
 		}
-		s.weighed = current
+		s.weightsView = current
 	}
 	return true
 }
 
-// excess says how far the tenant of the request is beyond its fair share, 1 at or below it.
-func (s *shares) excess(now time.Time, query backend.Query) float64 {
-	if !s.shared() || query.Tenant == "" {
+// excess returns the factor by which the request's tenant exceeds its fair share, 1 if it does not.
+func (s *fairShares) excess(now time.Time, query backend.Query) float64 {
+	if !s.syncWeights() || query.Tenant == "" {
 		return 1
 	}
 	excess := s.tracker.Excess(now, poolOf(query), query.Tenant)
-	if told, found := s.told[query.Service+"/"+query.Tenant]; found && now.Sub(told.at) < toldExcessTime {
-		excess = max(excess, told.excess)
+	if reported, found := s.reportedExcesses[query.Service+"/"+query.Tenant]; found && now.Sub(reported.reportedAt) < reportedExcessExpiry {
+		excess = max(excess, reported.excess)
 	}
 	return excess
 }
 
-// hear takes a scheduler's word on how far the tenant of a request is beyond its share.
-func (s *shares) hear(now time.Time, query backend.Query, excess float64) {
+// recordReportedExcess records the excess that a scheduler reported for the tenant of a request.
+func (s *fairShares) recordReportedExcess(now time.Time, query backend.Query, excess float64) {
 	key := query.Service + "/" + query.Tenant
-	if !s.shared() || excess <= 1 {
-		delete(s.told, key)
+	if !s.syncWeights() || excess <= 1 {
+		delete(s.reportedExcesses, key)
 		return
 	}
-	s.told[key] = toldExcess{excess: excess, at: now}
+	s.reportedExcesses[key] = reportedExcess{excess: excess, reportedAt: now}
 }
 
-// fades is the time in which the use of a tenant with the excess falls to its share.
-func (s *shares) fades(excess float64) time.Duration { return s.tracker.RecoveryTime(excess) }
+// recoveryTime returns the time in which the usage of a tenant with the excess decays to its share.
+func (s *fairShares) recoveryTime(excess float64) time.Duration {
+	return s.tracker.RecoveryTime(excess)
+}
 
-// noteChoice counts what became of a choice, if this router places requests for all, but for
-// refusals for a share: these do not show that the service is short.
-func (s *shares) noteChoice(now time.Time, query backend.Query, chosen placement.Pick, forShare bool) {
+// recordChoice charges a placed request, or records a refused one, if this router tracks usage.
+// Refusals because of a tenant's share are only counted in metrics, since they do not show that the
+// service is overloaded.
+func (s *fairShares) recordChoice(now time.Time, query backend.Query, pick placement.Pick, forShare bool) {
 	if forShare {
 		s.gateway.metrics.shareRefusals.WithLabelValues(query.Service).Inc()
 		return
 	}
-	if !s.counts() {
+	if !s.tracksUsage() {
 		return
 	}
-	cost := fairshare.Cost(query.PromptTokens-chosen.Candidate.CachedTokens, query.MaxTokens)
-	switch chosen.Status {
+	cost := fairshare.Cost(query.PromptTokens-pick.Candidate.CachedTokens, query.MaxTokens)
+	switch pick.Status {
 	case placement.Picked:
 		s.tracker.Charge(now, poolOf(query), query.Tenant, cost)
 	case placement.Overloaded:
@@ -101,20 +106,20 @@
 	}
 }
 
-// counts tells whether this router sees enough of all requests to know shares: it is a
+// tracksUsage reports whether this router sees enough of all requests to compute shares: it is a
 // scheduler, or there are no other routers.
-func (s *shares) counts() bool {
-	return s.shared() && (s.gateway.relays.transport == nil || s.gateway.schedulers.places())
+func (s *fairShares) tracksUsage() bool {
+	return s.syncWeights() && (s.gateway.relays.transport == nil || s.gateway.schedulers.isScheduler())
 }
 
-// refund takes back what was counted for a request that no runner has run.
-func (s *shares) refund(now time.Time, query backend.Query, send *backend.Send, outcome backend.Outcome) {
-	if notRun(outcome) {
+// refund cancels the charge for a request that no runner executed.
+func (s *fairShares) refund(now time.Time, query backend.Query, send *backend.Send, outcome backend.Outcome) {
+	if notExecuted(outcome) {
 		s.tracker.Refund(now, send.SentAt(), poolOf(query), query.Tenant, fairshare.Cost(send.Tokens(), query.MaxTokens))
 	}
 }
 
-// notRun tells whether the outcome means that the runner has done nothing for the request.
-func notRun(outcome backend.Outcome) bool {
+// notExecuted reports whether the outcome means that the runner did no work for the request.
+func notExecuted(outcome backend.Outcome) bool {
 	return outcome == backend.Refused || outcome == backend.NotConfirmed
 }
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -19,36 +19,37 @@
 
 const busyService = "busy"
 
-// busyRunners are the runners of the service.
-const busyRunners = 5
+// runnerCount is the number of runners of the service.
+const runnerCount = 5
 
-// sharingGateway is a router without others that knows the runners and the tenants.
-func sharingGateway(tenants ...string) *Gateway {
+// newSharingGateway returns a router without peers that knows the runners and the tenants.
+func newSharingGateway(tenants ...string) *Gateway {
 	g := &Gateway{ports: Ports{Clock: clock.New()}, runners: backend.NewSet("z"), random: rand.New(rand.NewPCG(1, 2))}
 	g.relays = &relays{gateway: g}
 	g.settings.Zone = "z"
 	g.metrics = newMetrics(g)
-	g.schedulers, g.shares = newSchedulers(g), newShares(g)
+	g.schedulers, g.shares = newSchedulers(g), newFairShares(g)
 	g.order = admission.NewLoadShedder(g.random)
 	config := &routing.Config{Version: 1}
 	for _, tenant := range tenants {
 		config.Tenants = append(config.Tenants, routing.Tenant{Name: tenant, Keys: []string{tenant}})
 	}
 	g.view.Store(&view{table: routing.NewTable(config)})
-	for i := range busyRunners {
+	for i := range runnerCount {
 		g.runners.Put(backend.Runner{ID: fmt.Sprint(i), Service: busyService, Slots: 16, Zone: "z"})
 	}
 	return g
 }
 
-// query is a prompt of the tenant that takes a tenth of a second to read.
-func query(tenant string) backend.Query {
+// tenantQuery returns a query of the tenant with a prompt that takes 0.1 s to prefill.
+func tenantQuery(tenant string) backend.Query {
 	return backend.Query{Service: busyService, Tenant: tenant, PromptTokens: backend.PrefillRate / 10, MaxQueueTime: 500 * time.Millisecond, Rank: admission.Rank{}}
 }
 
-// ask has the gateway choose, and keeps the runner as busy as the choice makes it.
-func (g *Gateway) ask(now time.Time, tenant string) (chosen placement.Pick, forShare bool) {
-	q := query(tenant)
+// decideFor makes the gateway choose a runner for the tenant, and adds the load of the request to
+// that runner.
+func (g *Gateway) decideFor(now time.Time, tenant string) (chosen placement.Pick, forShare bool) {
+	q := tenantQuery(tenant)
 	chosen, _, forShare = g.decide(now, q, time.Minute)
 	if chosen.Status == placement.Picked {
 		g.runners.Begin(now, chosen.Candidate.Name, q.PromptTokens)
@@ -56,62 +57,62 @@
 	return chosen, forShare
 }
 
-func TestTenantBeyondItsShareIsRefusedFirst(t *testing.T) {
+func TestTenantAboveItsShareIsRefusedFirst(t *testing.T) {
 	t.Parallel()
-	g, now := sharingGateway("hot", "calm"), time.Now()
+	g, now := newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
 	for range 50 {
-		g.ask(now, "hot")
+		g.decideFor(now, "hot")
 	}
 	for range 50 {
-		_, forShare := g.ask(now, "calm")
-		e.Expect(forShare).To(BeFalse(), "refused for the queue only")
+		_, forShare := g.decideFor(now, "calm")
+		e.Expect(forShare).To(BeFalse(), "only refused because of the queue")
 	}
 	now = now.Add(time.Second)
-	e.Expect(g.shares.excess(now, query("hot"))).To(BeNumerically(">", 1))
-	e.Expect(g.shares.excess(now, query("calm"))).To(Equal(1.0))
+	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
+	e.Expect(g.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
 	e.Expect(g.shares.summary(now)).To(HaveLen(1))
 }
 
-func TestRefusalForShareIsOneThatAnotherTenantWouldNotGet(t *testing.T) {
+func TestShareRefusalAffectsOnlyTenantAboveShare(t *testing.T) {
 	t.Parallel()
-	g, now := sharingGateway("hot", "calm"), time.Now()
+	g, now := newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
-	const beyond = 8
-	for i := range busyRunners {
-		g.runners.Begin(now, fmt.Sprint(i), backend.PrefillRate/5) // a queue of 0.2 s
+	const excess = 8
+	for i := range runnerCount {
+		g.runners.Begin(now, fmt.Sprint(i), backend.PrefillRate/5) // 0.2 s of queueing
 		for range 9 {
-			g.runners.Begin(now, fmt.Sprint(i), 0) // most of its slots are taken
+			g.runners.Begin(now, fmt.Sprint(i), 0) // most of its slots are occupied
 		}
 	}
-	chosen, _, forShare := g.decideWith(now, query("hot"), time.Minute, beyond)
+	chosen, _, forShare := g.decideWith(now, tenantQuery("hot"), time.Minute, excess)
 	e.Expect(chosen.Status).To(Equal(placement.Overloaded))
 	e.Expect(forShare).To(BeTrue())
-	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.RecoveryTime(beyond)), "not before its use has faded")
-	chosen, _, forShare = g.decideWith(now, query("calm"), time.Minute, 1)
+	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.RecoveryTime(excess)), "not before its usage has decayed to its share")
+	chosen, _, forShare = g.decideWith(now, tenantQuery("calm"), time.Minute, 1)
 	e.Expect(chosen.Status).To(Equal(placement.Picked))
 	e.Expect(forShare).To(BeFalse())
-	idle := sharingGateway("hot", "calm")
-	chosen, _, _ = idle.decideWith(now, query("hot"), time.Minute, beyond)
-	e.Expect(chosen.Status).To(Equal(placement.Picked), "nothing is refused where nothing queues")
-	admitted := query("hot")
+	idle := newSharingGateway("hot", "calm")
+	chosen, _, _ = idle.decideWith(now, tenantQuery("hot"), time.Minute, excess)
+	e.Expect(chosen.Status).To(Equal(placement.Picked), "no refusal without queueing")
+	admitted := tenantQuery("hot")
 	admitted.MaxQueueTime = 0
-	chosen, _, _ = g.decideWith(now, admitted, time.Minute, beyond)
-	e.Expect(chosen.Status).To(Equal(placement.Picked), "what was let in is not refused")
+	chosen, _, _ = g.decideWith(now, admitted, time.Minute, excess)
+	e.Expect(chosen.Status).To(Equal(placement.Picked), "admitted requests are not refused")
 }
 
 func TestSharesNeedTwoTenants(t *testing.T) {
 	t.Parallel()
-	g, now := sharingGateway("hot"), time.Now()
+	g, now := newSharingGateway("hot"), time.Now()
 	e := NewWithT(t)
 	for range 20 {
-		g.ask(now, "hot")
+		g.decideFor(now, "hot")
 	}
-	e.Expect(g.shares.excess(now, query("hot"))).To(Equal(1.0))
+	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 	e.Expect(g.shares.tracker.TenantCount()).To(BeZero())
 }
 
-func TestWhatNoRunnerRanIsNotCounted(t *testing.T) {
+func TestUnexecutedRequestsAreRefunded(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		outcome backend.Outcome
@@ -121,88 +122,89 @@
 		"answered":              {backend.Succeeded, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, now := sharingGateway("hot", "calm"), time.Now()
+			g, now := newSharingGateway("hot", "calm"), time.Now()
 			e := NewWithT(t)
 			for range 20 {
-				if chosen, _ := g.ask(now, "hot"); chosen.Status == placement.Picked {
-					q := query("hot")
+				if chosen, _ := g.decideFor(now, "hot"); chosen.Status == placement.Picked {
+					q := tenantQuery("hot")
 					send := backend.NewSet("z").Begin(now, chosen.Candidate.Name, q.PromptTokens-chosen.Candidate.CachedTokens)
 					g.shares.refund(now.Add(100*time.Millisecond), q, send, test.outcome)
 				}
 			}
 			now = now.Add(time.Second)
-			calm := query("calm")
+			calm := tenantQuery("calm")
 			g.shares.tracker.Charge(now, poolOf(calm), "calm", 4000)
 			g.shares.tracker.RecordRefusal(now, poolOf(calm), "calm", 1e6)
 			if test.excess {
-				e.Expect(g.shares.excess(now, query("hot"))).To(BeNumerically(">", 1))
+				e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
 			} else {
-				e.Expect(g.shares.excess(now, query("hot"))).To(Equal(1.0))
+				e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 			}
 		})
 	}
 }
 
-// What schedulers tell each other of uses is little beside what their links carry.
-func TestUsesAreSmall(t *testing.T) {
+// The usage that schedulers report to each other must be small compared to the capacity of their
+// links.
+func TestUsageReportsAreSmall(t *testing.T) {
 	t.Parallel()
-	const mostBytes = 750 // four times a second
+	const maxBytes = 750 // per message, sent four times per second
 	var tenants []string
 	for i := range 100 {
 		tenants = append(tenants, "a-tenant-"+string(rune('a'+i%26))+string(rune('a'+i/26)))
 	}
-	g, now := sharingGateway(tenants...), time.Now()
+	g, now := newSharingGateway(tenants...), time.Now()
 	e := NewWithT(t)
 	for _, service := range []string{"first", "second", "third"} {
 		for _, tenant := range tenants {
-			q := query(tenant)
+			q := tenantQuery(tenant)
 			q.Service = service
 			g.shares.tracker.Charge(now, poolOf(q), tenant, 1e6)
 			g.shares.tracker.RecordRefusal(now, poolOf(q), tenant, 1e6)
 		}
 	}
-	share := &wire.LoadShare{Uses: g.shares.uses(now)}
-	e.Expect(proto.Size(share)).To(BeNumerically("<", mostBytes))
-	other := sharingGateway(tenants...)
+	share := &wire.LoadShare{Uses: g.shares.localUsage(now)}
+	e.Expect(proto.Size(share)).To(BeNumerically("<", maxBytes))
+	other := newSharingGateway(tenants...)
 	other.shares.merge("r", share)
-	e.Expect(other.shares.uses(now)).To(BeEmpty(), "told sums are not told on")
+	e.Expect(other.shares.localUsage(now)).To(BeEmpty(), "usage reported by others is not reported again")
 }
 
-func TestSchedulersWordOnAShareCountsForAWhile(t *testing.T) {
+func TestReportedExcessExpires(t *testing.T) {
 	t.Parallel()
-	g, now := sharingGateway("hot", "calm"), time.Now()
+	g, now := newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
-	g.shares.hear(now, query("hot"), excessOf(&wire.RunnerAnswer{ExcessPercent: excessMessage(2.5)}))
-	e.Expect(g.shares.excess(now, query("hot"))).To(Equal(2.5))
-	e.Expect(g.shares.excess(now, query("calm"))).To(Equal(1.0))
-	e.Expect(g.shares.excess(now.Add(toldExcessTime), query("hot"))).To(Equal(1.0))
-	g.shares.hear(now, query("hot"), excessOf(&wire.RunnerAnswer{}))
-	e.Expect(g.shares.excess(now, query("hot"))).To(Equal(1.0))
+	g.shares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{ExcessPercent: encodeExcess(2.5)}))
+	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(2.5))
+	e.Expect(g.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
+	e.Expect(g.shares.excess(now.Add(reportedExcessExpiry), tenantQuery("hot"))).To(Equal(1.0))
+	g.shares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{}))
+	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 }
 
-// A tenant that sends to routers of one scheduler only is beyond its share at the others too.
-func TestSchedulersTellEachOtherOfUses(t *testing.T) {
+// A tenant that sends only to routers of one scheduler also exceeds its share at the others.
+func TestSchedulersExchangeUsage(t *testing.T) {
 	t.Parallel()
-	first, second, now := sharingGateway("hot", "calm"), sharingGateway("hot", "calm"), time.Now()
+	first, second, now := newSharingGateway("hot", "calm"), newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
 	for range 50 {
-		first.ask(now, "hot")
+		first.decideFor(now, "hot")
 	}
-	second.shares.tracker.Charge(now, poolOf(query("calm")), "calm", 1e5)
-	second.shares.tracker.RecordRefusal(now, poolOf(query("calm")), "calm", 1e5)
-	e.Expect(second.shares.excess(now, query("hot"))).To(Equal(1.0))
-	second.schedulers.told("first", &wire.LoadShare{Full: true, Uses: first.shares.uses(now)})
+	second.shares.tracker.Charge(now, poolOf(tenantQuery("calm")), "calm", 1e5)
+	second.shares.tracker.RecordRefusal(now, poolOf(tenantQuery("calm")), "calm", 1e5)
+	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
+	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.shares.localUsage(now)})
 	now = now.Add(time.Second)
-	e.Expect(second.shares.excess(now, query("hot"))).To(Equal(1.0), "both use about the same")
-	first.shares.tracker.Charge(now, poolOf(query("hot")), "hot", 1e6)
-	second.schedulers.told("first", &wire.LoadShare{Full: true, Uses: first.shares.uses(now)})
+	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0), "both have about the same usage")
+	first.shares.tracker.Charge(now, poolOf(tenantQuery("hot")), "hot", 1e6)
+	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.shares.localUsage(now)})
 	now = now.Add(time.Second)
-	e.Expect(second.shares.excess(now, query("hot"))).To(BeNumerically(">", 1))
-	e.Expect(second.shares.excess(now, query("calm"))).To(Equal(1.0))
+	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
+	e.Expect(second.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
 }
 
-// A caller refused for its tenant's share is told so, and when to come back.
-func TestRefusalForShareNamesItsReason(t *testing.T) {
+// A caller refused because of its tenant's share is told the reason and when to retry.
+func TestShareRefusalReportsItsReason(t *testing.T) {
 	t.Parallel()
 	e := NewWithT(t)
 	c := &call{}
--- a/internal/gateway/shareuses.go
+++ b/internal/gateway/shareuses.go
@@ -8,73 +8,74 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// mostBeyond bounds the tenants in the status.
-const mostBeyond = 10
+// maxStatusExcesses is the maximum number of tenants in the status.
+const maxStatusExcesses = 10
 
-// BeyondShare is a tenant that uses more than its fair share of a short service.
+// BeyondShare is a tenant that uses more than its fair share of an overloaded service.
 type BeyondShare struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
-	// Excess is what its longest queueing time is divided by.
+	// Excess is the factor by which the tenant's longest accepted queueing time is divided.
 	Excess float64 `json:"excess"`
 }
 
-// summary returns the tenants beyond their shares for the status.
-func (s *shares) summary(now time.Time) []BeyondShare {
+// summary returns the tenants that exceed their shares, for the status.
+func (s *fairShares) summary(now time.Time) []BeyondShare {
 	var summary []BeyondShare
-	for _, beyond := range s.tracker.TopExcesses(now, mostBeyond) {
-		summary = append(summary, BeyondShare{Tenant: beyond.Tenant, Service: beyond.Service, Excess: beyond.Excess})
+	for _, tenant := range s.tracker.TopExcesses(now, maxStatusExcesses) {
+		summary = append(summary, BeyondShare{Tenant: tenant.Tenant, Service: tenant.Service, Excess: tenant.Excess})
 	}
 	return summary
 }
 
-// tenants counts the tenants whose use is remembered.
-func (s *shares) tenants() float64 {
+// tenantCount returns the number of tenants with recorded usage.
+func (s *fairShares) tenantCount() float64 {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	return float64(s.tracker.TenantCount())
 }
 
-// uses returns what other schedulers are to be told of recent use.
-func (s *shares) uses(now time.Time) []*wire.PoolUse {
-	var uses []*wire.PoolUse
-	for _, sums := range s.tracker.LocalUsage(now) {
-		use := &wire.PoolUse{Service: sums.Service, Tier: uint32(sums.Tier), RouteRank: uint32(sums.Route)}
-		for _, tenant := range sums.Tenants {
-			use.Tenants = append(use.Tenants, &wire.TenantUse{Tenant: tenant.Tenant, Used: tokens(tenant.Used), Refused: tokens(tenant.Refused)})
+// localUsage returns the recent usage to report to the other schedulers.
+func (s *fairShares) localUsage(now time.Time) []*wire.PoolUse {
+	var messages []*wire.PoolUse
+	for _, pool := range s.tracker.LocalUsage(now) {
+		message := &wire.PoolUse{Service: pool.Service, Tier: uint32(pool.Tier), RouteRank: uint32(pool.Route)}
+		for _, tenant := range pool.Tenants {
+			message.Tenants = append(message.Tenants, &wire.TenantUse{Tenant: tenant.Tenant, Used: roundTokens(tenant.Used), Refused: roundTokens(tenant.Refused)})
 		}
-		uses = append(uses, use)
+		messages = append(messages, message)
 	}
-	return uses
+	return messages
 }
 
-func tokens(amount float64) uint64 { return uint64(math.Round(max(amount, 0))) }
+func roundTokens(amount float64) uint64 { return uint64(math.Round(max(amount, 0))) }
 
-// merge takes another scheduler's sums.
-func (s *shares) merge(scheduler string, share *wire.LoadShare) {
+// merge applies the usage that another scheduler reported.
+func (s *fairShares) merge(scheduler string, share *wire.LoadShare) {
 	if len(share.GetUses()) == 0 {
 		return
 	}
-	var all []fairshare.PoolUsage
-	for _, use := range share.GetUses() {
-		sums := fairshare.PoolUsage{Pool: fairshare.Pool{Service: use.GetService(), Tier: int(use.GetTier()), Route: int(use.GetRouteRank())}}
-		for _, tenant := range use.GetTenants() {
-			sums.Tenants = append(sums.Tenants, fairshare.TenantUsage{Tenant: tenant.GetTenant(), Used: float64(tenant.GetUsed()), Refused: float64(tenant.GetRefused())})
+	var pools []fairshare.PoolUsage
+	for _, message := range share.GetUses() {
+		pool := fairshare.PoolUsage{Pool: fairshare.Pool{Service: message.GetService(), Tier: int(message.GetTier()), Route: int(message.GetRouteRank())}}
+		for _, tenant := range message.GetTenants() {
+			pool.Tenants = append(pool.Tenants, fairshare.TenantUsage{Tenant: tenant.GetTenant(), Used: float64(tenant.GetUsed()), Refused: float64(tenant.GetRefused())})
 		}
-		all = append(all, sums)
+		pools = append(pools, pool)
 	}
-	s.tracker.Merge(s.gateway.now(), scheduler, all)
+	s.tracker.Merge(s.gateway.now(), scheduler, pools)
 }
 
-// excessMessage writes an excess for the wire, 0 for a tenant that is not beyond its share.
-func excessMessage(excess float64) uint32 {
+// encodeExcess returns the excess in percent as sent on the wire, 0 for a tenant that does not
+// exceed its share.
+func encodeExcess(excess float64) uint32 {
 	if excess <= 1 {
 		return 0
 	}
 	return uint32(math.Round(excess * percent))
 }
 
-// excessOf reads what excessMessage wrote.
-func excessOf(answer *wire.RunnerAnswer) float64 {
+// decodeExcess returns the excess in an answer, which encodeExcess encoded.
+func decodeExcess(answer *wire.RunnerAnswer) float64 {
 	return max(float64(answer.GetExcessPercent())/percent, 1)
 }
--- a/internal/gateway/signalnews.go
+++ b/internal/gateway/signalnews.go
@@ -7,46 +7,47 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// signalMessages writes records with ages in place of moments: clocks differ.
-func signalMessages(now time.Time, records []backpressure.Record) []*wire.RunnerSignal {
+// encodeSignals encodes records for the wire, with ages instead of times because the clocks of
+// routers differ.
+func encodeSignals(now time.Time, records []backpressure.Record) []*wire.RunnerSignal {
 	messages := make([]*wire.RunnerSignal, 0, len(records))
 	for _, record := range records {
 		message := &wire.RunnerSignal{Runner: record.ID, Incarnation: record.Incarnation, Rate: record.Rate}
-		message.Leaving, message.LeavingAgeMillis = ageOf(now, record.LeavingAt)
-		message.Named, message.NamedAgeMillis = ageOf(now, record.LimitReportedAt)
-		message.Lifted, message.LiftedAgeMillis = ageOf(now, record.LimitLiftedAt)
+		message.Leaving, message.LeavingAgeMillis = encodeAge(now, record.LeavingAt)
+		message.Named, message.NamedAgeMillis = encodeAge(now, record.LimitReportedAt)
+		message.Lifted, message.LiftedAgeMillis = encodeAge(now, record.LimitLiftedAt)
 		messages = append(messages, message)
 	}
 	return messages
 }
 
-// ageOf writes a moment as its age, or false for none.
-func ageOf(now, moment time.Time) (known bool, ageMillis uint64) {
-	if moment.IsZero() {
+// encodeAge returns the age of a time, or false for the zero time.
+func encodeAge(now, at time.Time) (known bool, ageMillis uint64) {
+	if at.IsZero() {
 		return false, 0
 	}
-	return true, wire.AgeMillis(now.Sub(moment))
+	return true, wire.AgeMillis(now.Sub(at))
 }
 
-// signalsOf reads what signalMessages wrote.
-func signalsOf(now time.Time, messages []*wire.RunnerSignal) []backpressure.Record {
+// decodeSignals returns the records that encodeSignals encoded.
+func decodeSignals(now time.Time, messages []*wire.RunnerSignal) []backpressure.Record {
 	records := make([]backpressure.Record, 0, len(messages))
 	for _, message := range messages {
 		record := backpressure.Record{
 			Runner:        backpressure.Runner{ID: message.GetRunner(), Incarnation: message.GetIncarnation()},
-			LeavingAt:     momentOf(now, message.GetLeaving(), message.GetLeavingAgeMillis()),
-			LimitLiftedAt: momentOf(now, message.GetLifted(), message.GetLiftedAgeMillis()),
+			LeavingAt:     decodeAge(now, message.GetLeaving(), message.GetLeavingAgeMillis()),
+			LimitLiftedAt: decodeAge(now, message.GetLifted(), message.GetLiftedAgeMillis()),
 		}
 		if backpressure.ValidRate(message.GetRate()) {
-			record.Rate, record.LimitReportedAt = message.GetRate(), momentOf(now, message.GetNamed(), message.GetNamedAgeMillis())
+			record.Rate, record.LimitReportedAt = message.GetRate(), decodeAge(now, message.GetNamed(), message.GetNamedAgeMillis())
 		}
 		records = append(records, record)
 	}
 	return records
 }
 
-// momentOf reads what ageOf wrote.
-func momentOf(now time.Time, known bool, ageMillis uint64) time.Time {
+// decodeAge returns the time that encodeAge encoded.
+func decodeAge(now time.Time, known bool, ageMillis uint64) time.Time {
 	if !known {
 		return time.Time{}
 	}
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -9,103 +9,109 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Names of what runners say, in counters.
+// Values of the metric label that names a signal.
 const (
-	signalLeaving    = "leaving"
-	signalLimit      = "limit"
-	signalRest       = "rest"
-	signalUnreadable = "unreadable"
+	signalLeaving   = "leaving"
+	signalLimit     = "limit"
+	signalBackoff   = "rest"
+	signalMalformed = "unreadable"
 )
 
-// unreadablePause is the least time between two log lines on values that cannot be read.
-const unreadablePause = time.Second
+// malformedLogInterval is the minimum interval between two log lines about malformed signal
+// headers.
+const malformedLogInterval = time.Second
 
-// signals takes what runners say of themselves in their answers, and shares it with all
-// routers: what this one hears goes to the seeds, which choose runners for others and push it,
-// and pulls repair what was lost. The gateway's mutex guards what is known, which the set of
-// runners holds, and the fields.
+// signals receives the load signals that runners send in their responses and shares them with all
+// routers. Signals that this router receives go to the seeds, which choose runners for others and
+// push the signals on to the other routers; pulls repair lost messages. The gateway's mutex guards
+// the fields and the signals themselves, which are stored in the gateway's set of runners.
 type signals struct {
-	gateway *Gateway
-	out     *newsOutbox[backpressure.Runner]
-	// followed is how far this router knows the records of those that it pulls from.
-	followed map[string]feedPlace
-	// unreadableAt is when a value was last logged that cannot be read.
-	unreadableAt time.Time
+	gateway    *Gateway
+	broadcasts *broadcaster[backpressure.Runner]
+	// pullPositions holds, by address, up to which position this router has the signals of the
+	// routers that it pulls from.
+	pullPositions map[string]feedPosition
+	// malformedLoggedAt is when a malformed header was last logged.
+	malformedLoggedAt time.Time
 }
 
-// mostSignals bounds the records in one answer; the rest comes with the next.
-const mostSignals = 64
+// maxSignalRecords is the maximum number of records in one answer to a pull; the remaining ones
+// follow in the next answer.
+const maxSignalRecords = 64
 
 func newSignals(g *Gateway) *signals {
-	s := &signals{gateway: g, followed: map[string]feedPlace{}}
-	s.out = newNewsOutbox(g, s.news)
+	s := &signals{gateway: g, pullPositions: map[string]feedPosition{}}
+	s.broadcasts = newBroadcaster(g, s.encodeRunners)
 	return s
 }
 
-// hear takes what the runner says of itself in the head of an answer.
-func (c *call) hear(answer AnswerFacts, status int) {
+// receiveSignals applies the signals in the headers of a runner's response.
+func (c *call) receiveSignals(answer AnswerFacts, status int) {
 	g, now := c.gateway, c.gateway.now()
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
-	heard := g.runners.RecordSignals(now, c.sent, c.runner, answer.Signals, success)
-	logged := len(answer.Signals.Malformed) > 0 && now.Sub(g.signals.unreadableAt) >= unreadablePause
-	if logged {
-		g.signals.unreadableAt = now
+	changes := g.runners.RecordSignals(now, c.sent, c.runner, answer.Signals, success)
+	shouldLog := len(answer.Signals.Malformed) > 0 && now.Sub(g.signals.malformedLoggedAt) >= malformedLogInterval
+	if shouldLog {
+		g.signals.malformedLoggedAt = now
 	}
 	g.mutex.Unlock()
 	for range answer.Signals.Malformed {
-		g.metrics.signals.WithLabelValues(c.service, signalUnreadable).Inc()
+		g.metrics.signals.WithLabelValues(c.service, signalMalformed).Inc()
 	}
-	if logged {
+	if shouldLog {
 		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.facts.ID})
 	}
-	if heard.Any() {
-		g.signals.heard(c.runner, c.service, heard, answer.Signals, c.facts.ID)
+	if changes.Any() {
+		g.signals.recordChanges(c.runner, c.service, changes, answer.Signals, c.facts.ID)
 	}
 }
 
-// heard notes what is new.
-func (s *signals) heard(runner backend.Runner, service string, heard backpressure.Changes, said backpressure.Signals, request string) {
-	counted := s.gateway.metrics.signals
-	for name, isNew := range map[string]bool{signalLeaving: heard.Leaving, signalLimit: heard.Limit, signalRest: heard.Backoff} {
-		if isNew {
-			counted.WithLabelValues(service, name).Inc()
+// recordChanges counts and logs the changes that a response made, and broadcasts those that other
+// routers need.
+func (s *signals) recordChanges(runner backend.Runner, service string, changes backpressure.Changes, received backpressure.Signals, requestID string) {
+	counters := s.gateway.metrics.signals
+	for signal, changed := range map[string]bool{signalLeaving: changes.Leaving, signalLimit: changes.Limit, signalBackoff: changes.Backoff} {
+		if changed {
+			counters.WithLabelValues(service, signal).Inc()
 		}
 	}
 	s.gateway.log.Log(events.RunnerSignalReceived, events.Fields{
-		"runner": runner.ID, "address": runner.Address, "service": service, "request": request,
-		"leaving": said.Leaving, "limited": said.Limited, "rate": said.Rate, "rest_ms": said.Backoff.Milliseconds(),
+		"runner": runner.ID, "address": runner.Address, "service": service, "request": requestID,
+		"leaving": received.Leaving, "limited": received.Limited, "rate": received.Rate, "rest_ms": received.Backoff.Milliseconds(),
 	})
-	if heard.NeedsBroadcast() {
-		s.out.add([]backpressure.Runner{{ID: runner.ID, Incarnation: runner.Incarnation}}, true)
+	if changes.NeedsBroadcast() {
+		s.broadcasts.add([]backpressure.Runner{{ID: runner.ID, Incarnation: runner.Incarnation}}, true)
 	}
 }
 
-// repeat tells the schedulers again what the runner has said, as one of them has chosen it
-// without knowing. The gateway's mutex is held.
-func (s *signals) repeat(now time.Time, runner backend.Runner) {
-	start := backpressure.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
-	if s.gateway.runners.Signals().ShouldResend(now, start) {
-		s.out.add([]backpressure.Runner{start}, true)
+// resend broadcasts the runner's signals to the schedulers again, because one of them chose the
+// runner without knowing them. The caller holds the gateway's mutex.
+func (s *signals) resend(now time.Time, runner backend.Runner) {
+	incarnation := backpressure.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
+	if s.gateway.runners.Signals().ShouldResend(now, incarnation) {
+		s.broadcasts.add([]backpressure.Runner{incarnation}, true)
 	}
 }
 
-// learn takes what another router tells, and passes on what is news.
-func (s *signals) learn(messages []*wire.RunnerSignal) {
+// merge applies signals from another router. It logs and broadcasts those that changed here and
+// those of which the sender had an outdated version.
+func (s *signals) merge(messages []*wire.RunnerSignal) {
 	g, now := s.gateway, s.gateway.now()
 	g.mutex.Lock()
-	changed := g.runners.MergeSignals(now, signalsOf(now, messages))
+	changed := g.runners.MergeSignals(now, decodeSignals(now, messages))
 	g.mutex.Unlock()
 	runners := make([]backpressure.Runner, 0, len(changed))
 	for _, record := range changed {
 		runners = append(runners, record.Runner)
 		g.log.Log(events.RunnerSignalForwarded, events.Fields{"runner": record.ID, "leaving": record.Leaving(), "limited": record.Limited(), "rate": record.Rate})
 	}
-	s.out.add(runners, false)
+	s.broadcasts.add(runners, false)
 }
 
-// news tells other routers what is known by now of the runners.
-func (s *signals) news(now time.Time, runners []backpressure.Runner) *wire.Envelope {
+// encodeRunners returns a message with the current signals of the runners, or nil if there are
+// none.
+func (s *signals) encodeRunners(now time.Time, runners []backpressure.Runner) *wire.Envelope {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	var records []backpressure.Record
@@ -117,20 +123,21 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return &wire.Envelope{Body: &wire.Envelope_SignalNews{SignalNews: &wire.SignalNews{Signals: signalMessages(now, records)}}}
+	return &wire.Envelope{Body: &wire.Envelope_SignalNews{SignalNews: &wire.SignalNews{Signals: encodeSignals(now, records)}}}
 }
 
-// ask says in a pull how far this router knows the records of the one at the address.
-func (s *signals) ask(address string, pull *wire.CopyPull) {
+// addPullPosition adds to a pull up to which position this router has the signals of the router at
+// the address.
+func (s *signals) addPullPosition(address string, pull *wire.CopyPull) {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	known := s.followed[address]
-	pull.WantsSignals, pull.SignalsFeed, pull.SignalsThrough = true, known.feed, known.through
+	position := s.pullPositions[address]
+	pull.WantsSignals, pull.SignalsFeed, pull.SignalsThrough = true, position.feed, position.through
 }
 
-// answer returns what the asking router lacks, nil for nothing or for a version that does
-// not ask.
-func (s *signals) answer(pull *wire.CopyPull) *wire.SignalDelta {
+// answerPull returns the signals that the pulling router lacks. It returns nil if there are none,
+// or if that router runs a version that does not ask for them.
+func (s *signals) answerPull(pull *wire.CopyPull) *wire.SignalDelta {
 	if !pull.GetWantsSignals() {
 		return nil
 	}
@@ -140,32 +147,33 @@
 	}
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	records, reached := s.gateway.runners.Signals().ChangedSince(through, mostSignals)
+	records, reached := s.gateway.runners.Signals().ChangedSince(through, maxSignalRecords)
 	if reached == through {
 		return nil
 	}
-	return &wire.SignalDelta{Feed: feed, Through: reached, Signals: signalMessages(s.gateway.now(), records)}
+	return &wire.SignalDelta{Feed: feed, Through: reached, Signals: encodeSignals(s.gateway.now(), records)}
 }
 
-// told takes the answer of the router at the address.
-func (s *signals) told(address string, delta *wire.SignalDelta) {
+// applyPull applies the answer of the router at the address.
+func (s *signals) applyPull(address string, delta *wire.SignalDelta) {
 	if delta == nil {
 		return
 	}
-	s.learn(delta.GetSignals())
+	s.merge(delta.GetSignals())
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
-	s.followed[address] = feedPlace{feed: delta.GetFeed(), through: delta.GetThrough()}
+	s.pullPositions[address] = feedPosition{feed: delta.GetFeed(), through: delta.GetThrough()}
 }
 
-// resting returns the runners that want no requests from this router.
-func (g *Gateway) resting() []backend.RestingRunner {
+// restingRunners returns the runners that asked this router to back off.
+func (g *Gateway) restingRunners() []backend.RestingRunner {
 	now := g.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.runners.Resting(now)
 }
 
+// sweep removes the signals of runners that have not been listed for a long time.
 func (s *signals) sweep(now time.Time) {
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -31,7 +31,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	held, store := holdingStore(f, platform.KindVersions)
+	held, store := blockingStore(f, platform.KindVersions)
 	held.Store(false)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = store })
 	time.Sleep(3500 * time.Millisecond) // it has settled
@@ -93,11 +93,11 @@
 // expiresInTime checks that the router, which skipped the second version, uses the first
 // no longer than allowed since the naming of the second.
 func (f *fleet) expiresInTime(r *router, named time.Time) {
-	f.g.Eventually(func() time.Time { return r.olderUntil(3) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
-	f.g.Expect(r.olderUntil(2)).To(BeZero(), "it was to be skipped")
+	f.g.Eventually(func() time.Time { return r.oldWeightsExpiry(3) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
+	f.g.Expect(r.oldWeightsExpiry(2)).To(BeZero(), "it was to be skipped")
 	time.Sleep(time.Second) // others have told what they know
-	f.t.Logf("the first version is used until %v after the second was named", r.olderUntil(3).Sub(named))
-	f.g.Expect(r.olderUntil(3)).To(BeTemporally("<=", named.Add(8*time.Second)))
+	f.t.Logf("the first version is used until %v after the second was named", r.oldWeightsExpiry(3).Sub(named))
+	f.g.Expect(r.oldWeightsExpiry(3)).To(BeTemporally("<=", named.Add(8*time.Second)))
 }
 
 // As after a restart between the namings and their deadlines: the router learns of the
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -113,10 +113,10 @@
 func TestQuarantinesThatTheStoreLostAreWrittenAgain(t *testing.T) {
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
-	p.route(3)
+	p.startRouters(3)
 	kept := p.store.Copy()
-	p.endRunners(3)
-	p.keeps(3)
+	p.crashRunners(3)
+	p.expectStoredCrashes(3)
 	for _, r := range p.routers {
 		r.door.Set(storestand.Reset)
 	}
@@ -125,7 +125,7 @@
 	for _, r := range p.routers {
 		r.door.Set(storestand.Healthy)
 	}
-	p.keeps(3)
+	p.expectStoredCrashes(3)
 	time.Sleep(time.Second)
 	p.g.Expect(p.store.Writes(platform.KindQuarantines)).To(BeNumerically("<=", 2), "not by all routers")
 }
--- a/internal/gateway/suspectnews.go
+++ b/internal/gateway/suspectnews.go
@@ -7,23 +7,24 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// suspectNews writes records for other routers.
-func suspectNews(now time.Time, records []quarantine.Record) *wire.SuspectNews {
-	return &wire.SuspectNews{Records: suspectMessages(now, records)}
+// newSuspectNews returns the message that broadcasts the records.
+func newSuspectNews(now time.Time, records []quarantine.Record) *wire.SuspectNews {
+	return &wire.SuspectNews{Records: encodeSuspects(now, records)}
 }
 
-// suspectMessages writes records with ages in place of moments: clocks differ.
-func suspectMessages(now time.Time, records []quarantine.Record) []*wire.SuspectRecord {
+// encodeSuspects encodes records for the wire, with ages instead of times because the clocks of
+// routers differ.
+func encodeSuspects(now time.Time, records []quarantine.Record) []*wire.SuspectRecord {
 	messages := make([]*wire.SuspectRecord, 0, len(records))
 	for _, record := range records {
 		message := &wire.SuspectRecord{Tenant: record.Content.Tenant, Digest: record.Content.Digest, Outlived: !record.SurvivedAt.IsZero()}
 		if message.Outlived {
 			message.OutlivedAgeMillis = wire.AgeMillis(now.Sub(record.SurvivedAt))
 		}
-		for _, end := range record.Crashes {
+		for _, crash := range record.Crashes {
 			message.Ends = append(message.Ends, &wire.RunnerEnd{
-				Runner: end.Runner.ID, Incarnation: end.Runner.Incarnation,
-				AgeMillis: wire.AgeMillis(now.Sub(end.DetectedAt)), BeganAgeMillis: wire.AgeMillis(now.Sub(end.SentAt)),
+				Runner: crash.Runner.ID, Incarnation: crash.Runner.Incarnation,
+				AgeMillis: wire.AgeMillis(now.Sub(crash.DetectedAt)), BeganAgeMillis: wire.AgeMillis(now.Sub(crash.SentAt)),
 			})
 		}
 		messages = append(messages, message)
@@ -31,18 +32,18 @@
 	return messages
 }
 
-// recordsOf reads what suspectMessages wrote.
-func recordsOf(now time.Time, messages []*wire.SuspectRecord) []quarantine.Record {
+// decodeSuspects returns the records that encodeSuspects encoded.
+func decodeSuspects(now time.Time, messages []*wire.SuspectRecord) []quarantine.Record {
 	records := make([]quarantine.Record, 0, len(messages))
 	for _, message := range messages {
 		record := quarantine.Record{Content: quarantine.ContentID{Tenant: message.GetTenant(), Digest: message.GetDigest()}}
 		if message.GetOutlived() {
 			record.SurvivedAt = now.Add(-wire.Age(message.GetOutlivedAgeMillis()))
 		}
-		for _, end := range message.GetEnds() {
+		for _, crash := range message.GetEnds() {
 			record.Crashes = append(record.Crashes, quarantine.Crash{
-				Runner:     quarantine.Runner{ID: end.GetRunner(), Incarnation: end.GetIncarnation()},
-				DetectedAt: now.Add(-wire.Age(end.GetAgeMillis())), SentAt: now.Add(-wire.Age(end.GetBeganAgeMillis())),
+				Runner:     quarantine.Runner{ID: crash.GetRunner(), Incarnation: crash.GetIncarnation()},
+				DetectedAt: now.Add(-wire.Age(crash.GetAgeMillis())), SentAt: now.Add(-wire.Age(crash.GetBeganAgeMillis())),
 			})
 		}
 		records = append(records, record)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -9,43 +9,48 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// suspects keeps this router's records of contents that end the runners that run them, and
-// shares them with all others: what it sees itself goes to the seeds, which push it, and
-// pulls repair what was lost. So all routers judge by the same ends within some milliseconds,
-// and routers that are cut off, or whose seeds are of a version that does not know this
-// message, still judge by their own. What has ended two runners is kept in the store.
+// suspects holds the records of contents that crashed the runners that processed them, and shares
+// them with all routers. Crashes that this router detects go to the seeds, which push them on to
+// the other routers; pulls repair lost messages. All routers therefore decide from the same crashes
+// within some milliseconds. Routers that are partitioned, or whose seeds run a version that does
+// not know these messages, still decide from the crashes that they detect themselves. Contents that
+// crashed two runners are also kept in the store.
 type suspects struct {
-	gateway *Gateway
-	kept    *keptQuarantines
-	out     *newsOutbox[quarantine.ContentID]
-	mutex   sync.Mutex
-	judge   *quarantine.Detector
-	// followed is how far this router knows the records of those that it pulls from.
-	followed map[string]feedPlace
-	// logged holds until when contents were logged to be quarantined.
-	logged map[quarantine.ContentID]time.Time
+	gateway    *Gateway
+	stored     *storedQuarantines
+	broadcasts *broadcaster[quarantine.ContentID]
+	mutex      sync.Mutex
+	detector   *quarantine.Detector
+	// pullPositions holds, by address, up to which position this router has the records of the
+	// routers that it pulls from.
+	pullPositions map[string]feedPosition
+	// loggedUntil holds the end of the quarantine that was last logged for each content.
+	loggedUntil map[quarantine.ContentID]time.Time
 }
 
-// feedPlace is a place in the changes of another router's records.
-type feedPlace struct {
-	// feed is that router's start, and through the number of the change.
+// feedPosition is a position in the sequence of changes to another router's records.
+type feedPosition struct {
+	// feed is the start time of that router, because a restart begins a new sequence, and through
+	// is the sequence number of the change.
 	feed, through uint64
 }
 
-// mostSuspects bounds the records in one answer; the rest comes with the next.
-const mostSuspects = 64
+// maxSuspectRecords is the maximum number of records in one answer to a pull; the remaining ones
+// follow in the next answer.
+const maxSuspectRecords = 64
 
 func newSuspects(g *Gateway) *suspects {
 	s := &suspects{
-		gateway: g, kept: newKeptQuarantines(g), judge: quarantine.NewDetector(),
-		followed: map[string]feedPlace{}, logged: map[quarantine.ContentID]time.Time{},
+		gateway: g, stored: newStoredQuarantines(g), detector: quarantine.NewDetector(),
+		pullPositions: map[string]feedPosition{}, loggedUntil: map[quarantine.ContentID]time.Time{},
 	}
-	s.out = newNewsOutbox(g, s.news)
+	s.broadcasts = newBroadcaster(g, s.encodeContents)
 	return s
 }
 
-// news tells other routers what is known by now of the contents.
-func (s *suspects) news(now time.Time, contents []quarantine.ContentID) *wire.Envelope {
+// encodeContents returns a message with the current records of the contents, or nil if there are
+// none.
+func (s *suspects) encodeContents(now time.Time, contents []quarantine.ContentID) *wire.Envelope {
 	var records []quarantine.Record
 	for _, content := range contents {
 		if record, _ := s.record(content); len(record.Crashes) > 0 {
@@ -55,11 +60,11 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: suspectNews(now, records)}}
+	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: newSuspectNews(now, records)}}
 }
 
-// contentsOf names the contents of the records.
-func contentsOf(records []quarantine.Record) []quarantine.ContentID {
+// contentIDs returns the contents of the records.
+func contentIDs(records []quarantine.Record) []quarantine.ContentID {
 	contents := make([]quarantine.ContentID, 0, len(records))
 	for _, record := range records {
 		contents = append(contents, record.Content)
@@ -67,136 +72,139 @@
 	return contents
 }
 
-// verdict judges the content.
-func (s *suspects) verdict(now time.Time, content quarantine.ContentID) quarantine.Status {
+// status returns the quarantine status of the content.
+func (s *suspects) status(now time.Time, content quarantine.ContentID) quarantine.Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.judge.Evaluate(now, content)
+	return s.detector.Evaluate(now, content)
 }
 
-// runnerEnded notes a runner's end under the runs.
-func (s *suspects) runnerEnded(now time.Time, runs []*quarantine.Run) {
+// runnerCrashed records that a runner crashed during the runs.
+func (s *suspects) runnerCrashed(now time.Time, runs []*quarantine.Run) {
 	var changed []quarantine.Record
 	s.mutex.Lock()
 	for _, run := range runs {
-		if s.judge.RunnerCrashed(now, run) {
-			record, _ := s.judge.Record(run.Content)
+		if s.detector.RunnerCrashed(now, run) {
+			record, _ := s.detector.Record(run.Content)
 			changed = append(changed, record)
 		}
 	}
 	s.mutex.Unlock()
-	s.tell(now, changed)
+	s.publish(now, changed)
 }
 
-// outlived notes that a runner has outlived a run of the content.
-func (s *suspects) outlived(now time.Time, content quarantine.ContentID) {
+// runnerSurvived records that a runner survived a run of the content.
+func (s *suspects) runnerSurvived(now time.Time, content quarantine.ContentID) {
 	var changed []quarantine.Record
 	s.mutex.Lock()
-	if s.judge.RunnerSurvived(now, content) {
-		record, _ := s.judge.Record(content)
+	if s.detector.RunnerSurvived(now, content) {
+		record, _ := s.detector.Record(content)
 		changed = append(changed, record)
 	}
 	s.mutex.Unlock()
-	s.tell(now, changed)
+	s.publish(now, changed)
 }
 
-// tell tells others of what this router has found out itself.
-func (s *suspects) tell(now time.Time, changed []quarantine.Record) {
+// publish applies and broadcasts changes that this router detected itself.
+func (s *suspects) publish(now time.Time, changed []quarantine.Record) {
 	if len(changed) == 0 {
 		return
 	}
-	s.note(now, changed)
-	s.out.add(contentsOf(changed), true)
+	s.applyChanges(now, changed)
+	s.broadcasts.add(contentIDs(changed), true)
 }
 
-// learn takes what another router has told, and passes on what is news.
-func (s *suspects) learn(records []quarantine.Record) {
+// merge applies records from another router or the store, and broadcasts those that changed here.
+func (s *suspects) merge(records []quarantine.Record) {
 	now := s.gateway.now()
 	s.mutex.Lock()
-	changed := s.judge.Merge(now, records)
+	changed := s.detector.Merge(now, records)
 	s.mutex.Unlock()
 	if len(changed) == 0 {
 		return
 	}
-	s.note(now, changed)
-	s.out.add(contentsOf(changed), false)
+	s.applyChanges(now, changed)
+	s.broadcasts.add(contentIDs(changed), false)
 }
 
-// note logs what follows from changed records, and has them kept.
-func (s *suspects) note(now time.Time, changed []quarantine.Record) {
+// applyChanges logs the quarantines that begin or end with the changed records, and updates the
+// records in the store.
+func (s *suspects) applyChanges(now time.Time, changed []quarantine.Record) {
 	for _, record := range changed {
-		verdict, step := s.step(now, record.Content)
-		switch step {
+		status, transition := s.transition(now, record.Content)
+		switch transition {
 		case quarantineBegan:
-			s.quarantined(now, record, verdict)
+			s.startQuarantine(now, record, status)
 		case quarantineLifted:
 			s.gateway.log.Log(events.QuarantineLifted, events.Fields{"content": record.Content.String(), "tenant": record.Content.Tenant})
 		}
-		s.kept.changed(record.Content, verdict.Crashes)
+		s.stored.recordChanged(record.Content, status.Crashes)
 	}
 }
 
-// quarantineStep is what has become of a content's quarantine.
-type quarantineStep uint8
+// quarantineTransition is a change of the quarantine of a content.
+type quarantineTransition uint8
 
-// The steps.
+// The transitions of a quarantine.
 const (
-	noStep quarantineStep = iota
-	// quarantineBegan also means that one began anew, after a trial.
+	noTransition quarantineTransition = iota
+	// quarantineBegan also stands for a quarantine that begins again after a failed trial.
 	quarantineBegan
 	quarantineLifted
 )
 
-// step judges a content whose record has changed, and tells what is to be logged of it.
-func (s *suspects) step(now time.Time, content quarantine.ContentID) (quarantine.Status, quarantineStep) {
+// transition returns the status of a content whose record has changed, and the transition to log.
+func (s *suspects) transition(now time.Time, content quarantine.ContentID) (quarantine.Status, quarantineTransition) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	verdict := s.judge.Evaluate(now, content)
-	until, logged := s.logged[content]
+	status := s.detector.Evaluate(now, content)
+	quarantinedUntil, isLogged := s.loggedUntil[content]
 	switch {
-	case verdict.State == quarantine.Quarantined && !until.Equal(verdict.Until):
-		s.logged[content] = verdict.Until
-		return verdict, quarantineBegan
-	case verdict.State == quarantine.Clear && logged:
-		delete(s.logged, content)
-		return verdict, quarantineLifted
+	case status.State == quarantine.Quarantined && !quarantinedUntil.Equal(status.Until):
+		s.loggedUntil[content] = status.Until
+		return status, quarantineBegan
+	case status.State == quarantine.Clear && isLogged:
+		delete(s.loggedUntil, content)
+		return status, quarantineLifted
 	}
-	return verdict, noStep
+	return status, noTransition
 }
 
-// quarantined notes that a content is not sent any more.
-func (s *suspects) quarantined(now time.Time, record quarantine.Record, verdict quarantine.Status) {
+// startQuarantine counts and logs the quarantine of a content and withdraws requests with that
+// content.
+func (s *suspects) startQuarantine(now time.Time, record quarantine.Record, status quarantine.Status) {
 	g := s.gateway
-	first := record.Crashes[max(len(record.Crashes)-verdict.Crashes, 0)]
+	firstCrash := record.Crashes[max(len(record.Crashes)-status.Crashes, 0)]
 	g.metrics.quarantines.Inc()
-	g.metrics.quarantineTimes.Observe(now.Sub(first.DetectedAt).Seconds())
+	g.metrics.quarantineTimes.Observe(now.Sub(firstCrash.DetectedAt).Seconds())
 	g.log.Log(events.ContentQuarantined, events.Fields{
-		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": verdict.Crashes, "runners": endedRunners(record),
-		"after_ms": now.Sub(first.DetectedAt).Milliseconds(), "for_ms": verdict.Until.Sub(now).Milliseconds(),
+		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": status.Crashes, "runners": crashedRunners(record),
+		"after_ms": now.Sub(firstCrash.DetectedAt).Milliseconds(), "for_ms": status.Until.Sub(now).Milliseconds(),
 	})
 	g.withdrawContent(record.Content)
 }
 
-// endedRunners names the runners that ended under the content.
-func endedRunners(record quarantine.Record) []string {
+// crashedRunners returns the ids of the runners that crashed while they processed the content.
+func crashedRunners(record quarantine.Record) []string {
 	names := make([]string, 0, len(record.Crashes))
-	for _, end := range record.Crashes {
-		names = append(names, end.Runner.ID)
+	for _, crash := range record.Crashes {
+		names = append(names, crash.Runner.ID)
 	}
 	return names
 }
 
-// ask says in a pull how far this router knows the records of the one at the address.
-func (s *suspects) ask(address string, pull *wire.CopyPull) {
+// addPullPosition adds to a pull up to which position this router has the records of the router at
+// the address.
+func (s *suspects) addPullPosition(address string, pull *wire.CopyPull) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.followed[address]
-	pull.WantsSuspects, pull.SuspectsFeed, pull.SuspectsThrough = true, known.feed, known.through
+	position := s.pullPositions[address]
+	pull.WantsSuspects, pull.SuspectsFeed, pull.SuspectsThrough = true, position.feed, position.through
 }
 
-// answer returns what the asking router lacks, nil for nothing or for a version that does
-// not ask.
-func (s *suspects) answer(pull *wire.CopyPull) *wire.SuspectDelta {
+// answerPull returns the records that the pulling router lacks. It returns nil if there are none,
+// or if that router runs a version that does not ask for them.
+func (s *suspects) answerPull(pull *wire.CopyPull) *wire.SuspectDelta {
 	if !pull.GetWantsSuspects() {
 		return nil
 	}
@@ -206,68 +214,68 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	records, reached := s.judge.ChangedSince(through, mostSuspects)
+	records, reached := s.detector.ChangedSince(through, maxSuspectRecords)
 	if reached == through {
 		return nil
 	}
-	return &wire.SuspectDelta{Feed: feed, Through: reached, Records: suspectMessages(s.gateway.now(), records)}
+	return &wire.SuspectDelta{Feed: feed, Through: reached, Records: encodeSuspects(s.gateway.now(), records)}
 }
 
-// told takes the answer of the router at the address.
-func (s *suspects) told(address string, delta *wire.SuspectDelta) {
+// applyPull applies the answer of the router at the address.
+func (s *suspects) applyPull(address string, delta *wire.SuspectDelta) {
 	if delta == nil {
 		return
 	}
-	s.learn(recordsOf(s.gateway.now(), delta.GetRecords()))
+	s.merge(decodeSuspects(s.gateway.now(), delta.GetRecords()))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.followed[address] = feedPlace{feed: delta.GetFeed(), through: delta.GetThrough()}
+	s.pullPositions[address] = feedPosition{feed: delta.GetFeed(), through: delta.GetThrough()}
 }
 
-// sweep forgets records that are of no use any more.
+// sweep removes expired records.
 func (s *suspects) sweep(now time.Time) {
 	s.mutex.Lock()
-	forgotten := s.judge.Prune(now)
-	for _, record := range forgotten {
-		delete(s.logged, record.Content)
+	removed := s.detector.Prune(now)
+	for _, record := range removed {
+		delete(s.loggedUntil, record.Content)
 	}
 	s.mutex.Unlock()
-	for _, record := range forgotten {
-		s.kept.changed(record.Content, 0)
+	for _, record := range removed {
+		s.stored.recordChanged(record.Content, 0)
 	}
 }
 
-// record returns what is known of the content, and what follows from it.
+// record returns the record of the content and the status that results from it.
 func (s *suspects) record(content quarantine.ContentID) (quarantine.Record, quarantine.Status) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	record, _ := s.judge.Record(content)
-	return record, s.judge.Evaluate(s.gateway.now(), content)
+	record, _ := s.detector.Record(content)
+	return record, s.detector.Evaluate(s.gateway.now(), content)
 }
 
-// contents returns all contents that this router has a record of.
+// contents returns all contents with a record at this router.
 func (s *suspects) contents() []quarantine.ContentID {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return contentsOf(s.judge.Records())
+	return contentIDs(s.detector.Records())
 }
 
-// summary returns the contents that are quarantined for the status.
+// summary returns the quarantined contents, for the status.
 func (s *suspects) summary(now time.Time) (summary []QuarantinedContent) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, record := range s.judge.Quarantined(now, mostQuarantined) {
+	for _, record := range s.detector.Quarantined(now, mostQuarantined) {
 		summary = append(summary, QuarantinedContent{
-			Content: record.Content.String(), Tenant: record.Content.Tenant, Runners: endedRunners(record),
-			LeftMillis: s.judge.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
+			Content: record.Content.String(), Tenant: record.Content.Tenant, Runners: crashedRunners(record),
+			LeftMillis: s.detector.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
 		})
 	}
 	return summary
 }
 
-// counts returns how many contents are in each state.
-func (s *suspects) counts() map[quarantine.State]int {
+// countByState returns the number of contents in each state.
+func (s *suspects) countByState() map[quarantine.State]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.judge.CountByState(s.gateway.now())
+	return s.detector.CountByState(s.gateway.now())
 }
