--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -70,17 +70,17 @@
 			t.Parallel()
 			f, seeds := newSeedOutageFleet(t, fault)
 			f.drainRunnerAndNameWeights()
-			changed := time.Now()
+			changedAt := time.Now()
 			for _, seed := range seeds {
 				f.g.Eventually(seed.log.String, 4*time.Second, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 			}
-			time.Sleep(time.Until(changed.Add(4500 * time.Millisecond)))
+			time.Sleep(time.Until(changedAt.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
 				seed.door.Set(storestand.Healthy)
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
-				f.g.Expect(seed.oldWeightsExpiry(2)).To(BeTemporally("<", changed.Add(8*time.Second+margin)))
+				f.g.Expect(seed.oldWeightsExpiry(2)).To(BeTemporally("<", changedAt.Add(8*time.Second+margin)))
 			}
 		})
 	}
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -12,11 +12,11 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners kept getting requests after their responses had reported that they were leaving, up to 11
-// s later and even from a router that had forwarded such a response. The store was unavailable, so
-// the directory showed it only later, and routers relied on the directory alone: the list that they
-// read when the store returned did not contain the change yet. The tests also cover an available
-// store, since a new list is only one way in which a leaving runner can come back.
+// Runners kept getting requests after their responses had reported that they were leaving, up to
+// 11 s later and even from a router that had forwarded such a response. The store was unavailable,
+// so the directory showed it only later, and routers relied on the directory alone: the list that
+// they read when the store returned did not contain the change yet. The tests also cover an
+// available store, since a new list is only one way in which a leaving runner can come back.
 
 // leavingGrace is how long a leaving runner may still get requests from a router that has forwarded
 // one of its responses that reports it.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -24,7 +24,7 @@
 func (p *poisonedFleet) crashRunners(count int) {
 	for i := range count {
 		p.g.Expect(p.routers[i%len(p.routers)].call("/once/x", withBody(poisonBody)).status).NotTo(Equal(http.StatusServiceUnavailable))
-		p.g.Eventually(func() int { ended, _ := p.crashCount(); return ended }, time.Second, time.Millisecond).Should(Equal(i + 1))
+		p.g.Eventually(func() int { crashes, _ := p.crashCount(); return crashes }, time.Second, time.Millisecond).Should(Equal(i + 1))
 	}
 }
 
