--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -73,8 +73,8 @@
 	expectedQueueTime time.Duration
 	// placementRequest is the pending request to a scheduler. schedulerChoice is the scheduler's
 	// choice during an attempt, nil if this router chose the runner itself.
-	placementRequest *placementAsk
-	schedulerChoice  *placed
+	placementRequest *placementRequest
+	schedulerChoice  *placementChoice
 	// permit allows the send to a rate-limited runner, and permitRequestedAt is when it was
 	// requested.
 	permit            backpressure.Permit
@@ -155,13 +155,13 @@
 		c.refuse(refused)
 		return
 	}
-	c.startQuota()
+	c.startQuotaCheck()
 	c.startPlacement()
 	refused, disconnected := c.readBody()
 	disconnected = disconnected || c.disconnectedBeforeRead()
 	if disconnected || refused != nil {
-		c.abandonQuota()
-		c.placementRequest.abandon()
+		c.cancelQuotaCheck()
+		c.placementRequest.discard()
 	}
 	if disconnected {
 		// A caller that closed only its sending side must not get an empty, complete response.
@@ -173,21 +173,21 @@
 	}
 	c.content = quarantine.NewContentID(c.tenantName(), request.Host, requestTarget(request), c.body)
 	if refused := c.checkQuarantine(); refused != nil {
-		c.abandonQuota()
-		c.placementRequest.abandon()
+		c.cancelQuotaCheck()
+		c.placementRequest.discard()
 		c.refuse(refused)
 		return
 	}
 	if c.suspected {
 		// The first placement request was sent before the content was known to be suspected.
-		c.placementRequest.abandon()
+		c.placementRequest.discard()
 		c.startPlacement()
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), g.until(c.deadline))
 	defer cancel()
 	c.ctx = ctx
-	if refused := c.awaitQuota(); refused != nil {
-		c.placementRequest.abandon()
+	if refused := c.awaitQuotaDecision(); refused != nil {
+		c.placementRequest.discard()
 		c.refuse(refused)
 		return
 	}
@@ -304,7 +304,7 @@
 			refused = unavailable("the time is up", busyRetryAfter)
 		}
 		if refused != nil {
-			c.placementRequest.abandon()
+			c.placementRequest.discard()
 			c.attemptState.Fail()
 			c.giveUp(refused)
 			return
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -26,12 +26,12 @@
 func (c *call) checkQuarantine() *refusal {
 	c.awaitCrashCheck()
 	now := c.gateway.now()
-	status := c.gateway.suspects.verdict(now, c.content)
+	status := c.gateway.suspects.status(now, c.content)
 	c.suspected = status.State != quarantine.Clear || c.lostConnection
 	switch {
 	case status.State == quarantine.Quarantined:
 		return unavailable(reasonQuarantined, status.Until.Sub(now))
-	case status.State == quarantine.OnTrial && c.gateway.ends.atWork(c.content):
+	case status.State == quarantine.OnTrial && c.gateway.ends.hasOpenRun(c.content):
 		return unavailable(reasonQuarantined, trialRetryAfter)
 	}
 	return nil
@@ -39,7 +39,7 @@
 
 // isQuarantined reports whether the content is quarantined now.
 func (c *call) isQuarantined() bool {
-	return c.gateway.suspects.verdict(c.gateway.now(), c.content).State == quarantine.Quarantined
+	return c.gateway.suspects.status(c.gateway.now(), c.content).State == quarantine.Quarantined
 }
 
 // awaitCrashCheck waits until it is known whether the runner of the previous attempt crashed, if
@@ -77,7 +77,7 @@
 	g.ends.end(now, c.run, outcome)
 	switch outcome {
 	case quarantine.Survived:
-		g.suspects.outlived(now, c.content)
+		g.suspects.runnerSurvived(now, c.content)
 	case quarantine.ConnectionLost:
 		c.lostConnection, c.crashChecked = true, g.ends.check(c.runner)
 	}
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -34,20 +34,20 @@
 	request.MaxWait = queueLimit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
-		chosen.RetryAfter = g.whenTaken(now, query.Service, request.HeldBack)
+		chosen.RetryAfter = g.heldBackRetryAfter(now, query.Service, request.HeldBack)
 	}
 	if chosen.Status == placement.NoRunner || chosen.Status == placement.AllHeldBack {
 		return chosen, queueLimit, false
 	}
 	refused := chosen.Status == placement.Overloaded
 	refusedForShare = refused && chosen.QueueWait <= queueLimit.MaxQueueAtFairShare
-	g.shares.noteChoice(now, query, chosen, refusedForShare)
+	g.shares.recordChoice(now, query, chosen, refusedForShare)
 	reservedRetryAfter := g.order.RecordDecision(now, admissionRequest, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case refusedForShare:
 		// A caller that retries before its tenant's recorded usage has decayed to its share is
 		// refused again.
-		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.fades(queueLimit.Excess))
+		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.recoveryTime(queueLimit.Excess))
 	case refused:
 		chosen.RetryAfter = reservedRetryAfter
 	}
@@ -70,7 +70,7 @@
 func decodeQueueLimit(answer *wire.RunnerAnswer) admission.QueueLimit {
 	return admission.QueueLimit{
 		MaxQueue:       time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
-		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: excessOf(answer),
+		PriorityFactor: float64(answer.GetYieldPercent()) / percent, Returned: answer.GetReturned(), Excess: decodeExcess(answer),
 	}
 }
 
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -46,7 +46,7 @@
 // long as no urgent call is refused, and are refused earlier once one is.
 func TestBulkCallsYieldToUrgentCalls(t *testing.T) {
 	t.Parallel()
-	f, routers, runners, metricsAddresses := scheduledFleet(t, 1, 1, "p1")
+	f, routers, runners, metricsAddresses := newScheduledFleet(t, 1, 1, "p1")
 	f.configure(2, routesWithPriorities(), goodKey)
 	for _, r := range routers {
 		r.settled(2)
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -86,7 +86,7 @@
 		return
 	}
 	if c.attemptState.RunState() == attempt.NotRun {
-		c.unspend()
+		c.refundQuota()
 		c.refuse(r)
 		return
 	}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -101,10 +101,10 @@
 
 // chooseRunner returns the scheduler's choice if it can be used, and otherwise chooses a runner
 // itself. It also returns who chose. The gateway's mutex must be held.
-func (c *call) chooseRunner(now time.Time, choice *placed) (chosen placement.Pick, placedBy string) {
+func (c *call) chooseRunner(now time.Time, choice *placementChoice) (chosen placement.Pick, placedBy string) {
 	g := c.gateway
-	if chosen, accepted := c.takePlaced(now, choice); accepted {
-		g.metrics.choices.WithLabelValues(chosenByScheduler).Inc()
+	if chosen, accepted := c.acceptChoice(now, choice); accepted {
+		g.metrics.choices.WithLabelValues(schedulerChoices).Inc()
 		return chosen, choice.scheduler
 	}
 	g.metrics.choices.WithLabelValues(chosenHere).Inc()
@@ -129,7 +129,7 @@
 	defer response.Body.Close()
 	head := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
 	c.responseWeightVersion, c.requestedBackoff = head.WeightVersion, head.Signals.Backoff
-	c.hear(head, response.Status)
+	c.receiveSignals(head, response.Status)
 	isNew := c.recordWeightVersion(head.WeightVersion)
 	switch {
 	case head.NotRun:
@@ -238,7 +238,7 @@
 	c.recordRunOutcome(runOutcome)
 	g.mutex.Lock()
 	c.preventWithdrawal()
-	if c.schedulerChoice == nil && !c.continuing && g.shares.counts() {
+	if c.schedulerChoice == nil && !c.continuing && g.shares.tracksUsage() {
 		g.shares.refund(c.gateway.now(), c.query, c.currentSend, outcome)
 	}
 	g.runners.End(c.gateway.now(), c.currentSend, outcome)
