--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -72,17 +72,17 @@
 mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
 mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
 mutant "11 eras do not count" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
-mutant "11 watches of another era are taken" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
-mutant "11 the copy is taken as it is" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedWhileTheStore
-mutant "11 runners that the copy lacks are dropped" internal/gateway/newera.go 's/kept := c.missing\(kind, delta\)/kept := c.missing(kind, delta)[:0]/' ./internal/gateway -run RunnersThatACopyOfTheStoreLacks
+mutant "11 watches of another era are taken" internal/gateway/follow.go 's/response.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithReusedRevisions
+mutant "11 the copy is taken as it is" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedDuringStoreRestore
+mutant "11 runners that the copy lacks are dropped" internal/gateway/newera.go 's/kept := c.missingObjects\(kind, delta\)/kept := c.missingObjects(kind, delta)[:0]/' ./internal/gateway -run RunnersMissingFromBackupStayInUse
 mutant "11 a lost lease is taken at once" internal/lease/lease.go 's/now.Before\(c.priorEraLeaseExpiry\)/false/' ./internal/lease
 mutant "11 writes count across eras" internal/lease/lease.go 's/if !sameEra \{/if false \&\& !sameEra {/' ./internal/lease
-mutant "11 lost quarantines stay lost" internal/gateway/keptquarantines.go 's/\t\tk.keepAll\(\)\n//' ./internal/gateway -run QuarantinesThatTheStoreLost
-mutant "11 routers that start go by the copy" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterThatStartsInANewEraLearnsWhat
-mutant "11 routers that know nothing transfer it" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run StartTogetherInANewEra
-mutant "11 newer states at listed revisions are passed over" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run SeedsThatAnswerLate
-mutant "11 runners that only others know stay unknown" internal/gateway/statetransfer.go 's/case !found \&\& /case false \&\& /' ./internal/gateway -run SeedsThatAnswerLate
-mutant "11 a transfer is asked for once" internal/gateway/statetransfer.go 's/transferTime = 10 \* time.Second/transferTime = time.Nanosecond/' ./internal/gateway -run SeedsThatAnswerLate
+mutant "11 lost quarantines stay lost" internal/gateway/keptquarantines.go 's/\t\tk.keepAll\(\)\n//' ./internal/gateway -run QuarantinesLostByStore
+mutant "11 routers that start go by the copy" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterStartedInNewEraLearnsNewerState
+mutant "11 routers that know nothing transfer it" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run SeedsStartedTogetherInNewEra
+mutant "11 newer states at listed revisions are passed over" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run LearnsFromLateSeeds
+mutant "11 runners that only others know stay unknown" internal/gateway/statetransfer.go 's/case !found \&\& /case false \&\& /' ./internal/gateway -run LearnsFromLateSeeds
+mutant "11 a transfer is asked for once" internal/gateway/statetransfer.go 's/transferTimeout = 10 \* time.Second/transferTimeout = time.Nanosecond/' ./internal/gateway -run LearnsFromLateSeeds
 
 echo "mutants: $refuted refuted, $survived survived, $unclear unclear"
 [ "$survived$unclear" = 00 ]
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -33,7 +33,7 @@
 // copyHead sets the headers of the answer to the caller.
 func (c *call) copyHead(header http.Header) {
 	own := c.writer.Header()
-	for name, values := range c.gateway.ports.Protocol.Return(header) {
+	for name, values := range c.gateway.ports.Protocol.ResponseHeaders(header) {
 		own[name] = values
 	}
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -53,7 +53,7 @@
 			settings.PeerAddress, settings.Seeds = address, addresses
 		}))
 	}
-	f.servingRouter("other", f.asFollower(addresses))
+	f.servingRouter("other", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // all have settled
 	for _, seed := range seeds {
 		seed.door.Set(fault)
@@ -114,12 +114,12 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	name(f, 1)
+	nameWeights(f, 1)
 	held, store := holdingStore(f, platform.KindVersions, platform.KindServers)
 	addresses := []string{loopback.FreeAddress()}
 	asSeed := func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses }
 	former := f.servingRouter("former", asSeed)
-	follower := f.servingRouter("follower", f.asFollower(addresses))
+	follower := f.servingRouter("follower", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // it has settled
 	follower.door.Set(storestand.Silent)
 	former.Kill()
@@ -128,7 +128,7 @@
 		settings.StoreAddress = store
 	})
 	time.Sleep(1500 * time.Millisecond)
-	name(f, 2)
+	nameWeights(f, 2)
 	named := time.Now()
 	time.Sleep(3500 * time.Millisecond)
 	held.Store(false)
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -93,7 +93,7 @@
 		return
 	}
 	for g.pause(g.jitter(cacheHoldersInterval)) {
-		r.setReading(g.relays.isSource())
+		r.setReading(g.relays.alwaysReadsStore())
 		current := g.view.Load()
 		switch {
 		case !r.reads:
@@ -179,7 +179,7 @@
 	r.gateway.spawn(func() {
 		for {
 			pause := r.pauseAfter(r.read(ctx, holder, source.Address, runner, reading))
-			if !waitFor(ctx, r.gateway.jitter(pause)) {
+			if !sleep(ctx, r.gateway.jitter(pause)) {
 				return
 			}
 		}
@@ -219,11 +219,11 @@
 	after, lists := reading.position, !r.gateway.now().Before(reading.listAt)
 	r.mutex.Unlock()
 	if lists {
-		parts, position, err := r.gateway.ports.Caches.CacheList(ctx, address, runner)
+		parts, position, err := r.gateway.ports.Caches.ListCache(ctx, address, runner)
 		r.takeList(holder, reading, parts, position, err)
 		return err
 	}
-	changes, err := r.gateway.ports.Caches.CacheChanges(ctx, address, runner, after, cacheReadWait)
+	changes, err := r.gateway.ports.Caches.WatchCache(ctx, address, runner, after, cacheReadWait)
 	r.takeChanges(holder, reading, changes, err)
 	return err
 }
--- a/internal/gateway/cachereader_test.go
+++ b/internal/gateway/cachereader_test.go
@@ -46,7 +46,7 @@
 	return k.lists[runner]
 }
 
-func (k *keptParts) CacheList(_ context.Context, _, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
+func (k *keptParts) ListCache(_ context.Context, _, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.lists[runner]++
@@ -54,7 +54,7 @@
 	return k.kept[runner], gateway.CachePosition{Epoch: 1}, nil
 }
 
-func (k *keptParts) CacheChanges(ctx context.Context, _, runner string, after gateway.CachePosition, _ time.Duration) (gateway.CacheChanges, error) {
+func (k *keptParts) WatchCache(ctx context.Context, _, runner string, after gateway.CachePosition, _ time.Duration) (gateway.CacheChanges, error) {
 	if runner == k.silent {
 		<-ctx.Done()
 		return gateway.CacheChanges{}, ctx.Err()
@@ -96,7 +96,7 @@
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	addresses := []string{loopback.FreeAddress()}
 	f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses })
-	follower := f.servingRouter("follower", f.asFollower(addresses))
+	follower := f.servingRouter("follower", f.followerSettings(addresses))
 	call := func(prompt string) (runner, fetched string) {
 		before := runCounts(runners)
 		got := follower.call("/stream/x", withPrompt(prompt))
@@ -173,7 +173,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	kept.put("e1")
-	r := f.servingRouter("alone", f.asFollower([]string{loopback.FreeAddress()}))
+	r := f.servingRouter("alone", f.followerSettings([]string{loopback.FreeAddress()}))
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"store":true`), "no seed answers")
 	f.g.Consistently(func() int { return kept.listed("e1") }, time.Second, 50*time.Millisecond).Should(BeZero())
 }
@@ -189,7 +189,7 @@
 	kept.put("e1")
 	var settings gateway.Settings
 	r := f.servingRouter("r1", func(started *gateway.Settings) {
-		f.asFollower([]string{loopback.FreeAddress()})(started)
+		f.followerSettings([]string{loopback.FreeAddress()})(started)
 		settings = *started
 	})
 	f.g.Consistently(func() int { return kept.listed("e1") }, 500*time.Millisecond, 20*time.Millisecond).Should(BeZero())
@@ -216,13 +216,13 @@
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	kept.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
 	address := loopback.FreeAddress()
-	seeds := []string{silentPeer(f), address, silentPeer(f)}
+	seeds := []string{startSilentPeer(f), address, startSilentPeer(f)}
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds })
 	f.g.Eventually(func() int { return kept.listed("e1") * kept.listed("e2") }, 3*time.Second, 10*time.Millisecond).Should(BeNumerically(">", 0))
 	f.g.Expect(seed.isReady()).To(BeTrue())
 	const followers, families = 4, 20
 	for i := range followers {
-		r := f.servingRouter(fmt.Sprint("follower-", i), f.asFollower(seeds))
+		r := f.servingRouter(fmt.Sprint("follower-", i), f.followerSettings(seeds))
 		// Of that many families some have the other runner as their home, which then
 		// fetches what it lacks.
 		f.g.Eventually(func() bool {
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -57,7 +57,7 @@
 
 func (w *cacheStoreWatch) run() {
 	g := w.gateway
-	interval := firstRetry
+	interval := minRetryDelay
 	for g.pause(g.jitter(interval)) {
 		current := g.view.Load()
 		if current == nil {
--- a/internal/gateway/cachestore_test.go
+++ b/internal/gateway/cachestore_test.go
@@ -36,7 +36,7 @@
 // that read the store of objects ask whether it answers, and a dead one is not used.
 func TestFamiliesAreSpreadOverTheCacheStoresThatAnswer(t *testing.T) {
 	t.Parallel()
-	f, seeds, follower := relayedFleet(t)
+	f, seeds, follower := newSeededFleet(t)
 	stores := map[string]*cacheStore{}
 	spec := config(2, defaultRoutes(), goodKey)
 	services := spec["services"].([]map[string]any)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -41,7 +41,7 @@
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	caller  *http.Request
-	facts   CallFacts
+	facts   RequestInfo
 	arrived time.Time
 	view    *view
 	route   *routing.Route
@@ -131,7 +131,7 @@
 	g.awaitStart(request.Context(), now)
 	c := &call{
 		gateway: g, writer: writer, control: http.NewResponseController(writer), caller: request,
-		facts: g.ports.Protocol.Call(request.Header), arrived: now, view: g.view.Load(),
+		facts: g.ports.Protocol.ParseRequest(request.Header), arrived: now, view: g.view.Load(),
 	}
 	// A deadline of an earlier request on this connection must not hold here.
 	_ = c.control.SetWriteDeadline(time.Now().Add(longestCall))
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -129,7 +129,7 @@
 	r := f.servingRouter("r1", nil)
 	answers := r.callUnhurried("/once/x", nil)
 	f.held()
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(r.log.String, 10*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner's weights changed"))
 	close(f.dials.released)
 	var got answer
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -13,64 +13,65 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// objectKinds lists the kinds that are copied from the store.
+// objectKinds lists the kinds of objects that the router copies from the store.
 var objectKinds = []ObjectKind{ConfigObjects, RunnerObjects, WeightObjects}
 
-// provenApart lists the kinds whose proofs travel apart from the objects: that of the
-// configuration comes with it.
-var provenApart = []ObjectKind{RunnerObjects, WeightObjects}
+// separatelyProvenKinds lists the kinds whose proofs are sent separately from their objects. The
+// proof of the configuration is sent together with it.
+var separatelyProvenKinds = []ObjectKind{RunnerObjects, WeightObjects}
 
-// proof is the moment at which the objects that come with it were all there were
-// of their kind: counted from before the call to the store was sent.
+// proof states that a delta completed the copy of a kind as of the time at. That is the time before
+// the store call was sent. The proof holds only if valid is set.
 type proof struct {
 	at    time.Time
-	given bool
+	valid bool
 }
 
-// copies are this router's copies of the store's objects. Whatever way changes
-// come, from the store or another router, they are applied here, one at a time,
-// and a copy never goes back, also where the store does.
+// copies holds this router's copies of the objects in the store. All changes, whether from the
+// store or from another router, are applied here one at a time. The revision of a copy never
+// decreases, even if the store is restored from a backup.
 type copies struct {
 	gateway *Gateway
 	mutex   sync.Mutex
 	stores  map[ObjectKind]*config.Store
-	// proven is when each copy was last known to lack nothing, nil before. It is read
-	// without the mutex, which is held while whole lists are decoded.
-	proven map[ObjectKind]*atomic.Pointer[time.Time]
-	// reached holds the highest revisions that any copy has reached, with when, in their
-	// order; there are keptCheckpoints at most.
-	reached []checkpoint
-	// checkpoints are the store's latest revisions.
+	// provenTimes holds the latest time at which each copy was known to be complete, nil before the
+	// first one. It is read without the mutex, which is held while whole lists are decoded.
+	provenTimes map[ObjectKind]*atomic.Pointer[time.Time]
+	// reachedRevisions holds the highest revisions that any copy has reached and when, in ascending
+	// order, at most keptCheckpoints of them.
+	reachedRevisions []checkpoint
+	// checkpoints holds the store's latest revisions.
 	checkpoints checkpoints
-	// returned are the revisions of entries of runners that were gone before the store came
-	// back from a copy that has them, by name.
-	returned map[string]storerev.Revision
+	// reappeared holds the revisions of runner entries, by name, that had been deleted and came
+	// back when the store was restored from a backup. They are not used yet.
+	reappeared map[string]storerev.Revision
 }
 
 func newCopies(g *Gateway) *copies {
-	c := &copies{gateway: g, stores: map[ObjectKind]*config.Store{}, proven: map[ObjectKind]*atomic.Pointer[time.Time]{}, returned: map[string]storerev.Revision{}}
+	c := &copies{gateway: g, stores: map[ObjectKind]*config.Store{}, provenTimes: map[ObjectKind]*atomic.Pointer[time.Time]{}, reappeared: map[string]storerev.Revision{}}
 	for _, kind := range objectKinds {
 		c.stores[kind] = config.NewOpaqueStore()
-		c.proven[kind] = &atomic.Pointer[time.Time]{}
+		c.provenTimes[kind] = &atomic.Pointer[time.Time]{}
 	}
 	return c
 }
 
-// provenAt is when the copy was last known to lack nothing, zero before.
+// provenAt returns the latest time at which the copy was known to be complete, or the zero time.
 func (c *copies) provenAt(kind ObjectKind) time.Time {
-	if at := c.proven[kind].Load(); at != nil {
+	if at := c.provenTimes[kind].Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// age is how old the copy may be, or false when it was never known to lack nothing.
+// age returns the time since the copy was last known to be complete. It returns false if it never
+// was.
 func (c *copies) age(now time.Time, kind ObjectKind) (time.Duration, bool) {
 	at := c.provenAt(kind)
 	return now.Sub(at), !at.IsZero()
 }
 
-// ageMillis is the age for logs: in milliseconds, -1 when it is not known.
+// ageMillis returns the age in milliseconds for log fields, or -1 if it is unknown.
 func (c *copies) ageMillis(now time.Time, kind ObjectKind) int64 {
 	if age, known := c.age(now, kind); known {
 		return age.Milliseconds()
@@ -78,25 +79,25 @@
 	return -1
 }
 
-// prove notes that the copy lacked nothing at the moment. The mutex is held.
-func (c *copies) prove(kind ObjectKind, at time.Time) {
+// recordProof records that the copy was complete at the given time. The mutex must be held.
+func (c *copies) recordProof(kind ObjectKind, at time.Time) {
 	if at.After(c.provenAt(kind)) {
-		c.proven[kind].Store(&at)
+		c.provenTimes[kind].Store(&at)
 	}
 	if kind == ConfigObjects {
-		c.gateway.prove(at)
+		c.gateway.recordConfigProof(at)
 	}
 }
 
-// revision returns the store's revision up to which the copy is complete.
+// revision returns the store revision through which the copy is complete.
 func (c *copies) revision(kind ObjectKind) storerev.Revision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stores[kind].Revision()
 }
 
-// complete tells whether there is a copy of each kind.
-func (c *copies) complete() bool {
+// hasAllKinds reports whether there is a copy of each kind.
+func (c *copies) hasAllKinds() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, store := range c.stores {
@@ -107,43 +108,44 @@
 	return true
 }
 
-// since returns the changes after the revision.
-func (c *copies) since(kind ObjectKind, revision storerev.Revision) config.Delta {
+// changesAfter returns the changes after the revision.
+func (c *copies) changesAfter(kind ObjectKind, revision storerev.Revision) config.Delta {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stores[kind].Since(revision)
 }
 
-// apply takes changes into the copy and puts them in force. What comes from an earlier era of
-// the store than the copy proves nothing: it knows nothing of what was written since.
-func (c *copies) apply(kind ObjectKind, delta config.Delta, proven proof) config.Outcome {
-	c.gateway.era.told(delta.Through.Era())
+// apply applies changes to the copy and brings them into effect. A delta of an earlier era of the
+// store than the copy's proves nothing, because it lacks everything written since.
+func (c *copies) apply(kind ObjectKind, delta config.Delta, freshness proof) config.Outcome {
+	c.gateway.era.observe(delta.Through.Era())
 	c.mutex.Lock()
-	before := c.stores[kind].Revision()
+	previous := c.stores[kind].Revision()
 	delta = c.reconcile(kind, delta)
 	outcome := c.stores[kind].Apply(delta)
 	if outcome == config.Applied {
-		c.gateway.putInForce(kind, c.withoutReturned(kind, c.changed(kind, before, delta)))
+		c.gateway.applyObjects(kind, c.withoutReappeared(kind, c.effectiveChanges(kind, previous, delta)))
 	}
-	c.noteReached(checkpoint{revision: c.stores[kind].Revision(), at: c.gateway.now()})
-	if proven.given && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
-		c.prove(kind, proven.at)
+	c.recordReached(checkpoint{revision: c.stores[kind].Revision(), at: c.gateway.now()})
+	if freshness.valid && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
+		c.recordProof(kind, freshness.at)
 	}
 	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.proven(c.gateway.now()) {
 		c.gateway.startup.finish()
 	}
 	c.mutex.Unlock()
-	if outcome == config.Applied && len(delta.Objects) > 0 && before > 0 {
-		c.gateway.relays.push(kind, before)
+	if outcome == config.Applied && len(delta.Objects) > 0 && previous > 0 {
+		c.gateway.relays.push(kind, previous)
 	}
 	return outcome
 }
 
-// changed returns what a delta that was taken at the revision changes. A whole one stands for all
-// that the copy has now: another router's may hold what this one knows to be gone. Of others what
-// was in force already is left out: two watches may bring the same changes, and an older one must
-// not come into force for a moment. The mutex is held.
-func (c *copies) changed(kind ObjectKind, revision storerev.Revision, delta config.Delta) config.Delta {
+// effectiveChanges returns what to bring into effect after a delta was applied to a copy that was
+// at the previous revision. For a full delta that is the whole copy, because a full delta of
+// another router may include objects that this router knows to be deleted. Otherwise objects that
+// were already in effect are left out: two watches may return the same changes, and an older one
+// must not take effect even briefly. The mutex must be held.
+func (c *copies) effectiveChanges(kind ObjectKind, previous storerev.Revision, delta config.Delta) config.Delta {
 	changed := delta
 	if delta.Full {
 		changed.Objects = c.stores[kind].Objects()
@@ -151,41 +153,41 @@
 	}
 	changed.Objects = nil
 	for _, object := range delta.Objects {
-		if storerev.Revision(object.Version) > revision {
+		if storerev.Revision(object.Version) > previous {
 			changed.Objects = append(changed.Objects, object)
 		}
 	}
 	return changed
 }
 
-// putInForce applies changed objects in order.
-func (g *Gateway) putInForce(kind ObjectKind, delta config.Delta) {
+// applyObjects brings changed objects into effect, in order.
+func (g *Gateway) applyObjects(kind ObjectKind, delta config.Delta) {
 	if kind == RunnerObjects {
 		g.directoryRevision.Store(uint64(delta.Through))
 	}
 	if kind == RunnerObjects && delta.Full {
 		g.retainRunners(delta.Objects)
 	}
-	for _, stored := range delta.Objects {
-		g.putObjectInForce(kind, stored)
+	for _, object := range delta.Objects {
+		g.applyObject(kind, object)
 	}
 }
 
-func (g *Gateway) putObjectInForce(kind ObjectKind, stored v1.Object) {
+func (g *Gateway) applyObject(kind ObjectKind, stored v1.Object) {
 	object := g.ports.Decode(kind, stored)
 	switch {
 	case object.Fault != "":
 		g.ignoreObject(kind, object, object.Fault)
 	case object.Config != nil:
 		g.applyConfig(object)
-	case object.Runner != nil || (kind == RunnerObjects && object.Gone):
+	case object.Runner != nil || (kind == RunnerObjects && object.Removed):
 		g.applyRunner(object)
 	case object.Weights != nil:
 		g.applyWeights(object)
 	}
 }
 
-// applyConfig puts a configuration in force. It never goes back to an older one.
+// applyConfig brings a configuration into effect unless a newer one already is.
 func (g *Gateway) applyConfig(object Object) {
 	current := g.view.Load()
 	if current != nil && !current.precedes(object) {
@@ -217,12 +219,12 @@
 	return names
 }
 
-// prove notes that the configuration in force was so at the moment. The copies'
-// mutex is held, so the view does not change in between.
-func (g *Gateway) prove(at time.Time) {
+// recordConfigProof records that the configuration in effect was current at the given time. The
+// mutex of the copies must be held, so the view does not change meanwhile.
+func (g *Gateway) recordConfigProof(at time.Time) {
 	current := g.view.Load()
 	if current == nil {
-		if known := g.unconfigured.Load(); known == nil || at.After(*known) {
+		if last := g.unconfigured.Load(); last == nil || at.After(*last) {
 			g.unconfigured.Store(&at)
 		}
 		return
@@ -230,16 +232,16 @@
 	if !at.After(current.provenAt) {
 		return
 	}
-	proven := *current
-	proven.provenAt = at
-	g.view.Store(&proven)
-	if proven.fresh(g.now(), g.settings.ConfigLease) && g.stale.CompareAndSwap(true, false) {
+	updated := *current
+	updated.provenAt = at
+	g.view.Store(&updated)
+	if updated.fresh(g.now(), g.settings.ConfigLease) && g.stale.CompareAndSwap(true, false) {
 		g.log.Log(events.ConfigProven, events.Fields{"version": current.table.Version, "unproven_ms": g.since(current.provenAt).Milliseconds()})
 	}
 }
 
-// noteStale logs once that the configuration in force is no longer proved.
-func (g *Gateway) noteStale(now time.Time) {
+// logStaleConfig logs once that the proof of the configuration in effect is too old.
+func (g *Gateway) logStaleConfig(now time.Time) {
 	current := g.view.Load()
 	if current == nil || current.provenAt.IsZero() || current.fresh(now, g.settings.ConfigLease) {
 		return
@@ -252,21 +254,21 @@
 func (g *Gateway) applyWeights(object Object) {
 	now := g.now()
 	model, version := object.Weights.Model, object.Weights.Version
-	news := g.newsOfWeights(now, object.Revision)
+	observation := g.newsOfWeights(now, object.Revision)
 	g.mutex.Lock()
-	known := g.bounds.ForModel(model)
-	if version <= known.NamedVersion() {
+	history := g.bounds.ForModel(model)
+	if version <= history.NamedVersion() {
 		g.mutex.Unlock()
 		return
 	}
-	known.RecordNaming(version, news)
-	g.runners.WeightTargets().SetTarget(model, version, namings.OlderVersionDeadlines(g.settings.namingTimes(), news))
-	g.countOlder(model, known)
-	until := known.OldestExpiry(g.settings.namingTimes())
+	history.RecordNaming(version, observation)
+	g.runners.WeightTargets().SetTarget(model, version, namings.OlderVersionDeadlines(g.settings.namingTimes(), observation))
+	g.countOlder(model, history)
+	olderExpiry := history.OldestExpiry(g.settings.namingTimes())
 	g.mutex.Unlock()
 	g.log.Log(events.WeightsNamed, events.Fields{
 		"model": model, "version": version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
-		"older_until_ms": until.Sub(now).Milliseconds(), "copy_age_ms": g.copies.ageMillis(now, WeightObjects),
+		"older_until_ms": olderExpiry.Sub(now).Milliseconds(), "copy_age_ms": g.copies.ageMillis(now, WeightObjects),
 	})
 	select {
 	case g.named <- struct{}{}:
--- a/internal/gateway/copyproofs.go
+++ b/internal/gateway/copyproofs.go
@@ -8,59 +8,60 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// check proves the copy by the checkpoint, or returns false when it is not complete so far. A
-// checkpoint of an earlier era says nothing of the copy's.
-func (c *copies) check(kind ObjectKind, known checkpoint) bool {
+// proveByCheckpoint records a proof for the copy if it is complete through the checkpoint's
+// revision, and reports whether it is. A checkpoint of an earlier era says nothing about the copy.
+func (c *copies) proveByCheckpoint(kind ObjectKind, known checkpoint) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	revision := c.stores[kind].Revision()
 	if revision < known.revision || revision.Era() != known.revision.Era() {
 		return false
 	}
-	c.prove(kind, known.at)
+	c.recordProof(kind, known.at)
 	return true
 }
 
-// newestRevision is the highest revision that any copy has reached.
+// newestRevision returns the highest revision that any copy has reached.
 func (c *copies) newestRevision() storerev.Revision {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.reachedBy(c.gateway.now())
 }
 
-// noteReached notes what a copy has reached, if none has reached as much. The mutex is held.
-func (c *copies) noteReached(known checkpoint) {
-	if last := len(c.reached) - 1; last >= 0 && c.reached[last].revision >= known.revision {
+// recordReached records the revision that a copy has reached if it is the highest so far. The mutex
+// must be held.
+func (c *copies) recordReached(reached checkpoint) {
+	if last := len(c.reachedRevisions) - 1; last >= 0 && c.reachedRevisions[last].revision >= reached.revision {
 		return
 	}
-	c.reached = append(c.reached, known)
-	c.reached = slices.Delete(c.reached, 0, max(len(c.reached)-keptCheckpoints, 0))
+	c.reachedRevisions = append(c.reachedRevisions, reached)
+	c.reachedRevisions = slices.Delete(c.reachedRevisions, 0, max(len(c.reachedRevisions)-keptCheckpoints, 0))
 }
 
-// reachedBy returns the highest revision that any copy had reached by the moment, 0 when
-// that is not known any more. The mutex is held.
-func (c *copies) reachedBy(moment time.Time) storerev.Revision {
-	for _, known := range slices.Backward(c.reached) {
-		if !known.at.After(moment) {
-			return known.revision
+// reachedBy returns the highest revision that any copy had reached at the time asOf, or 0 if that
+// is no longer known. The mutex must be held.
+func (c *copies) reachedBy(asOf time.Time) storerev.Revision {
+	for _, reached := range slices.Backward(c.reachedRevisions) {
+		if !reached.at.After(asOf) {
+			return reached.revision
 		}
 	}
 	return 0
 }
 
-// shownBy tells whether the answer shows what was the newest at the moment. One below a
-// revision that was known before its call, or before the moment, comes from the past, as
-// that of a replica that is behind: it proves no copy, and does not bound when what it
-// lacks was written.
-func (c *copies) shownBy(answer storeAnswer, at time.Time) bool {
+// isCurrent reports whether the response shows the newest state as of the given time. A response is
+// outdated if its revision is below one that was known before the call or before that time, for
+// example because it comes from a store replica that lags behind. An outdated response proves no
+// copy, and gives no bound on when the changes that it lacks were written.
+func (c *copies) isCurrent(response storeResponse, at time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return answer.revision >= max(answer.known, c.reachedBy(at))
+	return response.revision >= max(response.knownRevision, c.reachedBy(at))
 }
 
-// behind tells whether the copy of runners or weights may be older than the limit.
-func (c *copies) behind(now time.Time, limit time.Duration) bool {
-	for _, kind := range provenApart {
+// anyOlderThan reports whether the copy of runners or of weights may be older than the limit.
+func (c *copies) anyOlderThan(now time.Time, limit time.Duration) bool {
+	for _, kind := range separatelyProvenKinds {
 		if age, known := c.age(now, kind); known && age > limit {
 			return true
 		}
@@ -68,11 +69,11 @@
 	return false
 }
 
-// proofs tells how old the copies of runners and weights may be. Each age is read before
-// the revision, which so is at least what the proof covers.
+// proofs returns the proofs of the copies of runners and weights. Each age is read before the
+// revision, so the revision is at least the one that the proof covers.
 func (c *copies) proofs() []*wire.CopyProof {
 	var proofs []*wire.CopyProof
-	for _, kind := range provenApart {
+	for _, kind := range separatelyProvenKinds {
 		age, known := c.age(c.gateway.now(), kind)
 		if !known {
 			continue
@@ -82,36 +83,36 @@
 	return proofs
 }
 
-// recent tells whether the answer's proofs are at most so old: the configuration's, and
-// with some slack those of runners and weights.
-func recent(answer *wire.CopyAnswer, oldest time.Duration) bool {
-	for _, told := range answer.GetProofs() {
-		if wire.Age(told.GetAgeMillis()) > oldest+copySlack {
+// isRecent reports whether the answer's proof of the configuration is at most maxAge old, and those
+// of runners and weights at most copyProofMargin older than that.
+func isRecent(answer *wire.CopyAnswer, maxAge time.Duration) bool {
+	for _, copyProof := range answer.GetProofs() {
+		if wire.Age(copyProof.GetAgeMillis()) > maxAge+copyProofMargin {
 			return false
 		}
 	}
-	return wire.Age(answer.GetProofAgeMillis()) <= oldest
+	return wire.Age(answer.GetProofAgeMillis()) <= maxAge
 }
 
-// checkProofs takes another router's word on how old its copies may be. A version of the
-// router that does not tell takes them to be as old as the configuration; that is believed
-// of copies that are complete up to the newest revision that this router knows of.
-func (r *relays) checkProofs(answer *wire.CopyAnswer, sent time.Time, configAge time.Duration) {
+// applyProofs applies the proofs of another router's copies to this router's. Routers of a version
+// that sends no proofs assume that all copies are as old as the configuration. That is accepted
+// only for copies that are complete through the newest revision known to this router.
+func (r *peerRouters) applyProofs(answer *wire.CopyAnswer, sentAt time.Time, configAge time.Duration) {
 	copies := r.gateway.copies
 	if answer.GetStoreRevision() > 0 {
-		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sent.Add(-wire.Age(answer.GetStoreAgeMillis()))})
+		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sentAt.Add(-wire.Age(answer.GetStoreAgeMillis()))})
 	}
 	if !answer.GetTellsProofs() {
 		newest, _ := copies.checkpoints.newest()
-		for _, kind := range provenApart {
-			copies.check(kind, checkpoint{revision: newest.revision, at: sent.Add(-configAge)})
+		for _, kind := range separatelyProvenKinds {
+			copies.proveByCheckpoint(kind, checkpoint{revision: newest.revision, at: sentAt.Add(-configAge)})
 		}
 		return
 	}
-	for _, told := range answer.GetProofs() {
-		kind := ObjectKind(told.GetKind())
+	for _, copyProof := range answer.GetProofs() {
+		kind := ObjectKind(copyProof.GetKind())
 		if int(kind) < len(objectKinds) && kind != ConfigObjects {
-			copies.check(kind, checkpoint{revision: storerev.Revision(told.GetRevision()), at: sent.Add(-wire.Age(told.GetAgeMillis()))})
+			copies.proveByCheckpoint(kind, checkpoint{revision: storerev.Revision(copyProof.GetRevision()), at: sentAt.Add(-wire.Age(copyProof.GetAgeMillis()))})
 		}
 	}
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -30,7 +30,7 @@
 
 // applyRunner takes a directory entry.
 func (g *Gateway) applyRunner(object Object) {
-	if object.Gone {
+	if object.Removed {
 		g.removeRunner(object, "gone")
 		g.mutex.Lock()
 		g.runners.ForgetIncarnation(object.Name)
--- a/internal/gateway/era.go
+++ b/internal/gateway/era.go
@@ -7,46 +7,46 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// storeEra is the newest era of the store that this router has heard of, from the store or from
-// another router. It is safe for concurrent use.
-type storeEra struct {
+// eraTracker tracks the newest era of the store that this router has seen in a response of the
+// store or in a message of another router. It is safe for concurrent use.
+type eraTracker struct {
 	gateway *Gateway
 	mutex   sync.Mutex
 	era     uint64
-	// knownAt is when this router heard of it first, zero before any.
-	knownAt time.Time
+	// observedAt is when this router first saw the era, zero before the first one.
+	observedAt time.Time
 }
 
-func newStoreEra(g *Gateway) *storeEra { return &storeEra{gateway: g} }
+func newEraTracker(g *Gateway) *eraTracker { return &eraTracker{gateway: g} }
 
-// told takes the era of an answer.
-func (e *storeEra) told(era uint64) {
+// observe records the era of a response.
+func (e *eraTracker) observe(era uint64) {
 	now := e.gateway.now()
 	e.mutex.Lock()
-	before := e.era
-	if era <= before {
+	previous := e.era
+	if era <= previous {
 		e.mutex.Unlock()
 		return
 	}
-	e.era, e.knownAt = era, now
+	e.era, e.observedAt = era, now
 	e.mutex.Unlock()
-	if before == 0 {
+	if previous == 0 {
 		return
 	}
 	e.gateway.metrics.storeRestores.Inc()
 	known := e.gateway.copies.newestRevision()
-	e.gateway.log.Log(events.StoreRestored, events.Fields{"era": era, "before": before, "known_revision": known.Number()})
+	e.gateway.log.Log(events.StoreRestored, events.Fields{"era": era, "before": previous, "known_revision": known.Number()})
 }
 
-// newest returns the era, 0 before any.
-func (e *storeEra) newest() uint64 {
+// newest returns the newest era, or 0 if none has been seen.
+func (e *eraTracker) newest() uint64 {
 	era, _ := e.known()
 	return era
 }
 
-// known returns the era and since when it is known.
-func (e *storeEra) known() (era uint64, since time.Time) {
+// known returns the newest era and when it was first seen.
+func (e *eraTracker) known() (era uint64, since time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.era, e.knownAt
+	return e.era, e.observedAt
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -12,287 +12,288 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of following the store.
+// Timing of store calls.
 const (
-	// configWait is how long a watch of the configuration waits: each answer,
-	// empty or not, proves the configuration anew.
-	configWait = 900 * time.Millisecond
-	// directoryWait is the same for runners and weights, which the configuration's
-	// answers prove.
-	directoryWait = 12 * time.Second
-	// configSlack is how long before its proof is too old for followers a watch of the
-	// configuration ends: its answer takes 2 to 95 ms.
-	configSlack = 150 * time.Millisecond
-	// settle is the pause after a change of the directory, so that changes in
-	// quick succession come in one answer.
-	settle = 120 * time.Millisecond
-	// fallbackSettle is the same for a router that reads the store only as it finds
-	// nobody to ask: many may do so at once, each for itself, and every answer that
-	// brings one change is a call.
-	fallbackSettle = 500 * time.Millisecond
-	// regainWait is how long watches wait that look whether the store answers again.
-	regainWait = 50 * time.Millisecond
-	// callSlack is how much longer than its wait a call may take.
-	callSlack = 700 * time.Millisecond
-	listTime  = 1500 * time.Millisecond
-	// slowestFactor is how much longer than normal a call may take after a failure.
-	slowestFactor = 6
-	// firstRetry and lastRetry bound the pause after a failed call.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 400 * time.Millisecond
+	// configWatchTimeout is how long a watch of the configuration waits for a change. Each
+	// response, empty or not, is a new proof of the configuration.
+	configWatchTimeout = 900 * time.Millisecond
+	// directoryWatchTimeout is the same for runners and weights, which are proven by the responses
+	// on the configuration.
+	directoryWatchTimeout = 12 * time.Second
+	// configWatchMargin is how long before the proof becomes too old for followers a watch of the
+	// configuration ends. Its response takes 2 to 95 ms.
+	configWatchMargin = 150 * time.Millisecond
+	// batchDelay is the pause after a change of the directory, so that changes in quick succession
+	// arrive in one response.
+	batchDelay = 120 * time.Millisecond
+	// fallbackBatchDelay is the same for a router that reads the store only because it found no
+	// other router to pull from. Many routers may do so at once, each for itself, and each response
+	// with a single change costs a call.
+	fallbackBatchDelay = 500 * time.Millisecond
+	// shortWatchTimeout is the timeout of watches that check whether the store responds again or
+	// whether changes were missed.
+	shortWatchTimeout = 50 * time.Millisecond
+	// watchCallMargin is how much longer than the watch timeout a call may take.
+	watchCallMargin = 700 * time.Millisecond
+	listTimeout     = 1500 * time.Millisecond
+	// slowCallFactor is how many times its normal timeout a call may take after a failure.
+	slowCallFactor = 6
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
-// follower keeps the gateway's copy of one kind of objects equal to the store
-// while the gateway reads the store itself.
-type follower struct {
-	gateway *Gateway
-	kind    ObjectKind
-	wait    time.Duration
-	// listed is false while the copy may lack changes that history no longer has.
+// storeWatcher keeps the gateway's copy of one kind of objects up to date while the gateway reads
+// the store itself.
+type storeWatcher struct {
+	gateway      *Gateway
+	kind         ObjectKind
+	watchTimeout time.Duration
+	// listed is false while the copy may lack changes that are no longer in the store's history.
 	listed   bool
 	failures int
-	// lost is true after the store was reported as lost.
-	lost bool
-	// behind is true after an answer that was older than what is known.
-	behind atomic.Bool
-	// renewing is true from when the watch was found to be behind until the next one is
-	// answered, and interrupt ends the one that waits.
-	renewing  atomic.Bool
-	interrupt atomic.Pointer[context.CancelCauseFunc]
+	// unavailable is true after the store was reported as unavailable.
+	unavailable bool
+	// stale is true after a response that was older than the newest known revision.
+	stale atomic.Bool
+	// probing is true from when the pending watch was found to have missed changes until the next
+	// one is answered. cancelWatch cancels the pending watch.
+	probing     atomic.Bool
+	cancelWatch atomic.Pointer[context.CancelCauseFunc]
 }
 
-func newFollower(g *Gateway, kind ObjectKind) *follower {
-	f := &follower{gateway: g, kind: kind, wait: directoryWait, listed: true}
+func newStoreWatcher(g *Gateway, kind ObjectKind) *storeWatcher {
+	w := &storeWatcher{gateway: g, kind: kind, watchTimeout: directoryWatchTimeout, listed: true}
 	if kind == ConfigObjects {
-		f.wait = configWait
+		w.watchTimeout = configWatchTimeout
 	}
-	return f
+	return w
 }
 
-func (f *follower) run() {
-	for f.gateway.direct.wait(f.gateway.ctx) {
-		if err := f.step(); err != nil {
-			f.failed(err)
+func (w *storeWatcher) run() {
+	for w.gateway.direct.wait(w.gateway.ctx) {
+		if err := w.step(); err != nil {
+			w.handleFailure(err)
 			continue
 		}
-		f.succeeded()
+		w.handleSuccess()
 	}
 }
 
-// step makes one call and applies its answer.
-func (f *follower) step() error {
-	revision := f.gateway.copies.revision(f.kind)
-	if !f.listed || revision == 0 {
-		return f.list()
+// step makes one call and applies its response.
+func (w *storeWatcher) step() error {
+	revision := w.gateway.copies.revision(w.kind)
+	if !w.listed || revision == 0 {
+		return w.list()
 	}
-	return f.watch(revision)
+	return w.watch(revision)
 }
 
-// ask makes a call that takes the time if all is well. After a failure it has
-// more patience with a slow store, without waiting for a silent one.
-func (f *follower) ask(ctx context.Context, normal time.Duration, call storeCall) storeAnswer {
-	if f.failures > 0 {
-		return askTwice(ctx, patience{again: normal, whole: normal * slowestFactor}, call)
+// callWithTimeout makes a call with the timeout. After a failure it allows a slow store more time,
+// without waiting that long for a silent one.
+func (w *storeWatcher) callWithTimeout(ctx context.Context, timeout time.Duration, call storeCall) storeResponse {
+	if w.failures > 0 {
+		return callHedged(ctx, hedgeTimeouts{attempt: timeout, total: timeout * slowCallFactor}, call)
 	}
-	ctx, cancel := context.WithTimeout(ctx, normal)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx)
 }
 
-// list reads all objects of the kind. A router that has just started and found
-// nobody to ask may be one of many: it takes a list that may be some seconds old, as
-// that costs the store little, and the watch that follows brings it up to date and
-// proves it.
-func (f *follower) list() error {
-	g := f.gateway
-	stale := f.listed && !g.relays.isSource()
-	answer := f.ask(g.ctx, listTime, func(ctx context.Context) storeAnswer {
-		return f.call(ctx, callList, func() ([]v1.Object, storerev.Revision, error) { return g.ports.Store.List(ctx, f.kind, stale) })
+// list reads all objects of the kind. A router that has just started and found no router to pull
+// from may be one of many. It accepts a list that is some seconds old, which costs the store
+// little. The watch that follows brings the copy up to date and proves it.
+func (w *storeWatcher) list() error {
+	g := w.gateway
+	stale := w.listed && !g.relays.alwaysReadsStore()
+	response := w.callWithTimeout(g.ctx, listTimeout, func(ctx context.Context) storeResponse {
+		return w.recordedCall(ctx, callList, func() ([]v1.Object, storerev.Revision, error) { return g.ports.Store.List(ctx, w.kind, stale) })
 	})
-	if answer.err != nil {
-		return answer.err
+	if response.err != nil {
+		return response.err
 	}
-	g.transfer.await(answer.revision.Era())
-	delta := config.Delta{Through: answer.revision, Full: true, Objects: answer.objects}
-	shown := g.copies.shownBy(answer, answer.sent)
-	outcome := g.copies.apply(f.kind, delta, proof{at: answer.sent, given: shown && !stale})
-	if !shown && !stale {
-		f.noteBehind(callList, answer)
-		return errFromThePast
+	g.transfer.await(response.revision.Era())
+	delta := config.Delta{Through: response.revision, Full: true, Objects: response.objects}
+	current := g.copies.isCurrent(response, response.sentAt)
+	outcome := g.copies.apply(w.kind, delta, proof{at: response.sentAt, valid: current && !stale})
+	if !current && !stale {
+		w.recordStaleResponse(callList, response)
+		return errStaleResponse
 	}
-	f.listed = true
-	if f.kind == ConfigObjects && !stale {
-		g.verifyCopies(checkpoint{revision: answer.revision, at: answer.sent}, true)
+	w.listed = true
+	if w.kind == ConfigObjects && !stale {
+		g.verifyCopies(checkpoint{revision: response.revision, at: response.sentAt}, true)
 	}
-	g.log.Log(events.StoreListed, events.Fields{"kind": f.kind.String(), "objects": len(answer.objects), "revision": answer.revision.Number(), "stale": stale, "taken": outcome == config.Applied, "era": answer.revision.Era()})
+	g.log.Log(events.StoreListed, events.Fields{"kind": w.kind.String(), "objects": len(response.objects), "revision": response.revision.Number(), "stale": stale, "taken": outcome == config.Applied, "era": response.revision.Era()})
 	return nil
 }
 
-func (f *follower) watch(revision storerev.Revision) error {
-	g := f.gateway
-	ctx, end := f.interruptible()
-	defer end(nil)
-	wait := f.watchWait()
-	answer := f.ask(ctx, wait+callSlack, func(ctx context.Context) storeAnswer { return f.callWatch(ctx, revision, wait) })
-	if errors.Is(context.Cause(ctx), errRenewed) && answer.err != nil {
-		return errRenewed
+func (w *storeWatcher) watch(revision storerev.Revision) error {
+	g := w.gateway
+	ctx, cancel := w.cancelableContext()
+	defer cancel(nil)
+	timeout := w.nextWatchTimeout()
+	response := w.callWithTimeout(ctx, timeout+watchCallMargin, func(ctx context.Context) storeResponse { return w.requestWatch(ctx, revision, timeout) })
+	if errors.Is(context.Cause(ctx), errWatchReplaced) && response.err != nil {
+		return errWatchReplaced
 	}
-	if answer.err != nil {
-		return answer.err
+	if response.err != nil {
+		return response.err
 	}
-	known, shown := f.take(revision, wait, answer)
-	f.renewing.Store(false)
-	if f.kind == ConfigObjects {
-		g.verifyCopies(known, shown)
+	observed, current := w.applyWatch(revision, timeout, response)
+	w.probing.Store(false)
+	if w.kind == ConfigObjects {
+		g.verifyCopies(observed, current)
 	}
-	if !shown {
-		f.noteBehind(callWatch, answer)
-		return errFromThePast
+	if !current {
+		w.recordStaleResponse(callWatch, response)
+		return errStaleResponse
 	}
-	if f.kind == ConfigObjects {
+	if w.kind == ConfigObjects {
 		return nil
 	}
-	if len(answer.objects) > 0 {
-		g.pause(f.settleTime())
+	if len(response.objects) > 0 {
+		g.pause(w.delayAfterChange())
 	}
 	return nil
 }
 
-// noteBehind notes an answer that is older than what was known, and logs the first of several.
-func (f *follower) noteBehind(call string, answer storeAnswer) {
-	g := f.gateway
-	g.metrics.storeBehind.WithLabelValues(f.kind.String()).Inc()
-	if f.behind.Swap(true) {
+// recordStaleResponse counts a response that is older than the newest known revision, and logs the
+// first one of a series.
+func (w *storeWatcher) recordStaleResponse(call string, response storeResponse) {
+	g := w.gateway
+	g.metrics.storeBehind.WithLabelValues(w.kind.String()).Inc()
+	if w.stale.Swap(true) {
 		return
 	}
 	known := g.copies.newestRevision()
 	g.log.Log(events.StoreStale, events.Fields{
-		"kind": f.kind.String(), "call": call, "revision": answer.revision.Number(), "era": answer.revision.Era(),
-		"known_revision": known.Number(), "known_era": known.Era(), "objects": len(answer.objects),
+		"kind": w.kind.String(), "call": call, "revision": response.revision.Number(), "era": response.revision.Era(),
+		"known_revision": known.Number(), "known_era": known.Era(), "objects": len(response.objects),
 	})
 }
 
-// call makes one call to the store and notes how it went.
-func (f *follower) call(ctx context.Context, name string, made func() ([]v1.Object, storerev.Revision, error)) storeAnswer {
-	g := f.gateway
-	answer := storeAnswer{known: g.copies.newestRevision(), sent: f.gateway.now()}
-	answer.objects, answer.revision, answer.err = made()
-	g.metrics.storeCall(f.kind.String(), name, g.since(answer.sent))
-	g.disturbance.note(answer.sent, answer.err, ctx.Err())
-	return answer
+// recordedCall makes one call to the store and records its duration and result.
+func (w *storeWatcher) recordedCall(ctx context.Context, name string, do func() ([]v1.Object, storerev.Revision, error)) storeResponse {
+	g := w.gateway
+	response := storeResponse{knownRevision: g.copies.newestRevision(), sentAt: w.gateway.now()}
+	response.objects, response.revision, response.err = do()
+	g.metrics.storeCall(w.kind.String(), name, g.since(response.sentAt))
+	g.disturbance.note(response.sentAt, response.err, ctx.Err())
+	return response
 }
 
-// callWatch makes one watch. A store in another era may well have the revision's number, but
-// what it answers does not follow on what the copy holds.
-func (f *follower) callWatch(ctx context.Context, revision storerev.Revision, wait time.Duration) storeAnswer {
-	answer := f.call(ctx, callWatch, func() ([]v1.Object, storerev.Revision, error) {
-		return f.gateway.ports.Store.Watch(ctx, f.kind, revision, wait)
+// requestWatch makes one watch call. A store in another era may have the same revision number, but
+// its response does not continue from the state of the copy.
+func (w *storeWatcher) requestWatch(ctx context.Context, revision storerev.Revision, timeout time.Duration) storeResponse {
+	response := w.recordedCall(ctx, callWatch, func() ([]v1.Object, storerev.Revision, error) {
+		return w.gateway.ports.Store.Watch(ctx, w.kind, revision, timeout)
 	})
-	if answer.err != nil {
-		return answer
+	if response.err != nil {
+		return response
 	}
 	switch {
-	case answer.revision.Era() > revision.Era():
-		answer.err = ErrHistoryGone
-	case answer.revision.Era() < revision.Era():
-		f.noteBehind(callWatch, answer)
-		answer.err = errFromThePast
+	case response.revision.Era() > revision.Era():
+		response.err = ErrHistoryGone
+	case response.revision.Era() < revision.Era():
+		w.recordStaleResponse(callWatch, response)
+		response.err = errStaleResponse
 	}
-	return answer
+	return response
 }
 
-// take takes a watch's answer into the copy and returns the checkpoint that it tells, and
-// whether that is shown.
-func (f *follower) take(revision storerev.Revision, wait time.Duration, answer storeAnswer) (known checkpoint, shown bool) {
-	g := f.gateway
-	known = checkpoint{revision: answer.revision, at: provenSince(g.now(), answer.sent, wait, answer.objects)}
-	shown = g.copies.shownBy(answer, known.at)
-	if shown {
-		g.copies.checkpoints.note(known)
+// applyWatch applies the response to a watch. It returns the checkpoint that the response shows,
+// and whether the response is current.
+func (w *storeWatcher) applyWatch(revision storerev.Revision, timeout time.Duration, response storeResponse) (observed checkpoint, current bool) {
+	g := w.gateway
+	observed = checkpoint{revision: response.revision, at: provenTime(g.now(), response.sentAt, timeout, response.objects)}
+	current = g.copies.isCurrent(response, observed.at)
+	if current {
+		g.copies.checkpoints.note(observed)
 	}
-	delta := config.Delta{From: revision, Through: throughOf(answer.objects, revision, answer.revision), Objects: answer.objects}
-	g.copies.apply(f.kind, delta, proof{at: known.at, given: shown})
-	return known, shown
+	delta := config.Delta{From: revision, Through: completeThrough(response.objects, revision, response.revision), Objects: response.objects}
+	g.copies.apply(w.kind, delta, proof{at: observed.at, valid: current})
+	return observed, current
 }
 
-// watchWait is how long a watch made now waits for changes.
-func (f *follower) watchWait() time.Duration {
-	if f.failures > 0 || f.renewing.Load() {
-		return regainWait
+// nextWatchTimeout returns how long the next watch waits for changes.
+func (w *storeWatcher) nextWatchTimeout() time.Duration {
+	if w.failures > 0 || w.probing.Load() {
+		return shortWatchTimeout
 	}
-	if f.kind != ConfigObjects {
-		return f.wait
+	if w.kind != ConfigObjects {
+		return w.watchTimeout
 	}
-	// An answer that brings a change proves what was known when its watch was sent only,
-	// and a wait after it is short, so that the proof does not grow too old meanwhile.
-	left := proofAge - configSlack - f.gateway.since(f.gateway.provenAt())
-	return min(f.wait, max(left, regainWait))
+	// A response with a change proves only the state at the time its watch was sent. The next watch
+	// is short, so that the proof does not become too old meanwhile.
+	remaining := maxProofAge - configWatchMargin - w.gateway.since(w.gateway.provenAt())
+	return min(w.watchTimeout, max(remaining, shortWatchTimeout))
 }
 
-// settleTime is the pause after a change.
-func (f *follower) settleTime() time.Duration {
-	if f.gateway.relays.isSource() {
-		return settle
+// delayAfterChange returns the pause after a change.
+func (w *storeWatcher) delayAfterChange() time.Duration {
+	if w.gateway.relays.alwaysReadsStore() {
+		return batchDelay
 	}
-	return fallbackSettle
+	return fallbackBatchDelay
 }
 
-// provenSince returns from when a watch's answer proves what it says. A store
-// that had something to say would have said so; an empty answer after the whole
-// wait shows that nothing had changed until then.
-func provenSince(now, sent time.Time, wait time.Duration, objects []v1.Object) time.Time {
-	if waited := sent.Add(wait); len(objects) == 0 && !now.Before(waited) {
-		return waited
+// provenTime returns the time as of which the response to a watch proves the copy. The store would
+// have reported a change at once, so an empty response after the full timeout shows that nothing
+// changed until then.
+func provenTime(now, sentAt time.Time, timeout time.Duration, objects []v1.Object) time.Time {
+	if waitEnd := sentAt.Add(timeout); len(objects) == 0 && !now.Before(waitEnd) {
+		return waitEnd
 	}
-	return sent
+	return sentAt
 }
 
-// throughOf returns the revision up to which a watch's answer is complete.
-func throughOf(objects []v1.Object, revision, at storerev.Revision) storerev.Revision {
-	through := max(revision, at)
+// completeThrough returns the revision through which the response to a watch is complete.
+func completeThrough(objects []v1.Object, from, reported storerev.Revision) storerev.Revision {
+	through := max(from, reported)
 	for _, object := range objects {
 		through = max(through, storerev.Revision(object.Version))
 	}
 	return through
 }
 
-func (f *follower) failed(err error) {
-	g := f.gateway
-	if g.ctx.Err() != nil || errors.Is(err, errRenewed) {
+func (w *storeWatcher) handleFailure(err error) {
+	g := w.gateway
+	if g.ctx.Err() != nil || errors.Is(err, errWatchReplaced) {
 		return
 	}
 	if errors.Is(err, ErrHistoryGone) {
-		f.historyGone()
+		w.handleHistoryGone()
 		return
 	}
-	f.failures++
-	g.metrics.storeFailures.WithLabelValues(f.kind.String()).Inc()
-	if !f.lost {
-		f.lost = true
-		g.log.Log(events.StoreUnavailable, events.Fields{"kind": f.kind.String(), "revision": g.copies.revision(f.kind).Number(), "error": err.Error()})
+	w.failures++
+	g.metrics.storeFailures.WithLabelValues(w.kind.String()).Inc()
+	if !w.unavailable {
+		w.unavailable = true
+		g.log.Log(events.StoreUnavailable, events.Fields{"kind": w.kind.String(), "revision": g.copies.revision(w.kind).Number(), "error": err.Error()})
 	}
-	g.backOff(f.failures-1, firstRetry, lastRetry)
+	g.backOff(w.failures-1, minRetryDelay, maxRetryDelay)
 }
 
-// historyGone has the copy listed anew, unless another router tells what the store holds in a new
-// era.
-func (f *follower) historyGone() {
-	g := f.gateway
-	f.listed = false
-	revision := g.copies.revision(f.kind)
-	g.log.Log(events.StoreHistoryGone, events.Fields{"kind": f.kind.String(), "revision": revision.Number(), "era": revision.Era()})
-	if g.relays.isSource() || g.era.newest() == revision.Era() {
+// handleHistoryGone causes a new list, unless another router provides the objects of a new era
+// first.
+func (w *storeWatcher) handleHistoryGone() {
+	g := w.gateway
+	w.listed = false
+	revision := g.copies.revision(w.kind)
+	g.log.Log(events.StoreHistoryGone, events.Fields{"kind": w.kind.String(), "revision": revision.Number(), "era": revision.Era()})
+	if g.relays.alwaysReadsStore() || g.era.newest() == revision.Era() {
 		return
 	}
-	g.pauseInNewEra()
-	f.listed = g.copies.revision(f.kind).Era() == g.era.newest()
+	g.delayNewEraList()
+	w.listed = g.copies.revision(w.kind).Era() == g.era.newest()
 }
 
-func (f *follower) succeeded() {
-	if f.lost {
-		f.lost = false
-		f.gateway.log.Log(events.StoreRecovered, events.Fields{"kind": f.kind.String(), "revision": f.gateway.copies.revision(f.kind).Number(), "failures": f.failures})
+func (w *storeWatcher) handleSuccess() {
+	if w.unavailable {
+		w.unavailable = false
+		w.gateway.log.Log(events.StoreRecovered, events.Fields{"kind": w.kind.String(), "revision": w.gateway.copies.revision(w.kind).Number(), "failures": w.failures})
 	}
-	f.failures = 0
-	f.behind.Store(false)
+	w.failures = 0
+	w.stale.Store(false)
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -15,23 +15,23 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-func TestNothingIsKnownWithoutConfiguration(t *testing.T) {
+func TestRouterRejectsCallsWithoutConfiguration(t *testing.T) {
 	f := newFleet(t)
 	f.runner("p1", "plain")
 	r := f.router("r1", nil)
 	f.g.Consistently(r.isReady, 150*time.Millisecond).Should(BeFalse())
 	got := r.call("/nowhere/", nil)
-	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "not 404: it knows nothing")
+	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "not 404, because the routes are not known yet")
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.g.Eventually(r.isReady, 2*time.Second).Should(BeTrue())
 }
 
-func TestConfigurationChangesAreInForceAndNeverRevert(t *testing.T) {
+func TestConfigurationChangesTakeEffectAndNeverRevert(t *testing.T) {
 	f, r, _ := plainFleet(t)
 	f.configure(5, defaultRoutes(), "key-two")
 	r.settled(5)
-	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was taken away")
+	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was removed")
 	f.configure(3, defaultRoutes(), goodKey)
 	f.store.Forget()
 	f.g.Eventually(r.log.String, 3*time.Second).Should(ContainSubstring("history of the store is gone"))
@@ -52,9 +52,9 @@
 	f.g.Expect(runners[0].Runs()).To(BeEmpty())
 }
 
-// A router that the store drops must not use its configuration for keyed
-// requests for longer than the lease, however the store drops it.
-func TestUnprovenConfigurationServesNoKeys(t *testing.T) {
+// Guards against a router without access to the store that uses its configuration for requests with
+// a key for longer than the lease, whatever the kind of failure.
+func TestUnprovenConfigurationRejectsRequestsWithKeys(t *testing.T) {
 	for name, fault := range map[string]storestand.Fault{
 		"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Silent, "reset": storestand.Reset,
 	} {
@@ -66,16 +66,16 @@
 			const lease = 2 * time.Second
 			r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = lease })
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
-			dropped := time.Now()
+			failedAt := time.Now()
 			r.door.Set(fault)
 			f.configure(2, defaultRoutes(), "key-two")
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, lease).Should(Equal(http.StatusServiceUnavailable))
-			f.g.Expect(time.Since(dropped)).To(BeNumerically("<", lease))
-			ran := len(runner.Runs())
+			f.g.Expect(time.Since(failedAt)).To(BeNumerically("<", lease))
+			runsBefore := len(runner.Runs())
 			f.g.Expect(r.call("/safe/x", nil).header.Get("Retry-After")).NotTo(BeEmpty())
-			f.g.Expect(r.call("/nowhere/", nil).status).To(Equal(http.StatusServiceUnavailable), "nothing is denied on old knowledge")
-			f.g.Expect(r.call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are served on")
-			f.g.Expect(runner.Runs()).To(HaveLen(ran + 1))
+			f.g.Expect(r.call("/nowhere/", nil).status).To(Equal(http.StatusServiceUnavailable), "an unproven configuration must not deny a request either")
+			f.g.Expect(r.call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are still served")
+			f.g.Expect(runner.Runs()).To(HaveLen(runsBefore + 1))
 			f.g.Expect(r.isReady()).To(BeFalse())
 			f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring(`"event":811`))
 			r.door.Set(storestand.Healthy)
@@ -86,9 +86,9 @@
 	}
 }
 
-// A store that answered nothing for a while is used again soon after it does:
-// what was asked before is lost, and no call may wait for long on that.
-func TestStoreIsUsedAgainSoonAfterSilence(t *testing.T) {
+// Guards against a long delay before the store is used again after a silence. Calls sent during the
+// silence are lost, so no call may wait long for them.
+func TestStoreIsReadSoonAfterSilenceEnds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -98,10 +98,10 @@
 		r.door.Set(storestand.Silent)
 		time.Sleep(silence)
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
-		healed := time.Now()
+		recoveredAt := time.Now()
 		r.door.Set(storestand.Healthy)
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 6*time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK))
-		f.g.Expect(time.Since(healed)).To(BeNumerically("<", 1200*time.Millisecond), "after a silence of %v", silence)
+		f.g.Expect(time.Since(recoveredAt)).To(BeNumerically("<", 1200*time.Millisecond), "time until recovery after a silence of %v", silence)
 	}
 }
 
@@ -110,19 +110,19 @@
 	f.store.Put(configKind, configName, "not a configuration")
 	f.store.Put(platform.KindServers, "odd", map[string]any{"service": 7})
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("cannot be read"))
-	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK), "the last usable state stays")
+	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK), "the last readable state stays in effect")
 }
 
-func name(f *fleet, version uint64) {
+func nameWeights(f *fleet, version uint64) {
 	f.store.Put(platform.KindVersions, modelName, map[string]any{"model": modelName, "version": version})
 }
 
-func TestRunnersAreBroughtToTheNamedWeights(t *testing.T) {
+func TestRunnersAreUpdatedToNamedWeights(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	first, second := f.servingRouter("r1", nil), f.servingRouter("r2", nil)
-	name(f, 2)
+	nameWeights(f, 2)
 	for _, runner := range runners {
 		f.g.Eventually(runner.Version, 5*time.Second, 20*time.Millisecond).Should(Equal(uint64(2)))
 	}
@@ -131,35 +131,35 @@
 		f.g.Expect(runner.Orders()).To(HaveLen(1))
 		holders[runner.Orders()[0].Holder], tokens[runner.Orders()[0].Fence] = true, true
 	}
-	f.g.Expect(holders).To(HaveLen(1), "one holder orders")
+	f.g.Expect(holders).To(HaveLen(1), "only one lease holder sends orders")
 	f.g.Expect(tokens).To(HaveLen(1))
 	for _, r := range []*router{first, second} {
 		f.g.Eventually(func() int { return r.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 	}
 }
 
-func TestAnotherRouterOrdersAfterTheHolderIsGone(t *testing.T) {
+func TestAnotherRouterTakesOverFromDeadLeaseHolder(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
 	routers := map[string]*router{"r1": f.servingRouter("r1", nil), "r2": f.servingRouter("r2", nil)}
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(runner.Version, 5*time.Second).Should(Equal(uint64(2)))
-	last := time.Now()
+	updatedAt := time.Now()
 	holder := runner.Orders()[0].Holder
 	routers[holder].Kill()
-	name(f, 3)
+	nameWeights(f, 3)
 	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)))
 	orders := runner.Orders()
 	next := orders[len(orders)-1]
 	f.g.Expect(next.Holder).NotTo(Equal(holder))
 	f.g.Expect(next.Fence).To(BeNumerically(">", orders[0].Fence))
-	f.g.Expect(time.Since(last)).To(BeNumerically(">", time.Second), "the lease of the first had to run out")
+	f.g.Expect(time.Since(updatedAt)).To(BeNumerically(">", time.Second), "the lease of the dead holder must expire first")
 }
 
-// A runner that has seen a higher fencing token shows that another router holds
-// the lease: what was refused is not ordered again under the same token.
-func TestFencedHolderStepsDown(t *testing.T) {
+// Guards against orders that are repeated under a rejected fencing token. A runner that has seen a
+// higher token shows that another router holds the lease.
+func TestFencedLeaseHolderStepsDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -170,7 +170,7 @@
 		runners = append(runners, runner)
 	}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.LeaseGap = time.Second })
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(r.log.String, 5*time.Second, 10*time.Millisecond).Should(ContainSubstring("controller lease lost"))
 	time.Sleep(900 * time.Millisecond)
 	orders := map[uint64]int{}
@@ -179,15 +179,15 @@
 			orders[order.Fence]++
 		}
 	}
-	f.g.Expect(orders).To(HaveLen(1), "one term while another holder may order")
+	f.g.Expect(orders).To(HaveLen(1), "no second lease term while another holder may send orders")
 	for token, sent := range orders {
-		f.g.Expect(sent).To(BeNumerically("<=", 2), "only what was on its way when token %d was refused", token)
+		f.g.Expect(sent).To(BeNumerically("<=", 2), "only orders already in flight when token %d was rejected", token)
 	}
 }
 
-// A runner whose weights are past their deadline gets nothing, though no
-// leader can order it.
-func TestExpiredWeightsGetNoRequests(t *testing.T) {
+// Guards against requests to a runner whose weights have expired, even if no leader can order an
+// update.
+func TestRunnersWithExpiredWeightsGetNoRequests(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
@@ -195,18 +195,18 @@
 		settings.WeightDeadline, settings.SettleTime = 800*time.Millisecond, 10*time.Millisecond
 	})
 	r.door.Set(storestand.Loses)
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("weights named"))
 	f.g.Eventually(func() int { return r.call("/stream/x", nil).status }, 2*time.Second).Should(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(runner.Version()).To(Equal(uint64(1)))
-	ran := len(runner.Runs())
+	runsBefore := len(runner.Runs())
 	got := r.call("/stream/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-	f.g.Expect(runner.Runs()).To(HaveLen(ran))
+	f.g.Expect(runner.Runs()).To(HaveLen(runsBefore))
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulStopCompletesRequests(t *testing.T) {
 	f, r, runners := plainFleet(t)
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Delays)
@@ -218,8 +218,8 @@
 	go func() { r.Stop(); close(stopped) }()
 	f.g.Eventually(r.isReady).Should(BeFalse())
 	late := r.call("/safe/x", nil)
-	f.g.Expect(late.status).To(Equal(http.StatusOK), "what comes is served")
-	f.g.Expect(late.last).To(BeTrue(), "callers are sent away")
+	f.g.Expect(late.status).To(Equal(http.StatusOK), "requests during the stop are served")
+	f.g.Expect(late.last).To(BeTrue(), "callers are told to close the connection")
 	var first answer
 	f.g.Eventually(answers).Should(Receive(&first))
 	f.g.Expect(first.status).To(Equal(http.StatusOK))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,11 +106,11 @@
 	// router reads the store itself, and relays connects it with others.
 	copies *copies
 	direct *directSwitch
-	relays *relays
+	relays *peerRouters
 	// followers read each kind of objects while this router reads the store.
-	followers []*follower
+	followers []*storeWatcher
 	// era is how often the store came back from a copy.
-	era *storeEra
+	era *eraTracker
 	// transfer has other routers tell what the store lost before this one started.
 	transfer *stateTransfer
 	// disturbance is when a call to the store last failed.
@@ -168,12 +168,12 @@
 	g.ends, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
 	g.cacheStores = newCacheStoreWatch(g)
 	g.caches = newCacheReader(g)
-	g.copies, g.direct, g.relays = newCopies(g), newDirectSwitch(), newRelays(g)
-	g.era, g.transfer = newStoreEra(g), newStateTransfer(g)
-	ports.Store.OnEra(g.era.told)
+	g.copies, g.direct, g.relays = newCopies(g), newDirectSwitch(), newPeerRouters(g)
+	g.era, g.transfer = newEraTracker(g), newStateTransfer(g)
+	ports.Store.OnEra(g.era.observe)
 	g.limits = limits.New(g.limitsConfig())
 	for _, kind := range objectKinds {
-		g.followers = append(g.followers, newFollower(g, kind))
+		g.followers = append(g.followers, newStoreWatcher(g, kind))
 	}
 	if err := g.listen(); err != nil {
 		cancel()
@@ -205,7 +205,7 @@
 }
 
 // pause waits for the duration, or returns false when the gateway stops.
-func (g *Gateway) pause(duration time.Duration) bool { return waitFor(g.ctx, duration) }
+func (g *Gateway) pause(duration time.Duration) bool { return sleep(g.ctx, duration) }
 
 // sweepInterval is how often idle connections and the log's state are looked at.
 const sweepInterval = time.Second
@@ -215,7 +215,7 @@
 	for g.pause(sweepInterval) {
 		g.ports.RunnerPool.CloseExpired(time.Now())
 		suspended = g.noteSuspended(suspended)
-		g.noteStale(g.now())
+		g.logStaleConfig(g.now())
 		g.ends.sweep(g.now())
 		g.signals.sweep(g.now())
 		g.suspects.sweep(g.now())
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -79,7 +79,7 @@
 	g, revision, failures := k.gateway, storerev.Revision(0), 0
 	// Many read at once where there is no seed: a list that may be old costs the store little.
 	// One whose history is gone leads nowhere, and is not asked for again.
-	stale := !g.relays.isSource()
+	stale := !g.relays.alwaysReadsStore()
 	for g.direct.wait(g.ctx) {
 		next, err := k.learn(revision, stale)
 		if err == nil && next > 0 {
@@ -87,7 +87,7 @@
 			continue
 		}
 		if errors.Is(err, ErrHistoryGone) {
-			if !g.pauseInNewEra() {
+			if !g.delayNewEraList() {
 				return
 			}
 			revision, stale = 0, false
@@ -102,15 +102,15 @@
 // learn lists all records at first, and then waits for changes after the revision. It
 // returns the next revision, 0 for none.
 func (k *keptQuarantines) learn(revision storerev.Revision, stale bool) (next storerev.Revision, err error) {
-	g, name, wait, sent := k.gateway, callWatch, directoryWait, k.gateway.now()
+	g, name, wait, sent := k.gateway, callWatch, directoryWatchTimeout, k.gateway.now()
 	if revision == 0 {
 		name, wait = callList, 0
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, wait+quarantineCall)
 	defer cancel()
-	var kept []KeptQuarantine
+	var kept []StoredQuarantine
 	if revision == 0 {
-		kept, next, err = g.ports.Store.Quarantines(ctx, stale)
+		kept, next, err = g.ports.Store.ListQuarantines(ctx, stale)
 	} else {
 		kept, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
 	}
@@ -119,7 +119,7 @@
 	case err != nil:
 		return revision, err
 	case next.Era() < revision.Era():
-		return revision, errFromThePast
+		return revision, errStaleResponse
 	case revision > 0 && next.Era() > revision.Era():
 		return revision, ErrHistoryGone
 	}
@@ -159,14 +159,14 @@
 
 // take takes what the store has. What is gone was cleared or forgotten by whoever took it
 // out, and each router finds that out by itself.
-func (k *keptQuarantines) take(kept []KeptQuarantine) {
+func (k *keptQuarantines) take(kept []StoredQuarantine) {
 	g := k.gateway
 	var records []quarantine.Record
 	for _, found := range kept {
 		switch {
 		case found.Fault != "":
 			g.log.Log(events.ObjectUnreadable, events.Fields{"kind": quarantineKind, "name": found.Name, "fault": found.Fault})
-		case !found.Gone:
+		case !found.Removed:
 			record := fromTimesOfDay(g.now(), time.Now().Round(0), found.Record)
 			records = append(records, record)
 			k.noteStored(record)
@@ -261,7 +261,7 @@
 func (k *keptQuarantines) keep(record quarantine.Record) error {
 	g := k.gateway
 	written, era := toTimesOfDay(g.now(), time.Now().Round(0), record), g.era.newest()
-	if err := k.call(func(ctx context.Context) error { return g.ports.Store.KeepQuarantine(ctx, written) }); err != nil {
+	if err := k.call(func(ctx context.Context) error { return g.ports.Store.SaveQuarantine(ctx, written) }); err != nil {
 		return err
 	}
 	if g.era.newest() != era {
@@ -275,7 +275,7 @@
 
 func (k *keptQuarantines) drop(content quarantine.ContentID) error {
 	g := k.gateway
-	if err := k.call(func(ctx context.Context) error { return g.ports.Store.DropQuarantine(ctx, content) }); err != nil {
+	if err := k.call(func(ctx context.Context) error { return g.ports.Store.DeleteQuarantine(ctx, content) }); err != nil {
 		return err
 	}
 	k.mutex.Lock()
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -30,7 +30,7 @@
 	newRevision = 10
 )
 
-func (s *forgetfulStore) Quarantines(_ context.Context, stale bool) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *forgetfulStore) ListQuarantines(_ context.Context, stale bool) ([]StoredQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
 	if stale {
 		return nil, oldRevision, nil
@@ -38,7 +38,7 @@
 	return nil, newRevision, nil
 }
 
-func (s *forgetfulStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *forgetfulStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]StoredQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
 	if revision < newRevision {
 		return nil, 0, ErrHistoryGone
@@ -52,11 +52,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, direct: newDirectSwitch(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
-	gateway.relays = newRelays(gateway)
+	gateway.relays = newPeerRouters(gateway)
 	// Any will do: nothing is sent.
 	gateway.relays.transport = &wire.Transport{}
 	gateway.metrics, gateway.random = newMetrics(gateway), rand.New(rand.NewPCG(1, 2))
-	gateway.suspects, gateway.era = newSuspects(gateway), newStoreEra(gateway)
+	gateway.suspects, gateway.era = newSuspects(gateway), newEraTracker(gateway)
 	return gateway
 }
 
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -38,7 +38,7 @@
 func (f *fleet) changeBoth() {
 	entry := map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 8, "state": "draining", "cold_remaining_ms": 0, "seq": 2}
 	f.store.Put(platform.KindServers, "p1", entry)
-	name(f, 2)
+	nameWeights(f, 2)
 }
 
 func TestNewsArrivesThoughAllConnectionsToTheStoreFellSilent(t *testing.T) {
@@ -74,7 +74,7 @@
 			seed := f.servingRouter("seed", func(settings *gateway.Settings) {
 				settings.PeerAddress, settings.Seeds = addresses[0], addresses
 			})
-			follower := f.servingRouter("follower", f.asFollower(addresses))
+			follower := f.servingRouter("follower", f.followerSettings(addresses))
 			time.Sleep(300 * time.Millisecond)
 			seed.door.LoseWatches(kind)
 			f.changeBoth()
@@ -97,7 +97,7 @@
 		runner := f.runner("e1", "engines")
 		r := start(f)
 		r.door.Set(storestand.Silent)
-		name(f, 2)
+		nameWeights(f, 2)
 		named := time.Now()
 		time.Sleep(silence)
 		r.door.Set(storestand.Loses) // nobody can order the runner
@@ -173,7 +173,7 @@
 		settings.MetricsAddress, settings.DirectFollowers = figuresAt, 1000
 	})
 	askAsMany(f, seedAt, crowd)
-	follower := f.servingRouter("follower", f.asFollower([]string{seedAt, silentAt}))
+	follower := f.servingRouter("follower", f.followerSettings([]string{seedAt, silentAt}))
 	time.Sleep(1500 * time.Millisecond)
 	held.Store(true)
 	f.runner("p2", "plain") // ends the watch that waits
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -145,7 +145,7 @@
 // the store, or for want of seeds only, look when it may be free, so that they are no herd.
 func (l *leader) nextLook() time.Time {
 	freeAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetry))
-	if look := l.gateway.now().Add(leaseWatch); l.gateway.relays.isSource() && look.Before(freeAt) {
+	if look := l.gateway.now().Add(leaseWatch); l.gateway.relays.alwaysReadsStore() && look.Before(freeAt) {
 		return look
 	}
 	return freeAt
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -30,7 +30,7 @@
 			Streams: int(load.GetStreams()), TotalMaxGap: time.Duration(load.GetGapsMillis()) * time.Millisecond, Suspects: load.GetSuspects(),
 		}
 	}
-	s.gateway.relays.toldBehind(router, int(share.GetRouters()))
+	s.gateway.relays.recordSeedCount(router, int(share.GetRouters()))
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	now := s.gateway.now()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -181,7 +181,7 @@
 		gauge("store_era", "Era of the store: how often it came back from a copy, counted by itself; 0 when unknown.", func() float64 { return float64(g.era.newest()) }),
 		gauge("config_version", "Version of the configuration in force.", g.configVersion),
 		gauge("config_proof_age_seconds", "Time since the configuration in force was proved; -1 without one.", g.proofAge),
-		gauge("peer_connections_silent", "Connections to other routers closed since they answered nothing.", func() float64 { return g.relays.silentConnections() }),
+		gauge("peer_connections_silent", "Connections to other routers closed since they answered nothing.", func() float64 { return g.relays.silentConnectionCount() }),
 		gauge("log_lines_dropped", "Log lines dropped because the output did not take them.", func() float64 { return float64(g.droppedLines()) }),
 	)
 	return m
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -40,7 +40,7 @@
 	f.list(f.runner("p1", "plain"), "draining")
 	address := loopback.FreeAddress()
 	f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = address })
-	name(f, 2)
+	nameWeights(f, 2)
 	read := func() (status gateway.Status) {
 		response, err := http.Get("http://" + address + gateway.StatusPath)
 		f.g.Expect(err).NotTo(HaveOccurred())
@@ -87,7 +87,7 @@
 	for range calls {
 		r.call("/safe/x", nil)
 	}
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(func() float64 {
 		return figures(f.g, address)[`clovertiller_weight_update_seconds_count{outcome="done"}`]
 	}, 5*time.Second).Should(Equal(1.0))
--- a/internal/gateway/mutualpulls_test.go
+++ b/internal/gateway/mutualpulls_test.go
@@ -9,22 +9,22 @@
 	"github.com/clovertiller/clovertiller/internal/relay"
 )
 
-// Two routers that pull from each other, as a relay and the one that took its place while the
-// older pull still counts, each tell the other what the other told them.
-func TestRoutersThatPullFromEachOtherAreCountedOnce(t *testing.T) {
+// Two routers may pull from each other while one replaces the other as relay and its earlier pull
+// still counts. Each then reports the followers that the other reported to it.
+func TestMutualPullsAreCountedOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	one, two := "127.0.0.1:1", "127.0.0.1:2"
-	side := func(self string) *relays {
-		return &relays{chooser: relay.NewSelector(self, "z", []string{"127.0.0.1:9"}), followers: map[string]follows{}}
+	firstAddress, secondAddress := "127.0.0.1:1", "127.0.0.1:2"
+	newRouter := func(self string) *peerRouters {
+		return &peerRouters{selector: relay.NewSelector(self, "z", []string{"127.0.0.1:9"}), followers: map[string]followerState{}}
 	}
-	first, second := side(one), side(two)
-	tell := func(from *relays, address string, to *relays, at string) {
-		to.followers[address] = follows{until: now.Add(pushTime), below: from.followersBeside(now, at)}
+	first, second := newRouter(firstAddress), newRouter(secondAddress)
+	report := func(from *peerRouters, fromAddress string, to *peerRouters, toAddress string) {
+		to.followers[fromAddress] = followerState{pushUntil: now.Add(pushWindow), followerCount: from.countOtherFollowers(now, toAddress)}
 	}
 	for range 6 {
-		tell(first, one, second, two)
-		tell(second, two, first, one)
+		report(first, firstAddress, second, secondAddress)
+		report(second, secondAddress, first, firstAddress)
 	}
-	g.Expect(first.routersBehind(now)).To(BeNumerically("<=", 2))
+	g.Expect(first.countDownstream(now)).To(BeNumerically("<=", 2))
 }
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -10,72 +10,72 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// A store that comes back from a copy lacks changes that it had acknowledged, and routers have
-// acted on. Whoever wrote them writes them again. Until then a router goes on with the newest
-// that it knows of each object: configurations, weights and entries of runners carry an order
-// of their own, beside the store's revisions.
+// A store that was restored from a backup lacks changes that it had acknowledged and that routers
+// have acted on. Their authors write them again. Until then a router keeps using the newest state
+// that it knows of each object. It can compare states because configurations, weights and runner
+// entries have an order of their own besides the store's revisions.
 
 const (
-	// missingGrace is how long after the first list of an era runners are kept that it lacks:
-	// within it each runner that lives has written its entry again.
+	// missingGrace is how long runners that the first list of an era lacks are kept. Every live
+	// runner rewrites its entry within that time.
 	missingGrace = 2 * time.Second
-	// returnedGrace is how long runners are not used that the list has though they were gone:
-	// the entry of one that ended lapses after three heartbeats, each of two seconds at most.
-	returnedGrace = 6 * time.Second
-	// newEraPause is the longest pause before a router that reads for itself only lists what a
-	// store in a new era holds.
-	newEraPause = 500 * time.Millisecond
+	// reappearedGrace is how long runners that were deleted but are listed again are not used. The
+	// entry of a runner that has ended expires after three heartbeats of at most two seconds each.
+	reappearedGrace = 6 * time.Second
+	// maxNewEraListDelay is the maximum delay before a router that reads the store only for itself
+	// lists the objects of a new era.
+	maxNewEraListDelay = 500 * time.Millisecond
 )
 
-// pauseInNewEra has a router that reads the store for nobody else wait before it lists what the
-// store holds in a new era: all routers find that out at once, and those that are told need no
-// list of their own. It returns false when the router stops.
-func (g *Gateway) pauseInNewEra() bool {
-	return g.relays.isSource() || g.pause(g.jitter(newEraPause))
+// delayNewEraList delays a router that reads the store only for itself before it lists the objects
+// of a new era. All routers detect a new era at once, and those that receive the objects from
+// another router meanwhile need no list of their own. It returns false if the router stops.
+func (g *Gateway) delayNewEraList() bool {
+	return g.relays.alwaysReadsStore() || g.pause(g.jitter(maxNewEraListDelay))
 }
 
-// losses counts what a whole list lacks that is known from the era before.
+// losses counts the objects known from the previous era that a full list does not reflect.
 type losses struct {
-	// older objects are listed as they were before, missing ones are not listed, and returned
-	// ones were gone.
-	older, missing, returned int
+	// older counts objects that are listed in an earlier state, missing those that are not listed,
+	// and reappeared those that are listed although they had been deleted.
+	older, missing, reappeared int
 }
 
-// reconcile returns the changes with the newer state of each object that the copy knows from
-// an earlier era of the store. The mutex is held.
+// reconcile returns the delta with each object replaced by its newer state if the copy knows one
+// from an earlier era of the store. The mutex must be held.
 func (c *copies) reconcile(kind ObjectKind, delta config.Delta) config.Delta {
 	store := c.stores[kind]
 	if store.Revision() == 0 || delta.Through <= store.Revision() {
-		c.settleLater(kind, delta)
+		c.scheduleGracePeriods(kind, delta)
 		return delta
 	}
 	newEra := delta.Through.Era() > store.Revision().Era()
 	if newEra && !delta.Full {
-		// A gap, which the copy does not take.
+		// Changes are missing before this delta, so Apply reports a gap and does not take it.
 		return delta
 	}
 	reconciled := delta
 	reconciled.Objects = slices.Clone(delta.Objects)
-	var lost losses
+	var counts losses
 	if kind != RunnerObjects || newEra {
-		lost.older = c.keepNewer(kind, reconciled.Objects)
+		counts.older = c.keepNewer(kind, reconciled.Objects)
 	}
 	if delta.Full {
-		kept := c.missing(kind, delta)
-		reconciled.Objects, lost.missing = append(reconciled.Objects, kept...), len(kept)
+		kept := c.missingObjects(kind, delta)
+		reconciled.Objects, counts.missing = append(reconciled.Objects, kept...), len(kept)
 	}
 	if kind == RunnerObjects && newEra {
-		lost.returned = c.noteReturned(reconciled)
+		counts.reappeared = c.recordReappeared(reconciled)
 	}
 	if newEra {
-		c.noteLosses(kind, delta, lost)
+		c.recordLosses(kind, delta, counts)
 	}
-	c.settleLater(kind, reconciled)
+	c.scheduleGracePeriods(kind, reconciled)
 	return reconciled
 }
 
-// keepNewer puts the newer state that the copy knows in place of those of the objects that are
-// older by their own order, and returns how many are.
+// keepNewer replaces the specs of objects that are older than the copy's by the copy's, and returns
+// their number.
 func (c *copies) keepNewer(kind ObjectKind, objects []v1.Object) (count int) {
 	for i, object := range objects {
 		known, found := c.stores[kind].Object(object.Key())
@@ -87,100 +87,102 @@
 	return count
 }
 
-// precedes tells whether the object is an earlier state than the known one by what it says.
+// precedes reports whether the object is an earlier state than the known one, judging by the
+// contents.
 func (c *copies) precedes(kind ObjectKind, object, known v1.Object) bool {
 	if string(object.Spec) == string(known.Spec) {
 		return false
 	}
-	is, was := c.gateway.ports.Decode(kind, object), c.gateway.ports.Decode(kind, known)
+	decoded, decodedKnown := c.gateway.ports.Decode(kind, object), c.gateway.ports.Decode(kind, known)
 	switch {
-	case is.Config != nil && was.Config != nil:
-		return is.Config.Version < was.Config.Version
-	case is.Weights != nil && was.Weights != nil:
-		return is.Weights.Model == was.Weights.Model && is.Weights.Version < was.Weights.Version
-	case is.Runner != nil && was.Runner != nil:
-		return is.Runner.OlderThan(*was.Runner)
+	case decoded.Config != nil && decodedKnown.Config != nil:
+		return decoded.Config.Version < decodedKnown.Config.Version
+	case decoded.Weights != nil && decodedKnown.Weights != nil:
+		return decoded.Weights.Model == decodedKnown.Weights.Model && decoded.Weights.Version < decodedKnown.Weights.Version
+	case decoded.Runner != nil && decodedKnown.Runner != nil:
+		return decoded.Runner.OlderThan(*decodedKnown.Runner)
 	}
 	return false
 }
 
-// missing returns the objects of earlier eras that a whole list does not have. They keep their
-// revisions, by which all routers know that nobody has written them again.
-func (c *copies) missing(kind ObjectKind, list config.Delta) []v1.Object {
+// missingObjects returns the objects of earlier eras that a full list lacks. They keep their
+// revisions, which tell all routers that they have not been rewritten.
+func (c *copies) missingObjects(kind ObjectKind, list config.Delta) []v1.Object {
 	listed := map[v1.Key]bool{}
 	for _, object := range list.Objects {
 		listed[object.Key()] = true
 	}
 	var kept []v1.Object
 	for _, known := range c.stores[kind].Objects() {
-		if !listed[known.Key()] && ofEarlierEra(known, list.Through) {
+		if !listed[known.Key()] && isFromEarlierEra(known, list.Through) {
 			kept = append(kept, known)
 		}
 	}
 	return kept
 }
 
-func ofEarlierEra(object v1.Object, revision storerev.Revision) bool {
+func isFromEarlierEra(object v1.Object, revision storerev.Revision) bool {
 	return storerev.Revision(object.Version).Era() < revision.Era()
 }
 
-// noteReturned notes the runners of a list that were gone before, or are not used yet since the
-// store came back the last time, and returns how many are.
-func (c *copies) noteReturned(list config.Delta) int {
-	unused := c.returned
-	c.returned = map[string]storerev.Revision{}
+// recordReappeared records the listed runners that were deleted before the restore, or that have
+// not been used since an earlier restore. It returns their number.
+func (c *copies) recordReappeared(list config.Delta) int {
+	pending := c.reappeared
+	c.reappeared = map[string]storerev.Revision{}
 	for _, object := range list.Objects {
-		known, listed := c.stores[RunnerObjects].Object(object.Key())
-		revision, returned := unused[object.Name]
-		stillUnused := listed && returned && storerev.Revision(known.Version) == revision
-		if stillUnused || c.stores[RunnerObjects].Deleted(object.Key()) {
-			c.returned[object.Name] = storerev.Revision(object.Version)
+		known, found := c.stores[RunnerObjects].Object(object.Key())
+		revision, wasPending := pending[object.Name]
+		stillPending := found && wasPending && storerev.Revision(known.Version) == revision
+		if stillPending || c.stores[RunnerObjects].Deleted(object.Key()) {
+			c.reappeared[object.Name] = storerev.Revision(object.Version)
 		}
 	}
-	return len(c.returned)
+	return len(c.reappeared)
 }
 
-// withoutReturned leaves out the entries of runners that are not to be used yet.
-func (c *copies) withoutReturned(kind ObjectKind, delta config.Delta) config.Delta {
-	if kind != RunnerObjects || len(c.returned) == 0 {
+// withoutReappeared returns the delta without the runner entries that are not used yet.
+func (c *copies) withoutReappeared(kind ObjectKind, delta config.Delta) config.Delta {
+	if kind != RunnerObjects || len(c.reappeared) == 0 {
 		return delta
 	}
-	used := delta
-	used.Objects = slices.DeleteFunc(slices.Clone(delta.Objects), func(object v1.Object) bool {
-		revision, returned := c.returned[object.Name]
-		return returned && revision == storerev.Revision(object.Version)
+	filtered := delta
+	filtered.Objects = slices.DeleteFunc(slices.Clone(delta.Objects), func(object v1.Object) bool {
+		revision, reappeared := c.reappeared[object.Name]
+		return reappeared && revision == storerev.Revision(object.Version)
 	})
-	return used
+	return filtered
 }
 
-func (c *copies) noteLosses(kind ObjectKind, list config.Delta, lost losses) {
-	m := c.gateway.metrics.storeLosses
-	m.WithLabelValues(kind.String(), "older").Add(float64(lost.older))
-	m.WithLabelValues(kind.String(), "missing").Add(float64(lost.missing))
-	m.WithLabelValues(kind.String(), "returned").Add(float64(lost.returned))
+func (c *copies) recordLosses(kind ObjectKind, list config.Delta, counts losses) {
+	counter := c.gateway.metrics.storeLosses
+	counter.WithLabelValues(kind.String(), "older").Add(float64(counts.older))
+	counter.WithLabelValues(kind.String(), "missing").Add(float64(counts.missing))
+	counter.WithLabelValues(kind.String(), "returned").Add(float64(counts.reappeared))
 	known := c.stores[kind].Revision()
 	c.gateway.log.Log(events.StoreLostChanges, events.Fields{
 		"kind": kind.String(), "era": list.Through.Era(), "revision": list.Through.Number(), "known_era": known.Era(), "known_revision": known.Number(),
-		"older": lost.older, "missing": lost.missing, "returned": lost.returned,
+		"older": counts.older, "missing": counts.missing, "returned": counts.reappeared,
 	})
 }
 
-// settleLater has runners of earlier eras dropped, and returned ones used, after their graces.
-func (c *copies) settleLater(kind ObjectKind, delta config.Delta) {
+// scheduleGracePeriods removes runners of earlier eras that were not rewritten, and admits
+// reappeared ones, when their grace periods end.
+func (c *copies) scheduleGracePeriods(kind ObjectKind, delta config.Delta) {
 	if kind != RunnerObjects || !delta.Full {
 		return
 	}
 	era := delta.Through.Era()
-	if slices.ContainsFunc(delta.Objects, func(object v1.Object) bool { return ofEarlierEra(object, delta.Through) }) {
-		time.AfterFunc(missingGrace, func() { c.settle(era, c.dropMissing) })
+	if slices.ContainsFunc(delta.Objects, func(object v1.Object) bool { return isFromEarlierEra(object, delta.Through) }) {
+		time.AfterFunc(missingGrace, func() { c.runInEra(era, c.removeMissing) })
 	}
-	if len(c.returned) > 0 {
-		time.AfterFunc(returnedGrace, func() { c.settle(era, c.useReturned) })
+	if len(c.reappeared) > 0 {
+		time.AfterFunc(reappearedGrace, func() { c.runInEra(era, c.admitReappeared) })
 	}
 }
 
-// settle takes the step unless the store has entered a later era.
-func (c *copies) settle(era uint64, step func(runners *config.Store)) {
+// runInEra runs the step unless the store has entered a later era.
+func (c *copies) runInEra(era uint64, step func(runners *config.Store)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if runners := c.stores[RunnerObjects]; c.gateway.ctx.Err() == nil && runners.Revision().Era() == era {
@@ -188,20 +190,21 @@
 	}
 }
 
-// dropMissing drops the runners whose entries nobody has written again in the era.
-func (c *copies) dropMissing(runners *config.Store) {
-	for _, gone := range runners.RemoveOlder(storerev.StartOf(runners.Revision().Era())) {
-		c.gateway.putObjectInForce(RunnerObjects, gone)
+// removeMissing removes the runners whose entries were not rewritten in this era.
+func (c *copies) removeMissing(runners *config.Store) {
+	for _, removed := range runners.RemoveOlder(storerev.StartOf(runners.Revision().Era())) {
+		c.gateway.applyObject(RunnerObjects, removed)
 	}
 }
 
-// useReturned uses the runners that were gone before the era and are listed as they were.
-func (c *copies) useReturned(runners *config.Store) {
-	for name, revision := range c.returned {
+// admitReappeared brings the runners into use that were deleted before the restore and whose
+// entries have not changed since.
+func (c *copies) admitReappeared(runners *config.Store) {
+	for name, revision := range c.reappeared {
 		object, found := runners.Object(v1.Key{Kind: v1.Kind(RunnerObjects.String()), Name: name})
 		if found && storerev.Revision(object.Version) == revision {
-			c.gateway.putObjectInForce(RunnerObjects, object)
+			c.gateway.applyObject(RunnerObjects, object)
 		}
 	}
-	clear(c.returned)
+	clear(c.reappeared)
 }
--- a/internal/gateway/newsoutbox.go
+++ b/internal/gateway/newsoutbox.go
@@ -78,7 +78,7 @@
 	// Whoever misses it hears of it by its next pull, and seeds from the next router that
 	// finds it out.
 	o.sendTo(o.gateway.schedulers.others(), forSeeds)
-	o.sendTo(o.gateway.relays.pushed(o.gateway.now()), forAll)
+	o.sendTo(o.gateway.relays.pushTargets(o.gateway.now()), forAll)
 }
 
 func (o *newsOutbox[K]) sendTo(addresses []string, changed map[K]bool) {
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -29,7 +29,7 @@
 		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seedAt[0], seedAt, path.Address
 	})
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
-		f.asFollower(seedAt)(settings)
+		f.followerSettings(seedAt)(settings)
 		settings.StoreAddress = path.Address
 	})
 	path.Set(faultproxy.Silence)
@@ -66,7 +66,7 @@
 	}
 	first := start("first")
 	f.g.Expect(first[0].call("/stream/x", nil).status).To(Equal(http.StatusOK))
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(func() int { return first[1].call("/stream/x", nil).status }, 3*time.Second, 10*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
 	for _, r := range first {
 		r.Kill()
--- a/internal/gateway/pastanswers_test.go
+++ b/internal/gateway/pastanswers_test.go
@@ -14,9 +14,9 @@
 	g := NewWithT(t)
 	at := time.Unix(1_000, 0)
 	copies := &copies{}
-	copies.noteReached(checkpoint{revision: 12, at: at.Add(-500 * time.Millisecond)})
-	answer := storeAnswer{revision: 10, known: 10}
-	g.Expect(copies.shownBy(answer, at)).To(BeFalse(), "12 was known half a second before the moment")
-	copies.noteReached(checkpoint{revision: 13, at: at.Add(20 * time.Millisecond)})
-	g.Expect(copies.shownBy(answer, at)).To(BeFalse(), "it still was, whatever came since")
+	copies.recordReached(checkpoint{revision: 12, at: at.Add(-500 * time.Millisecond)})
+	answer := storeResponse{revision: 10, knownRevision: 10}
+	g.Expect(copies.isCurrent(answer, at)).To(BeFalse(), "12 was known half a second before the moment")
+	copies.recordReached(checkpoint{revision: 13, at: at.Add(20 * time.Millisecond)})
+	g.Expect(copies.isCurrent(answer, at)).To(BeFalse(), "it still was, whatever came since")
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -104,7 +104,7 @@
 	seeds := []string{loopback.FreeAddress()}
 	p.routers = append(p.routers, p.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seeds[0], seeds }))
 	for i := range followers {
-		p.routers = append(p.routers, p.servingRouter(fmt.Sprintf("follower-%d", i), p.asFollower(seeds)))
+		p.routers = append(p.routers, p.servingRouter(fmt.Sprintf("follower-%d", i), p.followerSettings(seeds)))
 	}
 }
 
@@ -249,7 +249,7 @@
 	t.Parallel()
 	p := newPoisonedFleet(t, 16, false)
 	for i := range 5 {
-		p.routers = append(p.routers, p.servingRouter(fmt.Sprint("alone-", i), p.asFollower([]string{silentPeer(p.fleet)})))
+		p.routers = append(p.routers, p.servingRouter(fmt.Sprint("alone-", i), p.followerSettings([]string{startSilentPeer(p.fleet)})))
 	}
 	p.poisonEvery = 20
 	p.load("/once/", 10*time.Second)
--- /dev/null
+++ b/internal/gateway/proxystream.go
@@ -0,0 +1,176 @@
+package gateway
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"time"
+
+	"github.com/clovertiller/clovertiller/internal/attempt"
+	"github.com/clovertiller/clovertiller/internal/backend"
+	"github.com/clovertiller/clovertiller/internal/events"
+	"github.com/clovertiller/clovertiller/internal/httpconn"
+	"github.com/clovertiller/clovertiller/internal/quarantine"
+)
+
+// Sizes of stream buffers in bytes.
+const (
+	streamBufferBytes = 4 << 10
+	// maxEventBytes is the maximum size of one event.
+	maxEventBytes = 1 << 20
+)
+
+// stallThreshold is how long a caller must block a write for that to count as a stall, and how long
+// afterwards a break of the stream is attributed to the stall. Runners end streams that are left
+// unread for some seconds, and what they sent before is written to the caller within this time.
+const stallThreshold = time.Second
+
+// eventStream is the state of an event stream to a caller. Only complete events are written, so
+// that the stream can continue from another runner.
+type eventStream struct {
+	// lastEvent is the id of the last event written, empty before the first.
+	lastEvent string
+	// lastWriteAt is when events were last written, and maxPause the longest time between two
+	// writes.
+	lastWriteAt time.Time
+	maxPause    time.Duration
+	// lastStallEnd is when the caller last resumed reading after it had blocked a write.
+	lastStallEnd time.Time
+}
+
+// stalledRecently reports whether the caller has blocked a write so recently that its runner may
+// have ended the stream for that reason.
+func (s *eventStream) stalledRecently(now time.Time) bool {
+	return s != nil && !s.lastStallEnd.IsZero() && now.Sub(s.lastStallEnd) < stallThreshold
+}
+
+// recordWrite records that events were written.
+func (s *eventStream) recordWrite(now time.Time) {
+	if !s.lastWriteAt.IsZero() {
+		s.maxPause = max(s.maxPause, now.Sub(s.lastWriteAt))
+	}
+	s.lastWriteAt = now
+}
+
+var (
+	eventSeparator = []byte("\n\n")
+	idPrefix       = []byte("id:")
+)
+
+// lastEventID returns the id of the last event in a sequence of complete events, or the previous id
+// if none of them has one.
+func lastEventID(data []byte, previous string) string {
+	at := bytes.LastIndex(data, []byte("\nid:"))
+	switch {
+	case at >= 0:
+		data = data[at+1:]
+	case !bytes.HasPrefix(data, idPrefix):
+		return previous
+	}
+	line, _, _ := bytes.Cut(data[len(idPrefix):], []byte("\n"))
+	return string(bytes.TrimSpace(line))
+}
+
+// streamResponse copies a runner's events to the caller until the stream ends.
+func (c *call) streamResponse(response *httpconn.Response) attempt.Action {
+	watch := c.watchSilence(response.Body)
+	defer watch.stop()
+	var pending []byte
+	buffer := make([]byte, streamBufferBytes)
+	for {
+		n, err := response.Body.Read(buffer)
+		watch.heard()
+		pending = append(pending, buffer[:n]...)
+		if complete := bytes.LastIndex(pending, eventSeparator); complete >= 0 {
+			complete += len(eventSeparator)
+			if c.writeEvents(response, pending[:complete]) != nil {
+				return c.outOfTime(false)
+			}
+			pending = append(pending[:0], pending[complete:]...)
+		}
+		switch {
+		case errors.Is(err, io.EOF):
+			return c.finishStream(response, pending)
+		case err != nil:
+			return c.handleBrokenStream(response, err)
+		case len(pending) > maxEventBytes:
+			return c.handleBrokenStream(response, errors.New("event is too long"))
+		}
+	}
+}
+
+// writeEvents writes complete events to the caller.
+func (c *call) writeEvents(response *httpconn.Response, data []byte) error {
+	if c.stream == nil {
+		c.beginStream(response)
+	}
+	if !c.open.Responded() {
+		c.firstAnswer()
+	}
+	if version, named := c.gateway.ports.Protocol.EventWeightVersion(data); named {
+		c.learnVersion(version)
+	}
+	startedAt := c.gateway.now()
+	if _, err := c.writer.Write(data); err != nil {
+		return errCallerLeft
+	}
+	c.stream.recordWrite(c.gateway.now())
+	c.stream.lastEvent = lastEventID(data, c.stream.lastEvent)
+	if err := c.control.Flush(); err != nil {
+		return errCallerLeft
+	}
+	if now := c.gateway.now(); now.Sub(startedAt) >= stallThreshold {
+		c.stream.lastStallEnd = now
+	}
+	return nil
+}
+
+// beginStream writes the status and headers of the first runner's response.
+func (c *call) beginStream(response *httpconn.Response) {
+	c.stream = &eventStream{}
+	c.firstAnswer()
+	c.gateway.metrics.firstEvents.WithLabelValues(c.service).Observe(c.gateway.since(c.arrived).Seconds())
+	c.copyHead(response.Header)
+	c.writer.WriteHeader(response.Status)
+}
+
+// finishStream handles the regular end of the runner's stream.
+func (c *call) finishStream(response *httpconn.Response, remainder []byte) attempt.Action {
+	if c.stream == nil {
+		c.beginStream(response)
+	}
+	if len(remainder) > 0 {
+		if _, err := c.writer.Write(remainder); err != nil {
+			return c.outOfTime(false)
+		}
+	}
+	c.end(backend.Succeeded, quarantine.Survived, "", response.Status)
+	c.request.MarkAccepted()
+	c.request.Finish(c.request.Attempt(), 0)
+	return attempt.Stop
+}
+
+// handleBrokenStream handles a stream that broke off. If the route allows it, the stream continues
+// from another runner after the last complete event. The old run is ended first.
+func (c *call) handleBrokenStream(response *httpconn.Response, cause error) attempt.Action {
+	response.Body.Close()
+	if c.ctx.Err() != nil {
+		return c.outOfTime(false)
+	}
+	if c.withdrawn() {
+		return c.endWithdrawn(false)
+	}
+	if c.stream.stalledRecently(c.gateway.now()) {
+		c.end(backend.Abandoned, quarantine.Canceled, "the caller left the stream unread: "+cause.Error(), response.Status)
+	} else {
+		c.end(backend.Failed, quarantine.ConnectionLost, "stream broke off: "+cause.Error(), response.Status)
+	}
+	if c.fromCopy() {
+		return c.request.ContinueFromCopy()
+	}
+	next := c.lost()
+	if next == attempt.Dispatch && c.stream != nil {
+		c.note(events.StreamContinued, events.Fields{"from": c.runner.ID, "last_event": c.stream.lastEvent})
+	}
+	return next
+}
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -11,169 +11,170 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of asking other routers.
+// Timing of pulls from other routers.
 const (
-	// shortestPull and longestPull bound how often a router that does not read the
-	// store asks one that does. Changes of the store are pushed, and the pull proves
-	// and repairs; what runners keep comes with pulls only, and is worth more the
-	// fresher it is (docs/POLICY.md). The longest leaves room for a pull that is
-	// lost before a proof is too old.
-	shortestPull = 150 * time.Millisecond
-	longestPull  = 450 * time.Millisecond
-	// pullsPerSecond is how many pulls a seed is to answer. At an estimated 0.1 ms
-	// each they take under two hundredths of a core.
-	pullsPerSecond = 150
-	// pullTime bounds one pull.
-	pullTime = 250 * time.Millisecond
-	// firstPullTime bounds the pulls of a router that knows nothing yet: a seed
-	// that runs answers in a few milliseconds, and callers wait. The next seed is
-	// asked firstPullStagger after the one before, so that most ask one seed only.
-	firstPullTime    = 50 * time.Millisecond
+	// minPullInterval and maxPullInterval bound the interval at which a router that does not read
+	// the store pulls from one that does. Changes of the store are pushed, and a pull renews the
+	// proof and fetches lost changes. The contents of runner caches come only with pulls, and are
+	// more useful the fresher they are (docs/POLICY.md). The maximum allows for one lost pull
+	// before a proof becomes too old.
+	minPullInterval = 150 * time.Millisecond
+	maxPullInterval = 450 * time.Millisecond
+	// targetPullRate is the number of pulls per second that a seed should answer. At an estimated
+	// 0.1 ms each, they take less than 0.02 cores.
+	targetPullRate = 150
+	// pullTimeout is the timeout of one pull.
+	pullTimeout = 250 * time.Millisecond
+	// firstPullTimeout is the timeout of pulls while a router has no configuration yet. A running
+	// seed answers within a few milliseconds, and callers are waiting. Pulls from further seeds are
+	// sent at intervals of firstPullStagger, so that most routers need only one.
+	firstPullTimeout = 50 * time.Millisecond
 	firstPullStagger = 12 * time.Millisecond
-	// directoryTime bounds the first pull of the whole directory, which may take
-	// long when many routers ask for it.
-	directoryTime = 2 * time.Second
-	// nextQuestion is the pause before the directory is asked for.
-	nextQuestion = 10 * time.Millisecond
+	// directoryPullTimeout is the timeout of the first pull of the whole directory, which may take
+	// long when many routers request it.
+	directoryPullTimeout = 2 * time.Second
+	// nextPullDelay is the delay before the directory is pulled.
+	nextPullDelay = 10 * time.Millisecond
 )
 
-// pause waits for the next pull, less long when changes are known to be missing
-// or nothing is known yet.
-func (r *relays) pause() {
+// waitForNextPull waits until the next pull is due. The wait is shorter if changes are missing or
+// nothing is known yet.
+func (r *peerRouters) waitForNextPull() {
 	interval := r.pullInterval()
 	switch {
 	case !r.gateway.informed():
-		interval = firstRetry
+		interval = minRetryDelay
 	case r.gateway.copies.revision(RunnerObjects) == 0:
-		interval = nextQuestion
+		interval = nextPullDelay
 	}
-	timer := time.NewTimer(r.beforeTooOld(r.gateway.now(), r.gateway.jitter(interval)))
+	timer := time.NewTimer(r.limitPause(r.gateway.now(), r.gateway.jitter(interval)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.behind:
+	case <-r.pullNow:
 	case <-r.gateway.ctx.Done():
 	}
 }
 
-// beforeTooOld shortens a pause so that the next pull comes once a copy is too old to rely
-// on the router that answered last: with the pause on top, changes would be known too late.
-func (r *relays) beforeTooOld(now time.Time, pause time.Duration) time.Duration {
+// limitPause shortens the pause so that the next pull happens as soon as a copy becomes too old for
+// the last source to be relied on. A full pause on top of that would delay changes too long.
+func (r *peerRouters) limitPause(now time.Time, pause time.Duration) time.Duration {
 	r.mutex.Lock()
-	oldest := r.oldestProof(r.lastSource())
+	maxAge := r.proofAgeLimit(r.lastSource())
 	r.mutex.Unlock()
 	for _, kind := range objectKinds {
-		limit := oldest
+		limit := maxAge
 		if kind != ConfigObjects {
-			limit += copySlack
+			limit += copyProofMargin
 		}
-		// One that is too old already was asked for in vain. The answer is to show it, too:
-		// ages that are told are rounded, and take their time on the way.
+		// Copies that are already too old gain nothing from an earlier pull. The added delay makes
+		// sure that the answer shows the excessive age, because reported ages are rounded and take
+		// time to arrive.
 		if age, known := r.gateway.copies.age(now, kind); known && age < limit {
-			pause = min(pause, limit-age+nextQuestion)
+			pause = min(pause, limit-age+nextPullDelay)
 		}
 	}
 	return pause
 }
 
-// oldestProof is the age up to which a proof by the router counts as recent. The mutex is
-// held.
-func (r *relays) oldestProof(address string) time.Duration {
-	if address != "" && address == r.chooser.Relay() {
-		return relayedProofAge
+// proofAgeLimit returns the maximum age at which a proof from the router counts as recent. The
+// mutex must be held.
+func (r *peerRouters) proofAgeLimit(address string) time.Duration {
+	if address != "" && address == r.selector.Relay() {
+		return maxRelayedProofAge
 	}
-	return proofAge
+	return maxProofAge
 }
 
-// pullInterval is the time between two pulls: what the router that answered last
-// asked for, or, if it is of a version that does not, what suits the seeds.
-func (r *relays) pullInterval() time.Duration {
+// pullInterval returns the interval between two pulls. It is the one requested by the last source,
+// or, if that is of a version that requests none, one that fits the number of seeds.
+func (r *peerRouters) pullInterval() time.Duration {
 	r.mutex.Lock()
-	asked, seeds := r.pullAfter, max(r.chooser.SeedCount(), 1)
+	requested, seeds := r.requestedInterval, max(r.selector.SeedCount(), 1)
 	r.mutex.Unlock()
-	if asked > 0 {
-		return min(max(asked, shortestPull), longestPull)
+	if requested > 0 {
+		return min(max(requested, minPullInterval), maxPullInterval)
 	}
-	return intervalFor(int(r.gateway.routers.Load()) / seeds)
+	return pullIntervalFor(int(r.gateway.routers.Load()) / seeds)
 }
 
-// intervalFor is the time between two pulls of each of the followers: shorter
-// where few pull.
-func intervalFor(followers int) time.Duration {
-	return min(max(time.Duration(followers)*time.Second/pullsPerSecond, shortestPull), longestPull)
+// pullIntervalFor returns the interval between two pulls of each follower. It is shorter when there
+// are few followers.
+func pullIntervalFor(followers int) time.Duration {
+	return min(max(time.Duration(followers)*time.Second/targetPullRate, minPullInterval), maxPullInterval)
 }
 
-// pull asks the relay or the seed that is first in turn, and the others at once if
-// that does not give a recent proof. It tells whether one did.
-func (r *relays) pull() bool {
+// pull pulls from the first candidate, and from all candidates if that gives no recent proof. It
+// reports whether it received one.
+func (r *peerRouters) pull() bool {
 	if r.gateway.informed() {
-		if askable := r.askable(); len(askable) > 0 && r.pullFrom(askable[0]) {
-			r.setSource(askable[0])
+		if candidates := r.candidates(); len(candidates) > 0 && r.pullFrom(candidates[0]) {
+			r.setSource(candidates[0])
 			return true
 		}
 	}
-	return r.pullFromAny(r.askable()) || r.pullFromAny(r.someFollowers())
+	return r.pullFromAny(r.candidates()) || r.pullFromAny(r.sampleFollowers())
 }
 
-// askedFollowers is how many of its followers a seed without a proof asks at a time. They
-// read the store while it has none to give, and one in three that the store serves is
-// found within 0.3 s.
-const askedFollowers = 3
+// maxFollowerPulls is the number of its followers that a seed without a proof pulls from at a time.
+// Followers read the store while their seed cannot provide a proof, and if the store serves one in
+// three of them, it is found within 0.3 s.
+const maxFollowerPulls = 3
 
 // transferSources returns the routers that may know more than the store.
-func (r *relays) transferSources() []string {
+func (r *peerRouters) transferSources() []string {
 	r.mutex.Lock()
-	seeds := r.chooser.OtherSeeds()
+	seeds := r.selector.OtherSeeds()
 	r.mutex.Unlock()
-	return append(seeds, r.someFollowers()...)
+	return append(seeds, r.sampleFollowers()...)
 }
 
-// someFollowers returns a few routers that pull from this seed, at random: the store may
-// turn all seeds away while it serves others.
-func (r *relays) someFollowers() []string {
+// sampleFollowers returns a few random followers of this seed. The store may reject all seeds while
+// it serves other routers.
+func (r *peerRouters) sampleFollowers() []string {
 	now := r.gateway.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.chooser.IsSeed() {
+	if !r.selector.IsSeed() {
 		return nil
 	}
 	var addresses []string
 	for address, follower := range r.followers {
-		if len(addresses) == askedFollowers {
+		if len(addresses) == maxFollowerPulls {
 			break
 		}
-		if now.Before(follower.until) && !r.chooser.HasSeed(address) {
+		if now.Before(follower.pushUntil) && !r.selector.HasSeed(address) {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-// askable returns who can be asked now, the best first.
-func (r *relays) askable() []string {
+// candidates returns the routers that can be pulled from now, the best first.
+func (r *peerRouters) candidates() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.chooser.Candidates(r.gateway.now())
+	return r.selector.Candidates(r.gateway.now())
 }
 
-// pullFromAny asks several routers, each a moment after the one before, and tells
-// whether one gave a recent proof. Silent ones do not delay the answer of another.
-func (r *relays) pullFromAny(addresses []string) bool {
+// pullFromAny pulls from several routers with staggered starts and reports whether one returned a
+// recent proof. Silent routers do not delay the answers of others.
+func (r *peerRouters) pullFromAny(addresses []string) bool {
 	g := r.gateway
-	proven := make(chan string, len(addresses))
+	sources := make(chan string, len(addresses))
 	var found atomic.Bool
 	for i, address := range addresses {
 		g.spawn(func() {
-			waited := g.pause(time.Duration(i) * firstPullStagger)
-			if !waited || found.Load() || !r.pullFrom(address) {
+			slept := g.pause(time.Duration(i) * firstPullStagger)
+			if !slept || found.Load() || !r.pullFrom(address) {
 				address = ""
 			}
 			found.Store(found.Load() || address != "")
-			proven <- address
+			sources <- address
 		})
 	}
 	for range addresses {
-		if address := <-proven; address != "" {
+		if address := <-sources; address != "" {
 			r.setSource(address)
 			return true
 		}
@@ -182,55 +183,55 @@
 	return false
 }
 
-// pullFrom asks one router for changes and tells whether its proof is recent.
-func (r *relays) pullFrom(address string) bool {
-	answer, sent := r.askFor(address)
+// pullFrom pulls changes from one router and reports whether its proof is recent.
+func (r *peerRouters) pullFrom(address string) bool {
+	answer, sentAt := r.sendPull(address)
 	now := r.gateway.now()
 	age := wire.Age(answer.GetProofAgeMillis())
-	known := answer.GetProven() || answer.GetUnconfigured()
-	deltas, readable := r.unpack(answer.GetDeltas())
-	// A router that knows nothing of the era of this one's copies proves none of them.
-	usable := known && readable && !r.behindEra(deltas)
+	hasState := answer.GetProven() || answer.GetUnconfigured()
+	deltas, decoded := r.unpackDeltas(answer.GetDeltas())
+	// A router that does not know the era of this router's copies proves none of them.
+	usable := hasState && decoded && !r.fromEarlierEra(deltas)
 	r.mutex.Lock()
-	oldest := r.oldestProof(address)
+	maxAge := r.proofAgeLimit(address)
 	switch {
 	case answer == nil && !r.gateway.informed():
-		r.chooser.RecordStarting(now, address)
-	case answer == nil, !known && address == r.chooser.Relay():
-		r.chooser.RecordFailure(now, address)
-	case !known:
-		r.chooser.RecordStarting(now, address)
-		r.patientUntil = r.gateway.started.Add(seedPatience)
-	case !usable, !recent(answer, oldest):
-		r.chooser.RecordFailure(now, address)
+		r.selector.RecordStarting(now, address)
+	case answer == nil, !hasState && address == r.selector.Relay():
+		r.selector.RecordFailure(now, address)
+	case !hasState:
+		r.selector.RecordStarting(now, address)
+		r.seedWaitUntil = r.gateway.started.Add(startingSeedTimeout)
+	case !usable, !isRecent(answer, maxAge):
+		r.selector.RecordFailure(now, address)
 	default:
-		r.chooser.RecordReply(address, answer.GetZone())
-		r.pullAfter = time.Duration(answer.GetPullAfterMillis()) * time.Millisecond
-		r.refer(address, answer.GetReferTo())
+		r.selector.RecordReply(address, answer.GetZone())
+		r.requestedInterval = time.Duration(answer.GetPullAfterMillis()) * time.Millisecond
+		r.acceptReferral(address, answer.GetReferTo())
 	}
 	r.mutex.Unlock()
-	if !known {
+	if !hasState {
 		return false
 	}
 	if answer.GetStoreOnly() {
-		r.gateway.transfer.begin()
+		r.gateway.transfer.start()
 	}
 	r.gateway.suspects.told(address, answer.GetSuspects())
 	r.gateway.signals.told(address, answer.GetSignals())
-	r.gateway.takeBounds(answer.GetWeightBounds(), sent)
-	r.applyDeltas(deltas, proof{at: sent.Add(-age), given: true})
-	r.checkProofs(answer, sent, age)
-	if !r.isSource() {
+	r.gateway.takeBounds(answer.GetWeightBounds(), sentAt)
+	r.applyDeltas(deltas, proof{at: sentAt.Add(-age), valid: true})
+	r.applyProofs(answer, sentAt, age)
+	if !r.alwaysReadsStore() {
 		r.gateway.routers.Store(int64(answer.GetRouters()))
 	}
 	r.gateway.caches.told(address, answer.GetCache())
 	r.gateway.cacheStores.told(cacheStores{config: answer.GetCacheStoresConfig(), answering: answer.GetCacheStores()}, address)
-	return usable && recent(answer, oldest)
+	return usable && isRecent(answer, maxAge)
 }
 
-// behindEra tells whether the deltas are of an earlier era of the store than this router's
-// copies. The configuration's revision is told by all versions of the router.
-func (r *relays) behindEra(deltas []copyDelta) bool {
+// fromEarlierEra reports whether the deltas are of an earlier era of the store than this router's
+// copies. It compares the configuration, whose revision all router versions send.
+func (r *peerRouters) fromEarlierEra(deltas []copyDelta) bool {
 	for _, d := range deltas {
 		if d.kind == ConfigObjects {
 			return d.delta.Through.Era() < r.gateway.copies.revision(ConfigObjects).Era()
@@ -239,33 +240,34 @@
 	return false
 }
 
-// refer takes another router's word on whom to ask. The mutex is held.
-func (r *relays) refer(from, to string) {
-	if to == "" || to == r.chooser.Relay() || r.chooser.IsSeed() {
+// acceptReferral changes the relay to the one that another router refers to. The mutex must be
+// held.
+func (r *peerRouters) acceptReferral(from, to string) {
+	if to == "" || to == r.selector.Relay() || r.selector.IsSeed() {
 		return
 	}
-	r.chooser.SetRelay(to)
+	r.selector.SetRelay(to)
 	r.gateway.log.Log(events.RelayChanged, events.Fields{"from": from, "relay": to})
 }
 
-func (r *relays) setSource(address string) { r.source.Store(&address) }
+func (r *peerRouters) setSource(address string) { r.source.Store(&address) }
 
-func (r *relays) lastSource() string {
+func (r *peerRouters) lastSource() string {
 	if source := r.source.Load(); source != nil {
 		return *source
 	}
 	return ""
 }
 
-// askFor makes one pull and returns the answer, or nil, and when it was asked for.
-func (r *relays) askFor(address string) (*wire.CopyAnswer, time.Time) {
+// sendPull sends one pull. It returns the answer, or nil, and when the pull was sent.
+func (r *peerRouters) sendPull(address string) (*wire.CopyAnswer, time.Time) {
 	g := r.gateway
-	patience, kinds := r.question()
-	ctx, cancel := context.WithTimeout(g.ctx, patience)
+	timeout, kinds := r.pullParameters()
+	ctx, cancel := context.WithTimeout(g.ctx, timeout)
 	defer cancel()
 	request := r.newPull(address)
 	if g.informed() {
-		// The first answer is to be small, and a whole feed is not asked for twice soon.
+		// The first answer should be small, and a full feed is not requested again soon.
 		g.caches.ask(address, request)
 	}
 	g.suspects.ask(address, request)
@@ -273,103 +275,102 @@
 	for _, kind := range kinds {
 		request.Have = append(request.Have, &wire.CopyRevision{Kind: uint32(kind), Revision: uint64(g.copies.revision(kind))})
 	}
-	sent := r.gateway.now()
+	sentAt := r.gateway.now()
 	reply, err := r.transport.Call(ctx, "", address, &wire.Envelope{Body: &wire.Envelope_CopyPull{CopyPull: request}})
-	g.metrics.peerCalls.WithLabelValues(outcomeOf(err == nil)).Observe(r.gateway.since(sent).Seconds())
+	g.metrics.peerCalls.WithLabelValues(outcomeOf(err == nil)).Observe(r.gateway.since(sentAt).Seconds())
 	if err != nil {
-		return nil, sent
+		return nil, sentAt
 	}
-	return reply.GetCopyAnswer(), sent
+	return reply.GetCopyAnswer(), sentAt
 }
 
-// callTime bounds one question to another router on behalf of a call. It outlasts the
-// wait of the call, so that late answers still tell how far the router is and what is
-// to be given back.
-const callTime = 500 * time.Millisecond
+// peerCallTimeout is the timeout of a request to another router on behalf of a call. It is longer
+// than the call waits, because late replies still show how far away the router is and what has to
+// be returned to it.
+const peerCallTimeout = 500 * time.Millisecond
 
-// Call asks one router on behalf of a call and returns its reply, nil without one, and
-// how long that took.
-func (r *relays) Call(address string, question *wire.Envelope) (*wire.Envelope, time.Duration) {
-	ctx, cancel := context.WithTimeout(r.gateway.ctx, callTime)
+// Call sends a request to a router on behalf of a call. It returns the reply, or nil, and the
+// elapsed time.
+func (r *peerRouters) Call(address string, request *wire.Envelope) (*wire.Envelope, time.Duration) {
+	ctx, cancel := context.WithTimeout(r.gateway.ctx, peerCallTimeout)
 	defer cancel()
-	sent := r.gateway.now()
-	reply, err := r.transport.Call(ctx, "", address, question)
-	taken := r.gateway.since(sent)
+	sentAt := r.gateway.now()
+	reply, err := r.transport.Call(ctx, "", address, request)
+	elapsed := r.gateway.since(sentAt)
 	if err != nil {
-		return nil, taken
+		return nil, elapsed
 	}
-	return reply, taken
+	return reply, elapsed
 }
 
-// Send sends the router at the address a message. One that is lost costs what its sender
-// says where it is sent.
-func (r *relays) Send(address string, message *wire.Envelope) {
+// Send sends a message to a router. It may be lost. Callers state what a loss costs.
+func (r *peerRouters) Send(address string, message *wire.Envelope) {
 	_ = r.transport.Send("", address, message)
 }
 
-// newPull says to the router at the address who asks.
-func (r *relays) newPull(address string) *wire.CopyPull {
+// newPull returns a pull that describes this router to the router at the address.
+func (r *peerRouters) newPull(address string) *wire.CopyPull {
 	settings := r.gateway.settings
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return &wire.CopyPull{
 		PeerAddress: settings.PeerAddress, Zone: settings.Zone,
-		Capacity: uint32(settings.relayCapacity()), Followers: uint32(r.followersBeside(r.gateway.now(), address)),
+		Capacity: uint32(settings.relayCapacity()), Followers: uint32(r.countOtherFollowers(r.gateway.now(), address)),
 	}
 }
 
-// question returns what is asked for and how long the answer may take. A router
-// that knows nothing asks for what is small, to find a seed that is alive; the
-// whole directory may take long at first, when many ask for it.
-func (r *relays) question() (patience time.Duration, kinds []ObjectKind) {
+// pullParameters returns the kinds to pull and the timeout. A router without a configuration pulls
+// only small kinds, to find a live seed. The whole directory may take long at first, when many
+// routers request it.
+func (r *peerRouters) pullParameters() (timeout time.Duration, kinds []ObjectKind) {
 	switch {
 	case !r.gateway.informed():
-		return firstPullTime, []ObjectKind{ConfigObjects, WeightObjects}
+		return firstPullTimeout, []ObjectKind{ConfigObjects, WeightObjects}
 	case r.gateway.copies.revision(RunnerObjects) == 0:
-		return directoryTime, objectKinds
+		return directoryPullTimeout, objectKinds
 	}
-	return pullTime, objectKinds
+	return pullTimeout, objectKinds
 }
 
-// copyDelta is what an answer says of the copy of one kind.
+// copyDelta is the change of the copy of one kind.
 type copyDelta struct {
 	kind  ObjectKind
 	delta config.Delta
 }
 
-// unpack returns the deltas of a message, and false when one cannot be read, which it logs. Kinds
-// that this version of the router does not know are left out.
-func (r *relays) unpack(packed []*wire.CopyDelta) (deltas []copyDelta, readable bool) {
-	readable = true
-	for _, one := range packed {
-		kind := ObjectKind(one.GetKind())
+// unpackDeltas decodes the deltas of a message. It logs those that cannot be decoded and then
+// returns false. Kinds that this version does not know are skipped.
+func (r *peerRouters) unpackDeltas(messages []*wire.CopyDelta) (deltas []copyDelta, ok bool) {
+	ok = true
+	for _, message := range messages {
+		kind := ObjectKind(message.GetKind())
 		if int(kind) >= len(objectKinds) {
 			continue
 		}
-		unpacked, err := wire.UnpackCopyDelta(one)
+		unpacked, err := wire.UnpackCopyDelta(message)
 		if err != nil {
 			r.gateway.log.Log(events.ObjectUnreadable, events.Fields{"kind": kind.String(), "fault": err.Error()})
-			readable = false
+			ok = false
 			continue
 		}
 		deltas = append(deltas, copyDelta{kind: kind, delta: control.DeltaFromWire(unpacked)})
 	}
-	return deltas, readable
+	return deltas, ok
 }
 
-// applyDeltas applies changes from another router.
-func (r *relays) applyDeltas(deltas []copyDelta, proven proof) {
+// applyDeltas applies changes received from another router.
+func (r *peerRouters) applyDeltas(deltas []copyDelta, freshness proof) {
 	for _, d := range deltas {
-		given := proof{at: proven.at, given: proven.given && d.kind == ConfigObjects}
-		if r.gateway.copies.apply(d.kind, d.delta, given) == config.Gap {
-			r.askAgain()
+		deltaProof := proof{at: freshness.at, valid: freshness.valid && d.kind == ConfigObjects}
+		if r.gateway.copies.apply(d.kind, d.delta, deltaProof) == config.Gap {
+			r.requestPull()
 		}
 	}
 }
 
-func (r *relays) askAgain() {
+func (r *peerRouters) requestPull() {
 	select {
-	case r.behind <- struct{}{}:
+	case r.pullNow <- struct{}{}:
 	default:
 	}
 }
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -7,14 +7,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// Followers of a relay that hears nothing trusted its copies for 2.08 s, and leaving
-// runners count 2 s.
-func TestChangesAreKnownInTimeWhoeverIsAsked(t *testing.T) {
-	const counted, own = 2 * time.Second, 50 * time.Millisecond // own is for a call to the store
-	for name, oldest := range map[string]time.Duration{"seed": proofAge, "relay": relayedProofAge} {
+// Guards against changes that arrive after the 2 s within which they must be known. Followers of a
+// relay that received no changes trusted its copies for 2.08 s.
+func TestChangesAreKnownInTimeThroughAnySource(t *testing.T) {
+	const deadline, storeCallTime = 2 * time.Second, 50 * time.Millisecond
+	for name, maxAge := range map[string]time.Duration{"seed": maxProofAge, "relay": maxRelayedProofAge} {
 		t.Run(name, func(t *testing.T) {
-			// A copy grows too old, the next pull shows it, and nobody else answers.
-			NewWithT(t).Expect(oldest + copySlack + nextQuestion + pullTime + own).To(BeNumerically("<", counted))
+			// In the worst case a copy becomes too old, the next pull shows it, no other router
+			// answers, and the store is read.
+			NewWithT(t).Expect(maxAge + copyProofMargin + nextPullDelay + pullTimeout + storeCallTime).To(BeNumerically("<", deadline))
 		})
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -98,7 +98,7 @@
 		r.logs("content is not sent any more")
 	}
 	p.keeps(3)
-	late := p.servingRouter("late", p.asFollower(p.routers[0].seeds))
+	late := p.servingRouter("late", p.followerSettings(p.routers[0].seeds))
 	p.g.Expect(late.call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 }
 
@@ -129,7 +129,7 @@
 	seed := p.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds, settings.MetricsAddress = seeds[0], seeds, at
 	})
-	p.routers = []*router{seed, p.servingRouter("follower", p.asFollower(seeds))}
+	p.routers = []*router{seed, p.servingRouter("follower", p.followerSettings(seeds))}
 	p.endRunners(3)
 	p.routers[1].logs("content is not sent any more")
 	for range 10 {
@@ -179,7 +179,7 @@
 	p.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	client := &platform.Store{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
-	p.g.Expect(client.KeepQuarantine(t.Context(), record)).To(Succeed())
+	p.g.Expect(client.SaveQuarantine(t.Context(), record)).To(Succeed())
 	p.servingRouter("r1", nil)
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, 2*time.Second, 5*time.Millisecond).Should(BeEmpty())
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -36,7 +36,7 @@
 	first := c.answered.Sub(c.arrived)
 	pause := time.Duration(0)
 	if c.stream != nil {
-		pause = c.stream.worstPause
+		pause = c.stream.maxPause
 	}
 	late := lateBy(first, pause, c.route)
 	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrived))
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -100,7 +100,7 @@
 // write sends an answer of the router's own.
 func (c *call) write(r *refusal) {
 	header := c.writer.Header()
-	for name, values := range c.gateway.ports.Protocol.Refusal(c.facts.ID) {
+	for name, values := range c.gateway.ports.Protocol.RefusalHeaders(c.facts.ID) {
 		header[name] = values
 	}
 	header.Set("Content-Type", "text/plain")
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -15,76 +15,79 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of choosing a source.
+// Timing of the choice of a source.
 const (
-	// proofAge is the age at which a proof is too old to rely on its source:
-	// above what a source that reaches the store ever has.
-	proofAge = 1250 * time.Millisecond
-	// relayedProofAge is the same for a relay's proof: a relay asks again once its own is
-	// too old, and one such pull may be lost.
-	relayedProofAge = proofAge + nextQuestion + pullTime
-	// copySlack is how much older the copies of runners and weights may be than that
-	// of the configuration, whose answers prove them: by the time that news may take. A
-	// router whose source hears nothing so knows of a leaving runner within 1.7 s, and
-	// within 1.95 s if that is a relay.
-	copySlack = newsSlack
-	// startPatience is how long a router that knows nothing yet waits at most for
-	// seeds that do not answer: one that runs does so within firstPullTime, and
-	// after the loss of all routers those that start first would refuse callers
-	// until the seeds are back. seedPatience is the same for seeds that answer but
-	// know nothing yet either, as when all start in the same moment: the store is
-	// to be read by few then.
-	startPatience = 100 * time.Millisecond
-	seedPatience  = time.Second
+	// maxProofAge is the age at which a proof is too old to rely on its source. A source that
+	// reaches the store never has one that old.
+	maxProofAge = 1250 * time.Millisecond
+	// maxRelayedProofAge is the same for the proof of a relay. A relay pulls again when its own
+	// proof is too old, and one such pull may be lost.
+	maxRelayedProofAge = maxProofAge + nextPullDelay + pullTimeout
+	// copyProofMargin is how much older the copies of runners and weights may be than the
+	// configuration, whose responses prove them. It is the time that a change may take to be
+	// reported. A router whose source stops receiving changes thus learns of a draining runner
+	// within 1.7 s, or within 1.95 s if the source is a relay.
+	copyProofMargin = watchLatencyMargin
+	// silentSeedTimeout is the maximum time that a router without a configuration waits for seeds
+	// that do not answer. A running seed answers within firstPullTimeout. With a longer wait, the
+	// routers that start first after the loss of all routers would reject callers until the seeds
+	// are back. startingSeedTimeout is the same for seeds that answer but have no configuration yet
+	// either, as when all routers start at once. Then only a few of them should read the store.
+	silentSeedTimeout   = 100 * time.Millisecond
+	startingSeedTimeout = time.Second
 )
 
-// relays connects this router with others: those it asks and those that ask it.
-type relays struct {
+// peerRouters connects this router to those that it pulls from and those that pull from it.
+type peerRouters struct {
 	gateway   *Gateway
 	transport *wire.Transport
 	mutex     sync.Mutex
-	chooser   *relay.Selector
-	// assigner refers askers to relays while this router is a seed.
+	selector  *relay.Selector
+	// assigner assigns followers to relays while this router is a seed.
 	assigner *relay.Assigner
-	// followers holds the routers that pulled of late, by address.
-	followers map[string]follows
-	// following is how many pulled of late, and countAgain when they are counted again.
-	following  int
-	countAgain time.Time
-	// counter sums up the routers behind all seeds.
+	// followers holds the routers that pulled recently, by address.
+	followers map[string]followerState
+	// activeFollowers is the number of routers that pulled recently, and nextCountAt when they are
+	// counted again.
+	activeFollowers int
+	nextCountAt     time.Time
+	// counter adds up the routers behind all seeds.
 	counter *peers.RouterCounter
-	// pullAfter is the time between two pulls that the router asked last asks for.
-	pullAfter time.Duration
-	// behind is told when a push showed that changes are missing.
-	behind chan struct{}
-	// source is the router that answered last, nil or "" when there is none.
+	// requestedInterval is the pull interval that the last source requested, or 0 if it is of a
+	// version that requests none.
+	requestedInterval time.Duration
+	// pullNow receives a value when a push showed that changes are missing.
+	pullNow chan struct{}
+	// source is the router that last provided a recent proof, nil or "" if there is none.
 	source atomic.Pointer[string]
-	// patientUntil is until when a router that knows nothing yet waits for seeds
-	// that are starting too, rather than read the store with all others.
-	patientUntil time.Time
-	// packed holds the last answer of each kind: many ask for the same at once.
-	packed map[ObjectKind]packedCopy
+	// seedWaitUntil is until when a router without a configuration waits for seeds that are
+	// starting too, instead of reading the store with all the others.
+	seedWaitUntil time.Time
+	// packedDeltas holds the last encoded delta of each kind, because many routers request the same
+	// one at once.
+	packedDeltas map[ObjectKind]packedDelta
 }
 
-func newRelays(g *Gateway) *relays {
-	return &relays{
-		gateway: g, chooser: relay.NewSelector(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
-		assigner: relay.NewAssigner(), followers: map[string]follows{}, counter: peers.NewRouterCounter(), behind: make(chan struct{}, 1), packed: map[ObjectKind]packedCopy{},
-		patientUntil: g.started.Add(patienceOf(g)),
+func newPeerRouters(g *Gateway) *peerRouters {
+	return &peerRouters{
+		gateway: g, selector: relay.NewSelector(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
+		assigner: relay.NewAssigner(), followers: map[string]followerState{}, counter: peers.NewRouterCounter(), pullNow: make(chan struct{}, 1), packedDeltas: map[ObjectKind]packedDelta{},
+		seedWaitUntil: g.started.Add(initialSeedWait(g)),
 	}
 }
 
-// patienceOf is how long a started router waits for silent seeds. When the whole
-// system starts for the first time nobody calls yet, and all would read the store.
-func patienceOf(g *Gateway) time.Duration {
+// initialSeedWait returns how long a started router waits for silent seeds. The wait is longer when
+// the whole system starts for the first time: there are no callers yet, and otherwise all routers
+// would read the store.
+func initialSeedWait(g *Gateway) time.Duration {
 	if g.settings.FirstStart {
-		return seedPatience
+		return startingSeedTimeout
 	}
-	return g.jitter(startPatience)
+	return g.jitter(silentSeedTimeout)
 }
 
-// listen serves other routers, if the settings name an address for them.
-func (r *relays) listen() error {
+// listen accepts connections of other routers if the settings contain a peer address.
+func (r *peerRouters) listen() error {
 	if r.gateway.settings.PeerAddress == "" {
 		return nil
 	}
@@ -94,92 +97,92 @@
 	}
 	identity := wire.Identity{Node: r.gateway.settings.Node, Incarnation: uint64(r.gateway.started.UnixMilli())}
 	r.transport = wire.NewTransport(identity, listener, r.handle)
-	r.transport.OnLostConnection(r.connectionsLost)
+	r.transport.OnLostConnection(r.handleSilentConnection)
 	return nil
 }
 
-// connectionsLost takes the news that a connection to another router was silent since the
-// moment though that router is well. What silenced it may have silenced the idle ones to
-// runners, each of which would cost a caller's request.
-func (r *relays) connectionsLost(since time.Time) {
+// handleSilentConnection handles a connection to another router that was silent since the given
+// time although that router is healthy. The cause may have silenced idle connections to runners
+// too, each of which would fail a caller's request, so these are closed.
+func (r *peerRouters) handleSilentConnection(since time.Time) {
 	closed := r.gateway.ports.RunnerPool.CloseIdleSince(since)
 	r.gateway.log.Log(events.PeerConnectionLost, events.Fields{"silent_ms": time.Since(since).Milliseconds(), "closed": closed})
 }
 
-func (r *relays) close() {
+func (r *peerRouters) close() {
 	if r.transport != nil {
 		r.transport.Close()
 	}
 }
 
-// silentConnections returns how many connections were closed since they answered nothing.
-func (r *relays) silentConnections() float64 {
+// silentConnectionCount returns the number of connections closed because they were silent.
+func (r *peerRouters) silentConnectionCount() float64 {
 	if r.transport == nil {
 		return 0
 	}
 	return float64(r.transport.Counters().SilentConnections.Load())
 }
 
-// run keeps the copies proven: by other routers, or else by the store itself.
-func (r *relays) run() {
+// run keeps the copies proven by pulling from other routers, or else by reading the store.
+func (r *peerRouters) run() {
 	g := r.gateway
-	// A seed reads the store from the start, without asking anybody first.
-	r.setDirect(r.readsStore(true))
-	patience := time.AfterFunc(r.gateway.until(r.patientUntil), r.patienceOver)
-	defer patience.Stop()
+	// A seed reads the store from the start, without pulling first.
+	r.setDirect(r.shouldReadStore(true))
+	timer := time.AfterFunc(r.gateway.until(r.seedWaitUntil), r.handleSeedWaitExpired)
+	defer timer.Stop()
 	for g.ctx.Err() == nil {
-		relayed := r.wantsPull() && r.pull()
-		r.setDirect(r.readsStore(relayed))
-		r.pause()
+		pulled := r.shouldPull() && r.pull()
+		r.setDirect(r.shouldReadStore(pulled))
+		r.waitForNextPull()
 	}
 }
 
-// patienceOver begins to read the store, beside seeds that are still being asked,
-// if none of them has been heard of.
-func (r *relays) patienceOver() {
+// handleSeedWaitExpired starts to read the store if no configuration was received, while pulls from
+// the seeds continue.
+func (r *peerRouters) handleSeedWaitExpired() {
 	if !r.gateway.informed() {
-		r.setDirect(r.readsStore(false))
+		r.setDirect(r.shouldReadStore(false))
 	}
 }
 
-// readsStore decides whether this router reads the store itself.
-func (r *relays) readsStore(relayed bool) bool {
+// shouldReadStore reports whether this router must read the store itself.
+func (r *peerRouters) shouldReadStore(pulled bool) bool {
 	r.mutex.Lock()
-	patient := r.gateway.now().Before(r.patientUntil)
+	inSeedWait := r.gateway.now().Before(r.seedWaitUntil)
 	r.mutex.Unlock()
-	waits := patient && !r.gateway.informed()
-	return r.isSource() || !(relayed || waits)
+	waits := inSeedWait && !r.gateway.informed()
+	return r.alwaysReadsStore() || !(pulled || waits)
 }
 
-// isSource tells whether this router reads for others whatever happens: seeds,
-// and a router without any others.
-func (r *relays) isSource() bool {
+// alwaysReadsStore reports whether this router reads the store in any case, which holds for seeds
+// and for a router without peers.
+func (r *peerRouters) alwaysReadsStore() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.transport == nil || r.chooser.IsSeed()
+	return r.transport == nil || r.selector.IsSeed()
 }
 
-// wantsPull tells whether other routers are to be asked: always by those that
-// do not read the store, and by the others when the store does not prove anything.
-func (r *relays) wantsPull() bool {
+// shouldPull reports whether to pull from other routers. Routers other than seeds always do, and
+// seeds do while the store gives no recent proof.
+func (r *peerRouters) shouldPull() bool {
 	if r.transport == nil {
 		return false
 	}
 	r.mutex.Lock()
-	isSeed := r.chooser.IsSeed()
+	isSeed := r.selector.IsSeed()
 	r.mutex.Unlock()
 	current := r.gateway.view.Load()
-	return !isSeed || current == nil || r.gateway.since(current.provenAt) > proofAge || r.gateway.copies.behind(r.gateway.now(), proofAge+copySlack)
+	return !isSeed || current == nil || r.gateway.since(current.provenAt) > maxProofAge || r.gateway.copies.anyOlderThan(r.gateway.now(), maxProofAge+copyProofMargin)
 }
 
-// alone tells whether this router has no others to learn from.
-func (r *relays) alone() bool {
+// hasNoPeers reports whether there are no other routers to pull from.
+func (r *peerRouters) hasNoPeers() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.transport == nil || !r.chooser.HasOtherSeeds()
+	return r.transport == nil || !r.selector.HasOtherSeeds()
 }
 
-func (r *relays) setDirect(enabled bool) {
+func (r *peerRouters) setDirect(enabled bool) {
 	if r.gateway.direct.set(enabled) != enabled {
 		r.gateway.log.Log(events.SourceChanged, events.Fields{"store": enabled, "router": r.lastSource()})
 	}
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -16,8 +16,9 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// relayedFleet has two seeds, which read the store, and a router that asks them.
-func relayedFleet(t *testing.T) (f *fleet, seeds []*router, follower *router) {
+// newSeededFleet returns a fleet with two seeds, which read the store, and a follower that pulls
+// from them.
+func newSeededFleet(t *testing.T) (f *fleet, seeds []*router, follower *router) {
 	f = newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
@@ -27,14 +28,14 @@
 			settings.PeerAddress, settings.Seeds = addresses[i], addresses
 		}))
 	}
-	follower = f.router("follower", f.asFollower(addresses))
+	follower = f.router("follower", f.followerSettings(addresses))
 	f.g.Eventually(follower.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	return f, seeds, follower
 }
 
-// What all routers together may spend on further attempts without having earned
-// it is one sum, however many routers there are.
-func TestReserveForRetriesIsSharedByAllRouters(t *testing.T) {
+// The unearned retries of all routers together are bounded by one sum, independent of the number of
+// routers.
+func TestRetryReserveIsSharedByAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -52,46 +53,46 @@
 			}
 		}))
 	}
-	time.Sleep(1200 * time.Millisecond) // two pulls
+	time.Sleep(1200 * time.Millisecond) // Long enough for two pulls.
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Fails)
 	}
-	ran := 0
+	total := 0
 	for _, r := range routers {
 		for range calls {
 			r.call("/safe/x", nil)
-			ran++
+			total++
 		}
 	}
-	again := len(runners[0].Runs()) + len(runners[1].Runs()) - ran
-	earned := int(0.2 * float64(ran))
-	f.g.Expect(again).To(BeNumerically(">", 0))
-	f.g.Expect(again).To(BeNumerically("<=", slack+earned), "of %d calls", ran)
+	retries := len(runners[0].Runs()) + len(runners[1].Runs()) - total
+	earned := int(0.2 * float64(total))
+	f.g.Expect(retries).To(BeNumerically(">", 0))
+	f.g.Expect(retries).To(BeNumerically("<=", slack+earned), "retries of %d calls", total)
 }
 
-func (f *fleet) asFollower(seeds []string) func(*gateway.Settings) {
+func (f *fleet) followerSettings(seeds []string) func(*gateway.Settings) {
 	return func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), seeds
 	}
 }
 
-func TestFollowerLearnsFromSeedsWithoutTheStore(t *testing.T) {
-	f, _, follower := relayedFleet(t)
+func TestFollowerPullsFromSeedsWithoutReadingStore(t *testing.T) {
+	f, _, follower := newSeededFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Consistently(follower.door.Calls, 600*time.Millisecond).Should(Equal(0), "seeds read the store for it")
+	f.g.Consistently(follower.door.Calls, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 300*time.Millisecond), "changes are pushed")
 }
 
-// Only routers that read the store anyway contend for the lease at once, or each
-// named version would bring a herd of calls.
-func TestFollowersLeaveTheLeaseToSeeds(t *testing.T) {
+// Only routers that read the store anyway compete for the lease immediately. Otherwise each named
+// version would cause a burst of store calls.
+func TestFollowersDoNotAcquireLeaseWhileSeedsRun(t *testing.T) {
 	t.Parallel()
-	f, seeds, follower := relayedFleet(t)
+	f, seeds, follower := newSeededFleet(t)
 	runner := f.runner("e1", "engines")
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Eventually(func() int { return follower.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 	f.g.Expect(follower.door.Calls()).To(Equal(0))
@@ -99,50 +100,51 @@
 	for _, seed := range seeds {
 		seed.Kill()
 	}
-	name(f, 3)
-	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "with the seeds gone it orders itself")
+	nameWeights(f, 3)
+	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "without seeds the follower takes the lease itself")
 }
 
-func TestFollowerGoesToAnotherSeedAndThenToTheStore(t *testing.T) {
-	f, seeds, follower := relayedFleet(t)
+func TestFollowerFallsBackToOtherSeedThenStore(t *testing.T) {
+	f, seeds, follower := newSeededFleet(t)
 	for i, seed := range seeds {
 		seed.Kill()
 		f.configure(2+i, defaultRoutes(), goodKey)
 		follower.settled(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(follower.door.Calls()).To(BeNumerically(">", 0), "with all seeds gone it reads the store")
+	f.g.Expect(follower.door.Calls()).To(BeNumerically(">", 0), "without seeds the follower reads the store")
 }
 
-// A seed that the store drops while it serves others must not keep its
-// followers, or itself, on an old configuration.
-func TestSeedThatTheStoreDropsIsNotReliedOn(t *testing.T) {
+// Guards against a seed that loses the store while it serves others, and then leaves its followers
+// or itself with an old configuration.
+func TestSeedWithoutStoreAccessIsNotReliedOn(t *testing.T) {
 	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Silent} {
 		t.Run(name, func(t *testing.T) {
-			f, seeds, follower := relayedFleet(t)
+			f, seeds, follower := newSeededFleet(t)
 			seeds[0].door.Set(fault)
-			dropped := time.Now()
+			failedAt := time.Now()
 			f.configure(2, defaultRoutes(), "key-two")
 			for _, r := range []*router{follower, seeds[0], seeds[1]} {
 				f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 3*time.Second, 10*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 			}
-			f.g.Expect(time.Since(dropped)).To(BeNumerically("<", 2*time.Second))
+			f.g.Expect(time.Since(failedAt)).To(BeNumerically("<", 2*time.Second))
 			f.g.Consistently(seeds[0].isReady, 5*time.Second, 100*time.Millisecond).Should(BeTrue(), "the other seed proves its configuration")
 		})
 	}
 }
 
-func TestRestartWithTheStoreDownIsServedByPeers(t *testing.T) {
-	f, seeds, _ := relayedFleet(t)
+func TestRouterStartsFromPeersWhileStoreIsDown(t *testing.T) {
+	f, seeds, _ := newSeededFleet(t)
 	addresses := seeds[0].seeds
-	restarted := f.routerAt("restarted", f.asFollower(addresses), storestand.Silent)
+	restarted := f.routerAt("restarted", f.followerSettings(addresses), storestand.Silent)
 	f.g.Eventually(restarted.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(restarted.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
 
-// With the store down for all, nobody's word keeps the configuration alive.
-func TestPeersDoNotProveToEachOtherWhatNobodyProves(t *testing.T) {
-	f, seeds, follower := relayedFleet(t)
+// While the store is down for all routers, their answers to each other must not extend the use of
+// the configuration.
+func TestPeersCannotProveConfigurationWithoutStore(t *testing.T) {
+	f, seeds, follower := newSeededFleet(t)
 	for _, r := range append(seeds, follower) {
 		r.door.Set(storestand.Silent)
 	}
@@ -155,72 +157,72 @@
 	}, 5*time.Second, 20*time.Millisecond).Should(BeFalse())
 }
 
-// A seed is asked while it knows nothing, and again after each change: what it
-// gave before must not be given again with a newer proof.
-func TestSeedNeverGivesAnOlderConfigurationWithANewerProof(t *testing.T) {
+// Guards against a seed that sends a cached older answer with a newer proof. The seed is pulled
+// from before it has a configuration, and again after each change.
+func TestSeedNeverSendsOldConfigurationWithNewProof(t *testing.T) {
 	f := newFleet(t)
 	addresses := []string{loopback.FreeAddress()}
 	seed := f.routerAt("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = addresses[0], addresses
 	}, storestand.Busy)
-	first := f.routerAt("first", f.asFollower(addresses), storestand.Silent)
+	first := f.routerAt("first", f.followerSettings(addresses), storestand.Silent)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	seed.door.Set(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
-	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "not seconds later")
+	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "the seed is pulled from again soon after it has a configuration")
 	f.configure(2, defaultRoutes(), "key-two")
 	seed.settled(2)
-	second := f.routerAt("second", f.asFollower(addresses), storestand.Silent)
+	second := f.routerAt("second", f.followerSettings(addresses), storestand.Silent)
 	f.g.Eventually(second.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(second.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized))
 }
 
-// After the loss of all routers those that come back first find no seed. Callers
-// are there already, so the store is read as soon as the seeds are seen to be silent.
-func TestStartedRouterReadsTheStoreSoonWhenItsSeedsAreSilent(t *testing.T) {
+// After the loss of all routers the first ones to restart find no seed. Callers are already
+// waiting, so a router reads the store as soon as the seeds prove silent.
+func TestStartedRouterReadsStoreSoonIfSeedsAreSilent(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	r := f.router("first", f.asFollower([]string{silentPeer(f), silentPeer(f), silentPeer(f)}))
+	r := f.router("first", f.followerSettings([]string{startSilentPeer(f), startSilentPeer(f), startSilentPeer(f)}))
 	f.g.Eventually(r.isReady, 200*time.Millisecond, 5*time.Millisecond).Should(BeTrue())
 }
 
-// A seed that answers is found beside silent ones without reading the store.
-func TestStartedRouterFindsTheSeedThatAnswers(t *testing.T) {
+// A live seed is found among silent ones without reading the store.
+func TestStartedRouterFindsLiveSeedAmongSilentOnes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	address := loopback.FreeAddress()
-	seeds := []string{silentPeer(f), address, silentPeer(f), silentPeer(f)}
+	seeds := []string{startSilentPeer(f), address, startSilentPeer(f), startSilentPeer(f)}
 	f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds })
 	for i := range 6 {
-		r := f.router(fmt.Sprint("r", i), f.asFollower(seeds))
+		r := f.router(fmt.Sprint("r", i), f.followerSettings(seeds))
 		f.g.Eventually(r.isReady, 150*time.Millisecond, 2*time.Millisecond).Should(BeTrue())
 		f.g.Expect(r.door.Calls()).To(BeZero())
 	}
 }
 
-// Callers that come while a router starts are served a moment later, not refused;
-// a router that finds nobody refuses them soon.
-func TestCallsWaitForAStartingRouter(t *testing.T) {
+// Calls that arrive while a router starts are served a moment later instead of rejected. A router
+// that finds neither peers nor the store rejects them soon.
+func TestCallsWaitForStartingRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	seeds := []string{silentPeer(f), silentPeer(f)}
-	const patient = 900 * time.Millisecond
+	seeds := []string{startSilentPeer(f), startSilentPeer(f)}
+	const startWait = 900 * time.Millisecond
 	first := f.router("first", func(settings *gateway.Settings) {
-		f.asFollower(seeds)(settings)
-		settings.StartWait = patient
+		f.followerSettings(seeds)(settings)
+		settings.StartWait = startWait
 	})
 	got := first.call("/safe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(got.after).To(BeNumerically("<", patient))
+	f.g.Expect(got.after).To(BeNumerically("<", startWait))
 
-	alone := f.routerAt("alone", f.asFollower(seeds), storestand.Silent)
+	alone := f.routerAt("alone", f.followerSettings(seeds), storestand.Silent)
 	for range 2 {
 		got = alone.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -228,11 +230,11 @@
 		f.g.Expect(got.after).To(BeNumerically("<", 300*time.Millisecond))
 		time.Sleep(time.Second)
 	}
-	f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "later nothing waits")
+	f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "calls wait only while the router starts")
 }
 
-// silentPeer returns the address of a peer that takes connections and says nothing.
-func silentPeer(f *fleet) string {
+// startSilentPeer returns the address of a peer that accepts connections and never answers.
+func startSilentPeer(f *fleet) string {
 	address := loopback.FreeAddress()
 	listener, err := net.Listen("tcp", address)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -240,9 +242,9 @@
 	return address
 }
 
-// A seed that others reach at another address than the one it listens at, as behind a port
-// forward, is known to itself and to them by theirs.
-func TestSeedBehindAPortForwardIsFollowed(t *testing.T) {
+// A seed whose peer address differs from its listen address, as behind a port forward, is
+// identified by the peer address, both by itself and by others.
+func TestSeedBehindPortForwardHasFollowers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -254,16 +256,17 @@
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.PeerBindAddress, settings.Seeds = forward.Address, own, []string{forward.Address}
 	})
-	follower := f.servingRouter("follower", f.asFollower([]string{forward.Address}))
+	follower := f.servingRouter("follower", f.followerSettings([]string{forward.Address}))
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	f.g.Eventually(func() string { return follower.Status().Source }, time.Second, 5*time.Millisecond).Should(Equal(forward.Address))
 	f.g.Expect(seed.Status().ReadsStore).To(BeTrue())
 	f.g.Eventually(func() bool { return follower.Status().ReadsStore }, 3*time.Second, 5*time.Millisecond).Should(BeFalse())
 }
 
-// A change shows that all was known when its watch was sent, which may be long before. The
-// proof is renewed before followers would take it for that of a seed without the store.
-func TestProofIsRenewedSoonAfterAChange(t *testing.T) {
+// The response to a watch with a change proves only the state at the time the watch was sent, which
+// may be long before. The proof is renewed before followers would conclude that the seed has lost
+// the store.
+func TestProofIsRenewedSoonAfterChange(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -272,7 +275,7 @@
 	proofAge := func() int64 { return r.Status().ProofAgeMillis }
 	f.configure(2, defaultRoutes(), goodKey)
 	r.settled(2)
-	time.Sleep(800 * time.Millisecond) // the next watch has waited for most of its 0.9 s
+	time.Sleep(800 * time.Millisecond) // The next watch has waited for most of its 0.9 s.
 	f.configure(3, defaultRoutes(), goodKey)
 	f.g.Eventually(proofAge, 700*time.Millisecond, 5*time.Millisecond).Should(BeNumerically("<", 500))
 }
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -10,43 +10,43 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of answering other routers.
+// Timing of answers to other routers.
 const (
-	// pushTime is how long after a pull changes are pushed to a router.
-	pushTime = 2 * time.Second
-	// countInterval is how often a router counts those that pull from it.
-	countInterval = 500 * time.Millisecond
-	// fullTime is how long a whole directory is given out though there are newer
-	// changes: the next pull brings these.
-	fullTime = 2 * time.Second
+	// pushWindow is how long after its last pull a router is pushed changes.
+	pushWindow = 2 * time.Second
+	// followerCountInterval is the interval at which a router counts its followers.
+	followerCountInterval = 500 * time.Millisecond
+	// fullDeltaReuseTime is how long an encoded full directory is reused although there are newer
+	// changes. The next pull fetches these.
+	fullDeltaReuseTime = 2 * time.Second
 )
 
-// packedCopy is the encoded changes between two revisions.
-type packedCopy struct {
+// packedDelta holds the encoded changes between two revisions.
+type packedDelta struct {
 	from, through storerev.Revision
-	// reusable copies are given out for a while though there are newer changes:
-	// whole directories only. A configuration goes with a proof that it is the
-	// newest, so an older one must never be given.
+	// reusable is set if the delta may be reused for a while although there are newer changes. Only
+	// full directories may. A configuration is sent with a proof that it is the newest, so an older
+	// one must never be sent.
 	reusable bool
-	at       time.Time
+	packedAt time.Time
 	message  *wire.CopyDelta
 }
 
-// answers tells whether the copy serves for changes between the revisions.
-func (p packedCopy) answers(from, through storerev.Revision, now time.Time) bool {
+// covers reports whether the delta can be used for the changes between the revisions.
+func (p packedDelta) covers(from, through storerev.Revision, now time.Time) bool {
 	if p.message == nil || p.from != from || p.through.Era() != through.Era() {
 		return false
 	}
-	return p.through == through || (p.reusable && now.Sub(p.at) < fullTime)
+	return p.through == through || (p.reusable && now.Sub(p.packedAt) < fullDeltaReuseTime)
 }
 
-// handle takes a message of another router.
-func (r *relays) handle(_ context.Context, envelope *wire.Envelope) *wire.Envelope {
+// handle handles a message of another router and returns the reply, or nil.
+func (r *peerRouters) handle(_ context.Context, envelope *wire.Envelope) *wire.Envelope {
 	switch body := envelope.GetBody().(type) {
 	case *wire.Envelope_CopyPull:
 		return &wire.Envelope{Body: &wire.Envelope_CopyAnswer{CopyAnswer: r.answer(body.CopyPull)}}
 	case *wire.Envelope_CopyPush:
-		deltas, _ := r.unpack(body.CopyPush.GetDeltas())
+		deltas, _ := r.unpackDeltas(body.CopyPush.GetDeltas())
 		r.applyDeltas(deltas, proof{})
 	case *wire.Envelope_QuotaAsk:
 		return &wire.Envelope{Body: &wire.Envelope_QuotaAnswer{QuotaAnswer: r.gateway.limits.HandleAsk(body.QuotaAsk)}}
@@ -66,14 +66,14 @@
 	return nil
 }
 
-// answer returns what the asking router lacks, with the proof of the
-// configuration. The delta of the configuration is always there: it may be empty.
-func (r *relays) answer(pull *wire.CopyPull) *wire.CopyAnswer {
+// answer returns the changes that the pulling router lacks, with the proof of the configuration. It
+// always includes a delta of the configuration, which may be empty.
+func (r *peerRouters) answer(pull *wire.CopyPull) *wire.CopyAnswer {
 	g := r.gateway
 	if pull.GetStateTransfer() {
 		return g.transfer.answer(pull)
 	}
-	referTo, interval := r.noteFollower(pull)
+	referTo, interval := r.recordFollower(pull)
 	stores := g.cacheStores.state.Load()
 	answer := &wire.CopyAnswer{
 		Zone: g.settings.Zone, CacheStores: stores.answering, CacheStoresConfig: stores.config, Routers: uint32(g.routerCount()),
@@ -83,7 +83,7 @@
 	if pull.GetWantsCache() {
 		answer.Cache = g.caches.answer(pull.GetCacheFeed(), pull.GetCacheThrough())
 	}
-	// The proof is read before the copies: what is given is at least as new.
+	// The proof is read before the copies, so the copies are at least as new as the proof.
 	if current := g.view.Load(); current != nil && !current.provenAt.IsZero() {
 		answer.Proven = true
 		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(current.provenAt))
@@ -103,156 +103,158 @@
 		}
 		known := storerev.Revision(have.GetRevision())
 		if kind == ConfigObjects || g.copies.revision(kind) > known {
-			answer.Deltas = append(answer.Deltas, r.changes(kind, known))
+			answer.Deltas = append(answer.Deltas, r.packedChanges(kind, known))
 		}
 	}
 	return answer
 }
 
-// follows is a router that pulls from this one.
-type follows struct {
-	// until is when changes are no longer pushed to it, unless it pulls again.
-	until time.Time
-	// below is how many routers pull from it.
-	below int
+// followerState describes a router that pulls from this one.
+type followerState struct {
+	// pushUntil is when changes are no longer pushed to it, unless it pulls again.
+	pushUntil time.Time
+	// followerCount is how many routers pull from it.
+	followerCount int
 }
 
-// noteFollower notes a router that pulls, and returns whom it is to pull from
-// instead, if anybody, and how long after this pull the next one is to come.
-func (r *relays) noteFollower(pull *wire.CopyPull) (referTo string, interval time.Duration) {
+// recordFollower records a router that pulls. It returns the address that the router should pull
+// from instead, or "", and the interval until its next pull.
+func (r *peerRouters) recordFollower(pull *wire.CopyPull) (referTo string, interval time.Duration) {
 	address, now := pull.GetPeerAddress(), r.gateway.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if address != "" {
-		r.followers[address] = follows{until: now.Add(pushTime), below: int(pull.GetFollowers())}
+		r.followers[address] = followerState{pushUntil: now.Add(pushWindow), followerCount: int(pull.GetFollowers())}
 	}
-	if !now.Before(r.countAgain) {
-		r.countAgain = now.Add(countInterval)
+	if !now.Before(r.nextCountAt) {
+		r.nextCountAt = now.Add(followerCountInterval)
 		r.countFollowers(now)
 	}
-	return r.referral(now, pull), intervalFor(r.following)
+	return r.referral(now, pull), pullIntervalFor(r.activeFollowers)
 }
 
-// countFollowers counts who pulled of late. The mutex is held.
-func (r *relays) countFollowers(now time.Time) {
-	r.following = 0
+// countFollowers counts the routers that pulled recently. The mutex must be held.
+func (r *peerRouters) countFollowers(now time.Time) {
+	r.activeFollowers = 0
 	for _, follower := range r.followers {
-		if now.Before(follower.until) {
-			r.following++
+		if now.Before(follower.pushUntil) {
+			r.activeFollowers++
 		}
 	}
 }
 
-// routersBehind counts the routers that learn from this one, itself included. Seeds that pull
-// from it for want of a proof are counted by themselves. The mutex is held.
-func (r *relays) routersBehind(now time.Time) int {
+// countDownstream counts the routers that receive changes through this one, including itself. Seeds
+// that pull from it because they lack a proof are not included, since they report their own count.
+// The mutex must be held.
+func (r *peerRouters) countDownstream(now time.Time) int {
 	count := 1
 	for address, follower := range r.followers {
-		if now.Before(follower.until) && !r.chooser.HasSeed(address) {
-			count += 1 + follower.below
+		if now.Before(follower.pushUntil) && !r.selector.HasSeed(address) {
+			count += 1 + follower.followerCount
 		}
 	}
 	return count
 }
 
-// followersBeside counts the routers that pull from this one beside the one at the address:
-// two may pull from each other while one takes the other's place. The mutex is held.
-func (r *relays) followersBeside(now time.Time, address string) (count int) {
+// countOtherFollowers counts the followers of this router other than the one at the address. Two
+// routers may pull from each other while one replaces the other as relay. The mutex must be held.
+func (r *peerRouters) countOtherFollowers(now time.Time, address string) (count int) {
 	for other, follower := range r.followers {
-		if other != address && now.Before(follower.until) && !r.chooser.HasSeed(other) {
+		if other != address && now.Before(follower.pushUntil) && !r.selector.HasSeed(other) {
 			count++
 		}
 	}
 	return count
 }
 
-// countRouters counts all routers, at a seed, and returns how many learn from this one,
-// itself included. Each router learns from one seed or a relay of one, and is told the number.
-func (r *relays) countRouters() (own int) {
+// countRouters updates the total number of routers at a seed. It returns the number that receive
+// changes through this one, including itself. Each router receives changes through one seed, or
+// through a relay of one, and is sent the total.
+func (r *peerRouters) countRouters() (downstream int) {
 	now := r.gateway.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	own = r.routersBehind(now)
-	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.SeedCount(), own)))
-	return own
+	downstream = r.countDownstream(now)
+	r.gateway.routers.Store(int64(r.counter.Total(now, r.selector.SeedCount(), downstream)))
+	return downstream
 }
 
-// toldBehind takes another seed's count of the routers that learn from it.
-func (r *relays) toldBehind(seed string, routers int) {
+// recordSeedCount records another seed's count of the routers that receive changes through it.
+func (r *peerRouters) recordSeedCount(seed string, routers int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counter.Report(r.gateway.now(), seed, routers)
 }
 
-// referral returns whom the asking router is to pull from: at a seed one of the
-// relays of its zone, if many ask; at a router that has a relay itself that one, so
-// that changes take two steps and not more. The mutex is held.
-func (r *relays) referral(now time.Time, pull *wire.CopyPull) string {
-	if r.chooser.HasSeed(pull.GetPeerAddress()) {
+// referral returns the address that the pulling router should pull from instead, or "". An
+// overloaded seed refers it to a relay of its zone. A router that has a relay itself refers to that
+// one, so that changes never need more than two hops. The mutex must be held.
+func (r *peerRouters) referral(now time.Time, pull *wire.CopyPull) string {
+	if r.selector.HasSeed(pull.GetPeerAddress()) {
 		return ""
 	}
-	if !r.chooser.IsSeed() {
-		return r.chooser.Relay()
+	if !r.selector.IsSeed() {
+		return r.selector.Relay()
 	}
-	asker := relay.Router{
+	puller := relay.Router{
 		Address: pull.GetPeerAddress(), Zone: pull.GetZone(),
 		Capacity: int(pull.GetCapacity()), Followers: int(pull.GetFollowers()),
 	}
-	referred := r.assigner.Assign(now, asker, r.following > r.gateway.settings.DirectFollowers)
-	if referred != "" {
-		delete(r.followers, asker.Address)
+	assigned := r.assigner.Assign(now, puller, r.activeFollowers > r.gateway.settings.DirectFollowers)
+	if assigned != "" {
+		delete(r.followers, puller.Address)
 	}
-	return referred
+	return assigned
 }
 
-// changes returns what changed after the revision, encoded. The last such
-// answer is kept, as many routers ask for the same after a change or a restart.
-func (r *relays) changes(kind ObjectKind, after storerev.Revision) *wire.CopyDelta {
+// packedChanges returns the encoded changes after the revision. The last result is cached, because
+// many routers request the same after a change or a restart.
+func (r *peerRouters) packedChanges(kind ObjectKind, after storerev.Revision) *wire.CopyDelta {
 	through := r.gateway.copies.revision(kind)
 	r.mutex.Lock()
-	kept := r.packed[kind]
+	cached := r.packedDeltas[kind]
 	r.mutex.Unlock()
-	if kept.answers(after, through, r.gateway.now()) {
-		return kept.message
+	if cached.covers(after, through, r.gateway.now()) {
+		return cached.message
 	}
-	delta := r.gateway.copies.since(kind, after)
+	delta := r.gateway.copies.changesAfter(kind, after)
 	message, err := wire.PackCopyDelta(uint32(kind), control.DeltaToWire(delta))
 	if err != nil {
-		// Objects that cannot be encoded are none of the store's.
+		// Objects that cannot be encoded cannot have come from the store.
 		panic("gateway: " + err.Error())
 	}
 	r.mutex.Lock()
-	r.packed[kind] = packedCopy{from: after, through: delta.Through, reusable: kind == RunnerObjects && delta.Full && delta.Through > 0, at: r.gateway.now(), message: message}
+	r.packedDeltas[kind] = packedDelta{from: after, through: delta.Through, reusable: kind == RunnerObjects && delta.Full && delta.Through > 0, packedAt: r.gateway.now(), message: message}
 	r.mutex.Unlock()
 	return message
 }
 
-// forgetPacked has answers packed anew after a change that no revision tells.
-func (r *relays) forgetPacked() {
+// clearPackedDeltas clears the cached deltas after a change that does not change the revision.
+func (r *peerRouters) clearPackedDeltas() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	clear(r.packed)
+	clear(r.packedDeltas)
 }
 
-// push tells the routers that pulled of late what has changed after the revision.
-func (r *relays) push(kind ObjectKind, after storerev.Revision) {
-	addresses := r.pushed(r.gateway.now())
+// push sends the changes after the revision to all routers that pulled recently.
+func (r *peerRouters) push(kind ObjectKind, after storerev.Revision) {
+	addresses := r.pushTargets(r.gateway.now())
 	if len(addresses) == 0 {
 		return
 	}
-	message := &wire.CopyPush{Deltas: []*wire.CopyDelta{r.changes(kind, after)}}
+	message := &wire.CopyPush{Deltas: []*wire.CopyDelta{r.packedChanges(kind, after)}}
 	for _, address := range addresses {
-		// A push that is lost is repaired by the next pull.
+		// A lost push is repaired by the next pull.
 		_ = r.transport.Send("", address, &wire.Envelope{Body: &wire.Envelope_CopyPush{CopyPush: message}})
 	}
 }
 
-// pushed returns the routers that pulled of late.
-func (r *relays) pushed(now time.Time) (addresses []string) {
+// pushTargets returns the routers that pulled recently, and forgets the others.
+func (r *peerRouters) pushTargets(now time.Time) (addresses []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for address, follower := range r.followers {
-		if now.After(follower.until) {
+		if now.After(follower.pushUntil) {
 			delete(r.followers, address)
 			continue
 		}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -15,7 +15,7 @@
 	}
 	settings.SetDefaults()
 	g.relays.mutex.Lock()
-	g.relays.chooser.SetSeeds(settings.Seeds)
+	g.relays.selector.SetSeeds(settings.Seeds)
 	g.relays.mutex.Unlock()
 	g.limits.SetServers(settings.Seeds)
 	g.schedulers.setSchedulers(settings.Seeds)
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -9,90 +9,90 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// A watch that waits for a change looks the same as one whose answer is lost or whose
-// connection is dead. Only the configuration is read so often that silence is noticed.
-// Its answers tell the store's revision, which counts the changes of all kinds: a copy that
-// is complete up to it is proved without a call of its own; beside the watch of one that is
-// behind a short one is made, and if that brings changes the first is given up. So a
-// leaving runner or named weights are known 1.2 s after the change at the latest while the
-// configuration's watch works, instead of 12.7 s, and 2.1 s if that one is silent as well.
-// While nothing in the store changes it costs no call, else one a kind each 0.9 s.
+// A watch that waits for a change looks the same as one whose response was lost or whose connection
+// is dead. Only the configuration is read often enough for silence to be noticed. Its responses
+// carry the store's revision, which counts the changes of all kinds. A copy that is complete
+// through that revision is proven without a call of its own. For a copy that is behind, a second,
+// short watch is sent, and if that returns changes, the pending watch is canceled. A draining
+// runner or newly named weights are thus known at most 1.2 s after the change while the watch of
+// the configuration works, instead of 12.7 s, and after 2.1 s if that one is silent as well. This
+// costs no call while nothing in the store changes, and otherwise one per kind each 0.9 s.
 
-// newsSlack is how much longer than the pause after a change the news of the next one may
-// take on a sound watch: 2 to 95 ms were measured.
-const newsSlack = 130 * time.Millisecond
+// watchLatencyMargin is how much later than the batch delay a working watch may report the next
+// change. 2 to 95 ms were measured.
+const watchLatencyMargin = 130 * time.Millisecond
 
-// errRenewed means that a watch was ended as another one is to be made in its place.
-var errRenewed = errors.New("watch is made anew")
+// errWatchReplaced means that a watch was canceled because another one replaces it.
+var errWatchReplaced = errors.New("watch was replaced by another one")
 
-// verifyCopies proves the copies of the other kinds by an answer on the configuration, or
-// renews their watches, at once if the answer shows nothing.
-func (g *Gateway) verifyCopies(known checkpoint, shown bool) {
-	for _, f := range g.followers {
-		if f.kind != ConfigObjects {
-			f.verify(known, shown)
+// verifyCopies proves the copies of the other kinds by a response on the configuration, or probes
+// for missed changes. It probes at once if the response is not current.
+func (g *Gateway) verifyCopies(observed checkpoint, current bool) {
+	for _, w := range g.followers {
+		if w.kind != ConfigObjects {
+			w.verify(observed, current)
 		}
 	}
 }
 
-func (f *follower) verify(known checkpoint, shown bool) {
-	if !shown {
-		f.renew()
+func (w *storeWatcher) verify(observed checkpoint, current bool) {
+	if !current {
+		w.probe()
 		return
 	}
-	if f.gateway.copies.check(f.kind, known) {
+	if w.gateway.copies.proveByCheckpoint(w.kind, observed) {
 		return
 	}
-	time.AfterFunc(f.settleTime()+newsSlack, func() {
-		if !f.gateway.copies.check(f.kind, known) {
-			f.renew()
+	time.AfterFunc(w.delayAfterChange()+watchLatencyMargin, func() {
+		if !w.gateway.copies.proveByCheckpoint(w.kind, observed) {
+			w.probe()
 		}
 	})
 }
 
-// renew looks beside the watch that waits whether there are changes.
-func (f *follower) renew() {
-	if f.gateway.direct.on() && f.renewing.CompareAndSwap(false, true) {
-		f.gateway.spawn(f.lookBeside)
+// probe checks with a second watch, while one is pending, whether changes were missed.
+func (w *storeWatcher) probe() {
+	if w.gateway.direct.on() && w.probing.CompareAndSwap(false, true) {
+		w.gateway.spawn(w.runProbe)
 	}
 }
 
-// lookBeside makes a short watch. If it brings changes, or is not answered either, the
-// waiting one ends and the next is made at once.
-func (f *follower) lookBeside() {
-	g := f.gateway
-	revision := g.copies.revision(f.kind)
-	answer := f.askBeside(revision)
-	if answer.err != nil {
-		// The next watch of the follower is short too, until one is answered.
-		f.endWatch()
+// runProbe sends a short watch. If it returns changes or fails, it cancels the pending watch so
+// that the next one is sent at once.
+func (w *storeWatcher) runProbe() {
+	g := w.gateway
+	from := g.copies.revision(w.kind)
+	response := w.probeWatch(from)
+	if response.err != nil {
+		// The next watches are short too, until one is answered.
+		w.cancelPendingWatch()
 		return
 	}
-	f.take(revision, regainWait, answer)
-	f.renewing.Store(false)
-	g.metrics.renewals.WithLabelValues(f.kind.String(), renewalOutcome(len(answer.objects) > 0)).Inc()
-	if len(answer.objects) > 0 {
-		f.endWatch()
-		g.log.Log(events.WatchStalled, events.Fields{"kind": f.kind.String(), "objects": len(answer.objects), "revision": g.copies.revision(f.kind).Number()})
+	w.applyWatch(from, shortWatchTimeout, response)
+	w.probing.Store(false)
+	g.metrics.renewals.WithLabelValues(w.kind.String(), renewalOutcome(len(response.objects) > 0)).Inc()
+	if len(response.objects) > 0 {
+		w.cancelPendingWatch()
+		g.log.Log(events.WatchStalled, events.Fields{"kind": w.kind.String(), "objects": len(response.objects), "revision": g.copies.revision(w.kind).Number()})
 	}
 }
 
-// endWatch ends the watch that waits, if there is one.
-func (f *follower) endWatch() {
-	if interrupt := f.interrupt.Load(); interrupt != nil {
-		(*interrupt)(errRenewed)
+// cancelPendingWatch cancels the pending watch, if there is one.
+func (w *storeWatcher) cancelPendingWatch() {
+	if cancel := w.cancelWatch.Load(); cancel != nil {
+		(*cancel)(errWatchReplaced)
 	}
 }
 
-func (f *follower) askBeside(revision storerev.Revision) storeAnswer {
-	ctx, cancel := context.WithTimeout(f.gateway.ctx, regainWait+callSlack)
+func (w *storeWatcher) probeWatch(revision storerev.Revision) storeResponse {
+	ctx, cancel := context.WithTimeout(w.gateway.ctx, shortWatchTimeout+watchCallMargin)
 	defer cancel()
-	return f.callWatch(ctx, revision, regainWait)
+	return w.requestWatch(ctx, revision, shortWatchTimeout)
 }
 
-// interruptible returns a context that a renewal ends.
-func (f *follower) interruptible() (context.Context, context.CancelCauseFunc) {
-	ctx, interrupt := context.WithCancelCause(f.gateway.ctx)
-	f.interrupt.Store(&interrupt)
-	return ctx, interrupt
+// cancelableContext returns the context of a watch that cancelPendingWatch can cancel.
+func (w *storeWatcher) cancelableContext() (context.Context, context.CancelCauseFunc) {
+	ctx, cancel := context.WithCancelCause(w.gateway.ctx)
+	w.cancelWatch.Store(&cancel)
+	return ctx, cancel
 }
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -48,7 +48,7 @@
 	"relay": func(f *fleet, change func()) *router {
 		seed := []string{loopback.FreeAddress()}
 		f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seed[0], seed })
-		follower := f.servingRouter("follower", f.asFollower(seed))
+		follower := f.servingRouter("follower", f.followerSettings(seed))
 		change()
 		f.t.Cleanup(func() { f.g.Expect(follower.door.Calls()).To(BeZero(), "it knows from the seed alone") })
 		return follower
@@ -135,10 +135,10 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.startedRunner("e1", "engines")
 	f.servingRouter("r1", nil)
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
 	runner.LeaveOrders()
-	name(f, 3)
+	nameWeights(f, 3)
 	f.g.Eventually(runner.Orders, 2*time.Second, 5*time.Millisecond).Should(HaveLen(2))
 	f.g.Expect(runner.Orders()[1].Expected).To(Equal(uint64(1)))
 	runner.Restart()
@@ -154,11 +154,11 @@
 	addresses map[string]bool
 }
 
-func (m *movedParts) CacheList(ctx context.Context, address, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
+func (m *movedParts) ListCache(ctx context.Context, address, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
 	m.reading.Lock()
 	m.addresses[address] = true
 	m.reading.Unlock()
-	return m.keptParts.CacheList(ctx, address, runner)
+	return m.keptParts.ListCache(ctx, address, runner)
 }
 
 func (m *movedParts) readAt(address string) bool {
@@ -249,7 +249,7 @@
 	entry["service"] = "nobody's"
 	f.store.Put(platform.KindServers, "e2", entry)
 	f.servingRouter("r1", nil)
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Consistently(stranger.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
 }
--- a/internal/gateway/restoredlease_test.go
+++ b/internal/gateway/restoredlease_test.go
@@ -20,7 +20,7 @@
 func TestOneRouterOrdersRunnersWhileTheStoreComesBackFromACopy(t *testing.T) {
 	t.Parallel()
 	const gap = 700 * time.Millisecond
-	f := &restorable{fleet: newFleet(t)}
+	f := &restorableFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
 	for i := range 24 {
 		f.engines = append(f.engines, f.engine(fmt.Sprintf("e%d", i+1), 1))
@@ -33,11 +33,11 @@
 	}
 	kept := f.store.Copy()
 	for version := uint64(2); version <= 4; version++ {
-		name(f.fleet, version)
-		f.g.Eventually(f.orders, weightsTime, time.Millisecond).Should(BeNumerically(">=", int(version-1)*4))
-		f.restore(kept, storeAway/8, func() { name(f.fleet, version) })
+		nameWeights(f.fleet, version)
+		f.g.Eventually(f.orders, weightUpdateTimeout, time.Millisecond).Should(BeNumerically(">=", int(version-1)*4))
+		f.restore(kept, storeDowntime/8, func() { nameWeights(f.fleet, version) })
 	}
-	f.haveWeights(4)
+	f.awaitWeights(4)
 
 	orders := ordersOf(f.engines)
 	for i, order := range orders {
@@ -54,15 +54,15 @@
 // does not have the object that routers go on to replace.
 func TestLeaseThatACopyOfTheStoreLacksIsTakenAgain(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 3, nil)
+	f := newRestorableFleet(t, 3, nil)
 	kept := f.store.Copy()
-	name(f.fleet, 2)
-	f.haveWeights(2)
-	time.Sleep(2 * storeAway)
-	f.restore(kept, storeAway/8, nil)
+	nameWeights(f.fleet, 2)
+	f.awaitWeights(2)
+	time.Sleep(2 * storeDowntime)
+	f.restore(kept, storeDowntime/8, nil)
 	named := time.Now()
-	name(f.fleet, 3)
-	f.haveWeights(3)
+	nameWeights(f.fleet, 3)
+	f.awaitWeights(3)
 	f.g.Expect(time.Since(named)).To(BeNumerically("<", 4*time.Second))
 }
 
@@ -70,33 +70,33 @@
 // they stood still or had no way to the store while it came back from a copy.
 func TestRoutersThatMissedTheReturnOfTheStoreCatchUp(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 6, nil)
+	f := newRestorableFleet(t, 6, nil)
 	kept := f.store.Copy()
-	f.grow(lostWrites)
-	time.Sleep(seenTime)
+	f.writeUnrelated(lostWrites)
+	time.Sleep(propagationTime)
 	cutOff := f.routers[3:]
-	f.restore(kept, storeAway/4, func() {
-		f.writeAgain(1)
-		f.grow(lostWrites + 5)
+	f.restore(kept, storeDowntime/4, func() {
+		f.rewriteEntries(1)
+		f.writeUnrelated(lostWrites + 5)
 	})
 	for _, r := range cutOff {
 		r.door.Set(storestand.Silent)
 	}
 	cutOff[0].clock.suspend(3 * time.Second)
 	changed := time.Now()
-	f.configure(2, added("fresh"), goodKey)
-	name(f.fleet, 2)
-	f.inForce(changed, "/fresh/x", "key-two")
-	f.haveWeights(2)
+	f.configure(2, routesWith("fresh"), goodKey)
+	nameWeights(f.fleet, 2)
+	f.awaitConfiguration(changed, "/fresh/x", "key-two")
+	f.awaitWeights(2)
 	f.store.Restore(f.store.Copy())
-	f.configure(3, added("fresh", "more"), goodKey, "key-two")
+	f.configure(3, routesWith("fresh", "more"), goodKey, "key-two")
 	for _, r := range f.routers {
-		f.g.Eventually(func() int { return r.call("/more/x", withKey("key-two")).status }, inForceTime, 5*time.Millisecond).Should(Equal(http.StatusOK))
+		f.g.Eventually(func() int { return r.call("/more/x", withKey("key-two")).status }, applyTimeout, 5*time.Millisecond).Should(Equal(http.StatusOK))
 	}
 }
 
 // orders counts the orders that the engines got.
-func (f *restorable) orders() (count int) {
+func (f *restorableFleet) orders() (count int) {
 	for _, engine := range f.engines {
 		count += len(engine.Orders())
 	}
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -16,111 +16,111 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// withLostRunner returns a fleet whose only plain runner joined after the copy was made, from
-// which the store has come back.
-func withLostRunner(t *testing.T) (*restorable, *runnerstand.Runner) {
-	f := newRestorable(t, 3, nil)
+// newFleetWithLostRunner returns a fleet whose only plain runner joined after the backup from which
+// the store was then restored.
+func newFleetWithLostRunner(t *testing.T) (*restorableFleet, *runnerstand.Runner) {
+	f := newRestorableFleet(t, 3, nil)
 	f.plain.Close()
 	f.store.Remove(platform.KindServers, f.plain.ID)
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	joined := f.runner("joined", "plain")
-	f.grow(lostWrites)
-	f.serves()
-	f.restore(kept, storeAway/4, nil)
-	f.inNewEra()
+	f.writeUnrelated(lostWrites)
+	f.awaitServing()
+	f.restore(backup, storeDowntime/4, nil)
+	f.awaitNewEra()
 	return f, joined
 }
 
-// answersNow checks how all routers answer a call for the plain runner now.
-func (f *restorable) answersNow(status int) {
+// expectStatus checks the status with which every router answers a call for the plain runner.
+func (f *restorableFleet) expectStatus(status int) {
 	f.t.Helper()
 	for i, r := range f.routers {
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(status), "router %d", i+1)
 	}
 }
 
-// droppedTime is within which runners are dropped that do not write their entries again.
-const droppedTime = 2500 * time.Millisecond
+// removalTime is the time within which runners that do not rewrite their entries are removed.
+const removalTime = 2500 * time.Millisecond
 
-// Guards against runners that get no requests since the copy, from which the store came back,
-// does not list them, until they have written their entries again.
-func TestRunnersThatACopyOfTheStoreLacksAreUsedOn(t *testing.T) {
+// Guards against runners that get no requests until they have rewritten their entries, because the
+// backup from which the store was restored lacks them.
+func TestRunnersMissingFromBackupStayInUse(t *testing.T) {
 	t.Parallel()
-	f, joined := withLostRunner(t)
-	f.answersNow(http.StatusOK)
+	f, joined := newFleetWithLostRunner(t)
+	f.expectStatus(http.StatusOK)
 	f.list(joined, "ready")
-	time.Sleep(droppedTime)
-	f.answersNow(http.StatusOK)
+	time.Sleep(removalTime)
+	f.expectStatus(http.StatusOK)
 }
 
-// Guards against runners that are used for good though their entries are neither in the copy,
-// from which the store came back, nor written again.
-func TestRunnersThatDoNotWriteTheirEntriesAgainAreDropped(t *testing.T) {
+// Guards against runners that are used forever although the backup from which the store was
+// restored lacks their entries and nobody rewrites them.
+func TestRunnersThatDoNotRewriteEntriesAreRemoved(t *testing.T) {
 	t.Parallel()
-	f, joined := withLostRunner(t)
-	time.Sleep(droppedTime)
-	ran := len(joined.Runs())
-	f.answersNow(http.StatusServiceUnavailable)
-	f.g.Expect(joined.Runs()).To(HaveLen(ran))
+	f, joined := newFleetWithLostRunner(t)
+	time.Sleep(removalTime)
+	runsBefore := len(joined.Runs())
+	f.expectStatus(http.StatusServiceUnavailable)
+	f.g.Expect(joined.Runs()).To(HaveLen(runsBefore))
 }
 
-// Guards against requests to runners that had said that they leave, or had left, before the
-// store came back from a copy that knows nothing of that.
-func TestRunnersThatLeftBeforeACopyOfTheStoreCameBackGetNoRequests(t *testing.T) {
+// Guards against requests to runners that had announced to leave, or had left, before the store was
+// restored from a backup made earlier.
+func TestDepartedRunnersGetNoRequestsAfterRestore(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 3, nil)
+	f := newRestorableFleet(t, 3, nil)
 	leaving, gone := f.runner("leaving", "plain"), f.runner("gone", "plain")
 	for _, r := range f.routers {
 		r.logs(`"runner":"leaving"`)
 		r.logs(`"runner":"gone"`)
 	}
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	f.list(leaving, "draining")
 	f.store.Remove(platform.KindServers, gone.ID)
-	f.grow(lostWrites)
+	f.writeUnrelated(lostWrites)
 	for _, r := range f.routers {
 		r.logs(`"draining":true`)
 		r.logs("runner removed")
 	}
-	ran := []int{len(leaving.Runs()), len(gone.Runs())}
+	runsBefore := []int{len(leaving.Runs()), len(gone.Runs())}
 	for range 2 {
-		f.restore(kept, storeAway/4, nil)
-		f.inNewEra()
+		f.restore(backup, storeDowntime/4, nil)
+		f.awaitNewEra()
 		for range 30 {
-			f.answersNow(http.StatusOK)
+			f.expectStatus(http.StatusOK)
 		}
-		f.g.Expect([]int{len(leaving.Runs()), len(gone.Runs())}).To(Equal(ran))
+		f.g.Expect([]int{len(leaving.Runs()), len(gone.Runs())}).To(Equal(runsBefore))
 	}
 
 	f.store.Put(platform.KindServers, gone.ID, gone.Entry("ready"))
 	f.g.Eventually(func() int {
 		f.routers[0].call("/safe/x", nil)
 		return len(gone.Runs())
-	}, inForceTime, 5*time.Millisecond).Should(BeNumerically(">", ran[1]), "a runner that writes its entry again lives")
+	}, applyTimeout, 5*time.Millisecond).Should(BeNumerically(">", runsBefore[1]), "a runner that rewrites its entry is used again")
 }
 
-// Guards against runs and streams that end, or loads that are ordered anew, as the copy from
-// which the store came back has older entries of the runners.
-func TestRunningWorkGoesOnWhileTheStoreComesBackFromACopy(t *testing.T) {
+// Guards against runs and streams that are ended, and loads that are ordered again, because the
+// backup from which the store was restored has older entries of the runners.
+func TestRunsAndStreamsContinueDuringRestore(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
-	name(f.fleet, 2)
-	f.haveWeights(2)
+	f := newRestorableFleet(t, 3, nil)
+	backup := f.store.Copy()
+	nameWeights(f.fleet, 2)
+	f.awaitWeights(2)
 	for _, engine := range f.engines {
 		f.list(engine, "ready")
 	}
-	f.grow(lostWrites)
-	time.Sleep(seenTime)
+	f.writeUnrelated(lostWrites)
+	time.Sleep(propagationTime)
 	orders := f.orders()
 	streams := make(chan answer, len(f.routers))
-	f.setDoors(storestand.Reset)
+	f.setStoreFault(storestand.Reset)
 	for _, r := range f.routers {
 		go func() { streams <- r.call("/stream/x", nil) }()
 	}
-	f.store.Restore(kept)
-	f.setDoors(storestand.Healthy)
-	f.inNewEra()
+	f.store.Restore(backup)
+	f.setStoreFault(storestand.Healthy)
+	f.awaitNewEra()
 	for range f.routers {
 		got := <-streams
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
@@ -131,20 +131,20 @@
 			f.g.Expect(r.call("/stream/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
-	f.g.Expect(f.orders()).To(Equal(orders), "orders given to runners")
+	f.g.Expect(f.orders()).To(Equal(orders), "orders sent to runners")
 	f.g.Expect(f.routers[0].log.String()).NotTo(ContainSubstring("runner started again"))
 }
 
-// Guards against runners that are used for good though they are gone, as a router that missed that
-// tells of them: its whole copy keeps what the first list of an era lacks.
-func TestRunnersThatAreGoneDoNotComeBackFromARouterThatMissedIt(t *testing.T) {
+// Guards against removed runners that are used forever because of a router that missed their
+// removal. Its full copy includes them, since it keeps what the first list of an era lacks.
+func TestRemovedRunnersAreNotAddedAgainByOutdatedRouter(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 1, nil)
-	gone, seed := f.runner("gone", "plain"), f.routers[0]
+	f := newRestorableFleet(t, 1, nil)
+	removed, seed := f.runner("gone", "plain"), f.routers[0]
 	seed.logs(`"runner":"gone"`)
 	bound := loopback.FreeAddress()
 	proxies := []*faultproxy.Proxy{f.proxyTo(seed.seeds[0]), f.proxyTo(bound)}
-	cut := func(mode faultproxy.Mode) {
+	setProxies := func(mode faultproxy.Mode) {
 		for _, proxy := range proxies {
 			proxy.Set(mode)
 		}
@@ -154,23 +154,23 @@
 	})
 	follower.logs(`"runner":"gone"`)
 	follower.door.Set(storestand.Reset)
-	cut(faultproxy.Reset)
-	f.store.Remove(platform.KindServers, gone.ID)
+	setProxies(faultproxy.Reset)
+	f.store.Remove(platform.KindServers, removed.ID)
 	seed.logs("runner removed")
 	f.store.Restore(f.store.Copy())
 	seed.logs(`"event":829`)
-	time.Sleep(listedTime)
+	time.Sleep(listingTime)
 	seed.door.Set(storestand.Throttled)
-	f.grow(3)
+	f.writeUnrelated(3)
 	follower.door.Set(storestand.Healthy)
 	follower.logs(`"missing":1`)
-	cut(faultproxy.Pass)
+	setProxies(faultproxy.Pass)
 
-	time.Sleep(droppedTime)
-	ran := len(gone.Runs())
+	time.Sleep(removalTime)
+	runsBefore := len(removed.Runs())
 	for range 30 {
 		f.g.Expect(seed.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(gone.Runs()).To(HaveLen(ran))
-	f.g.Expect(strings.Count(seed.log.String(), `"runner":"gone","service"`)).To(Equal(1), "times at which it was added")
+	f.g.Expect(removed.Runs()).To(HaveLen(runsBefore))
+	f.g.Expect(strings.Count(seed.log.String(), `"runner":"gone","service"`)).To(Equal(1), "times the runner was added")
 }
