--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -15,20 +15,21 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// learnedTime is within which a started router knows what the others know, as of a change.
-const learnedTime = inForceTime
+// learnTimeout is the time within which a started router must know what the others know, the same
+// as for a change.
+const learnTimeout = applyTimeout
 
-// forgetful is a fleet of two seeds and a follower whose store came back from a copy that lacks
-// a configuration, weights and the only plain runner, none of which is written again.
-type forgetful struct {
-	*restorable
+// restoredFleet is a fleet of two seeds and a follower whose store was restored from a backup. The
+// backup lacks a configuration, weights and the only plain runner, and nobody rewrites them.
+type restoredFleet struct {
+	*restorableFleet
 	seeds []string
 }
 
-func newForgetful(t *testing.T) *forgetful {
-	f := &forgetful{seeds: []string{loopback.FreeAddress(), loopback.FreeAddress()}}
+func newRestoredFleet(t *testing.T) *restoredFleet {
+	f := &restoredFleet{seeds: []string{loopback.FreeAddress(), loopback.FreeAddress()}}
 	count := 0
-	f.restorable = newRestorable(t, 3, func(settings *gateway.Settings) {
+	f.restorableFleet = newRestorableFleet(t, 3, func(settings *gateway.Settings) {
 		settings.Seeds = f.seeds
 		if count < len(f.seeds) {
 			settings.PeerAddress = f.seeds[count]
@@ -37,57 +38,57 @@
 	})
 	f.plain.Close()
 	f.store.Remove(platform.KindServers, f.plain.ID)
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	f.runner("joined", "plain")
-	f.configure(2, added("fresh"), goodKey)
-	name(f.fleet, 2)
-	f.haveWeights(2)
-	f.inForce(time.Now(), "/fresh/x", "key-two")
-	time.Sleep(seenTime)
-	f.restore(kept, storeAway/4, nil)
-	f.inNewEra()
+	f.configure(2, routesWith("fresh"), goodKey)
+	nameWeights(f.fleet, 2)
+	f.awaitWeights(2)
+	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
+	time.Sleep(propagationTime)
+	f.restore(backup, storeDowntime/4, nil)
+	f.awaitNewEra()
 	return f
 }
 
-// start starts a router at the address, with a store that is well.
-func (f *forgetful) start(address string, seeds []string) *router {
+// startRouter starts a router at the address, with access to the store.
+func (f *restoredFleet) startRouter(address string, seeds []string) *router {
 	return f.routerAt("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
 }
 
-// learns waits until the router knows what the copy lacks.
-func (f *forgetful) learns(r *router) {
+// awaitNewerState waits until the router knows what the backup lacks.
+func (f *restoredFleet) awaitNewerState(r *router) {
 	f.t.Helper()
-	f.g.Eventually(func() int { return r.call("/fresh/x", nil).status }, learnedTime, 5*time.Millisecond).Should(Equal(http.StatusOK), "the route and the runner that were added")
-	f.g.Expect(r.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized), "the key that was taken away")
-	f.g.Eventually(r.log.String, learnedTime, 5*time.Millisecond).Should(MatchRegexp(`"event":840.*"version":2`), "weights")
+	f.g.Eventually(func() int { return r.call("/fresh/x", nil).status }, learnTimeout, 5*time.Millisecond).Should(Equal(http.StatusOK), "the added route and runner")
+	f.g.Expect(r.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized), "the removed key")
+	f.g.Eventually(r.log.String, learnTimeout, 5*time.Millisecond).Should(MatchRegexp(`"event":840.*"version":2`), "weights")
 }
 
-// Guards against a router that goes by the copy, as it starts before the operator and the runners
-// have written again what the store lost: it served a key that had been taken away.
-func TestRouterThatStartsInANewEraLearnsWhatOthersKnow(t *testing.T) {
-	for name, started := range map[string]int{"a seed": 0, "a follower": 2} {
+// Guards against a router that starts before the operator and the runners have rewritten what the
+// store lost, and therefore uses the state of the backup. It accepted a key that had been removed.
+func TestRouterStartedInNewEraLearnsNewerState(t *testing.T) {
+	for name, index := range map[string]int{"a seed": 0, "a follower": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newForgetful(t)
-			f.routers[started].Kill()
+			f := newRestoredFleet(t)
+			f.routers[index].Kill()
 			address := loopback.FreeAddress()
-			if started < len(f.seeds) {
-				address = f.seeds[started]
+			if index < len(f.seeds) {
+				address = f.seeds[index]
 			}
-			again := f.start(address, f.seeds)
-			for begun := time.Now(); time.Since(begun) < learnedTime/4; {
-				f.g.Expect(again.call("/safe/x", withKey("key-two")).status).NotTo(Equal(http.StatusOK))
+			restarted := f.startRouter(address, f.seeds)
+			for startedAt := time.Now(); time.Since(startedAt) < learnTimeout/4; {
+				f.g.Expect(restarted.call("/safe/x", withKey("key-two")).status).NotTo(Equal(http.StatusOK))
 			}
-			f.learns(again)
+			f.awaitNewerState(restarted)
 		})
 	}
 }
 
-// Guards against a router that goes by the copy for good though the others, which were silent when
-// it started, answer soon after.
-func TestRouterThatStartsInANewEraLearnsFromSeedsThatAnswerLate(t *testing.T) {
+// Guards against a router that keeps using the state of the backup because the other routers were
+// silent when it started and answered only soon after.
+func TestRouterStartedInNewEraLearnsFromLateSeeds(t *testing.T) {
 	t.Parallel()
-	f := newForgetful(t)
+	f := newRestoredFleet(t)
 	var proxies []*faultproxy.Proxy
 	var seeds []string
 	for _, seed := range f.seeds {
@@ -95,52 +96,52 @@
 		proxy.Set(faultproxy.Reset)
 		proxies, seeds = append(proxies, proxy), append(seeds, proxy.Address)
 	}
-	again := f.start(loopback.FreeAddress(), seeds)
-	f.g.Eventually(again.isReady, learnedTime, 5*time.Millisecond).Should(BeTrue(), "it serves by what the store has")
+	restarted := f.startRouter(loopback.FreeAddress(), seeds)
+	f.g.Eventually(restarted.isReady, learnTimeout, 5*time.Millisecond).Should(BeTrue(), "it serves the state of the store")
 	for _, proxy := range proxies {
 		proxy.Set(faultproxy.Pass)
 	}
-	f.learns(again)
+	f.awaitNewerState(restarted)
 }
 
-// Guards against seeds that start together, take each other's copies of the store's list for what
-// all know, and go by them.
-func TestSeedsThatStartTogetherInANewEraLearnFromTheirFollower(t *testing.T) {
+// Guards against seeds that start together and accept each other's copies of the restored state as
+// the newest.
+func TestSeedsStartedTogetherInNewEraLearnFromFollower(t *testing.T) {
 	t.Parallel()
-	f := newForgetful(t)
-	var again []*router
+	f := newRestoredFleet(t)
+	var restarted []*router
 	for i := range f.seeds {
 		f.routers[i].Kill()
 	}
 	for _, seed := range f.seeds {
-		again = append(again, f.start(seed, f.seeds))
+		restarted = append(restarted, f.startRouter(seed, f.seeds))
 	}
-	for _, r := range again {
-		f.learns(r)
+	for _, r := range restarted {
+		f.awaitNewerState(r)
 	}
 }
 
-// Guards against questions of a state transfer that keep a silent connection between routers open for
-// as long as a whole copy may take: a follower knew nothing new for 2 s and more.
-func TestStateTransferDoesNotHoldTheLossOfAConnectionUp(t *testing.T) {
+// Guards against pulls of a state transfer that keep a silent connection between routers open for
+// as long as a full copy may take. A follower learned nothing new for more than 2 s.
+func TestStateTransferDoesNotDelayConnectionReplacement(t *testing.T) {
 	t.Parallel()
-	f := &restorable{fleet: newFleet(t)}
+	f := &restorableFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
 	f.plain = f.runner("p1", "plain")
 	f.store.Restore(f.store.Copy())
 	seed := loopback.FreeAddress()
 	proxy := f.proxyTo(seed)
-	// Nobody knows more than the store, so that both ask for a transfer for as long as they may.
+	// No router knows more than the store, so both retry the transfer until its timeout.
 	f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seed, []string{seed} })
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), []string{proxy.Address}
 	})
-	time.Sleep(2 * seenTime)
-	found := func() int { return strings.Count(follower.log.String(), `"store":false`) }
+	time.Sleep(2 * propagationTime)
+	countSeedFound := func() int { return strings.Count(follower.log.String(), `"store":false`) }
 	for range 4 {
-		before := found()
+		before := countSeedFound()
 		proxy.Set(faultproxy.Mute)
 		proxy.Set(faultproxy.Pass)
-		f.g.Eventually(found, seenTime, 5*time.Millisecond).Should(BeNumerically(">", before), "its seed is found again")
+		f.g.Eventually(countSeedFound, propagationTime, 5*time.Millisecond).Should(BeNumerically(">", before), "the seed answers again")
 	}
 }
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -16,38 +16,38 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Times of a store that comes back from a copy.
+// Parameters of a store restore.
 const (
-	// storeAway is how long the store is away meanwhile.
-	storeAway = 1200 * time.Millisecond
-	// seenTime is within which routers know of the newest revision.
-	seenTime = 1200 * time.Millisecond
-	// inForceTime is within which a change has to be in force once the store took it.
-	inForceTime = 2 * time.Second
-	// weightsTime is within which runners have to have named weights.
-	weightsTime = 6 * time.Second
-	// lostWrites is how many writes the copy lacks.
+	// storeDowntime is how long the store is down during a restore.
+	storeDowntime = 1200 * time.Millisecond
+	// propagationTime is the time within which routers know the newest revision.
+	propagationTime = 1200 * time.Millisecond
+	// applyTimeout is the time within which a change accepted by the store must take effect.
+	applyTimeout = 2 * time.Second
+	// weightUpdateTimeout is the time within which runners must have newly named weights.
+	weightUpdateTimeout = 6 * time.Second
+	// lostWrites is the number of writes that the backup lacks.
 	lostWrites = 130
-	// laterKind holds objects that nobody reads: they only raise the revision.
-	laterKind = "later"
+	// unrelatedKind is a kind of objects that no router reads. They only increase the revision.
+	unrelatedKind = "later"
 )
 
-// restorable is a fleet whose store can come back from a copy.
-type restorable struct {
+// restorableFleet is a fleet whose store can be restored from a backup.
+type restorableFleet struct {
 	*fleet
 	routers []*router
 	engines []*runnerstand.Runner
 	plain   *runnerstand.Runner
 }
 
-func newRestorable(t *testing.T, routers int, adjust func(*gateway.Settings)) *restorable {
-	f := &restorable{fleet: newFleet(t)}
+func newRestorableFleet(t *testing.T, routers int, adjust func(*gateway.Settings)) *restorableFleet {
+	f := &restorableFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey, "key-two")
 	for i := range 3 {
 		f.engines = append(f.engines, f.engine(fmt.Sprintf("e%d", i+1), 1))
 	}
 	f.plain = f.runner("p1", "plain")
-	name(f.fleet, 1)
+	nameWeights(f.fleet, 1)
 	seeds := []string{loopback.FreeAddress()}
 	for i := range routers {
 		f.routers = append(f.routers, f.servingRouter(fmt.Sprintf("r%d", i+1), func(settings *gateway.Settings) {
@@ -63,77 +63,77 @@
 	return f
 }
 
-// setDoors changes how the store treats the calls of all routers.
-func (f *restorable) setDoors(fault storestand.Fault) {
+// setStoreFault sets how the store treats the calls of all routers.
+func (f *restorableFleet) setStoreFault(fault storestand.Fault) {
 	for _, r := range f.routers {
 		r.door.Set(fault)
 	}
 }
 
-// restore has the store go away for the time and come back from the copy; between both the
-// function may write.
-func (f *restorable) restore(kept storestand.Copy, away time.Duration, between func()) {
-	f.setDoors(storestand.Reset)
-	time.Sleep(away)
-	f.store.Restore(kept)
-	if between != nil {
-		between()
+// restore takes the store down for the downtime and restores it from the backup. It calls
+// afterRestore, if not nil, before the store is available again.
+func (f *restorableFleet) restore(backup storestand.Copy, downtime time.Duration, afterRestore func()) {
+	f.setStoreFault(storestand.Reset)
+	time.Sleep(downtime)
+	f.store.Restore(backup)
+	if afterRestore != nil {
+		afterRestore()
 	}
-	f.setDoors(storestand.Healthy)
+	f.setStoreFault(storestand.Healthy)
 }
 
-// listedTime is within which a router has listed all kinds once it knows of a new era.
-const listedTime = 700 * time.Millisecond
+// listingTime is the time within which a router that knows of a new era has listed all kinds.
+const listingTime = 700 * time.Millisecond
 
-// inNewEra waits until all routers have listed what the store has in the new era.
-func (f *restorable) inNewEra() {
+// awaitNewEra waits until all routers have listed the objects of the new era.
+func (f *restorableFleet) awaitNewEra() {
 	f.t.Helper()
 	for _, r := range f.routers {
-		f.g.Eventually(r.log.String, inForceTime, 5*time.Millisecond).Should(ContainSubstring(`"event":829`))
+		f.g.Eventually(r.log.String, applyTimeout, 5*time.Millisecond).Should(ContainSubstring(`"event":829`))
 	}
-	time.Sleep(listedTime)
+	time.Sleep(listingTime)
 }
 
-// grow raises the store's revision.
-func (f *fleet) grow(writes int) {
+// writeUnrelated increases the store's revision by the number of writes.
+func (f *fleet) writeUnrelated(writes int) {
 	for i := range writes {
-		f.store.Put(laterKind, "object", i)
+		f.store.Put(unrelatedKind, "object", i)
 	}
 }
 
-// writeAgain writes what the runners and the operator had written.
-func (f *restorable) writeAgain(weights uint64) {
-	name(f.fleet, weights)
+// rewriteEntries writes again what the runners and the operator had written.
+func (f *restorableFleet) rewriteEntries(weights uint64) {
+	nameWeights(f.fleet, weights)
 	for _, runner := range append(f.engines[:len(f.engines):len(f.engines)], f.plain) {
 		f.list(runner, "ready")
 	}
 }
 
-// haveWeights waits until all engines have the version of the weights.
-func (f *restorable) haveWeights(version uint64) {
+// awaitWeights waits until all engines have the version of the weights.
+func (f *restorableFleet) awaitWeights(version uint64) {
 	f.t.Helper()
 	for _, engine := range f.engines {
-		f.g.Eventually(engine.Version, weightsTime, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
+		f.g.Eventually(engine.Version, weightUpdateTimeout, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
 	}
 }
 
-// inForce waits until all routers serve the added route, refuse the key that was taken away
-// and are ready.
-func (f *restorable) inForce(since time.Time, path, lost string) {
+// awaitConfiguration waits until all routers are ready, serve the added route and reject the
+// removed key.
+func (f *restorableFleet) awaitConfiguration(since time.Time, path, removedKey string) {
 	f.t.Helper()
 	for i, r := range f.routers {
-		f.g.Eventually(func() int { return r.call(path, nil).status }, inForceTime, 5*time.Millisecond).Should(Equal(http.StatusOK), "route %s at router %d", path, i+1)
-		f.g.Expect(r.call("/safe/x", withKey(lost)).status).To(Equal(http.StatusUnauthorized), "key %s at router %d", lost, i+1)
+		f.g.Eventually(func() int { return r.call(path, nil).status }, applyTimeout, 5*time.Millisecond).Should(Equal(http.StatusOK), "route %s at router %d", path, i+1)
+		f.g.Expect(r.call("/safe/x", withKey(removedKey)).status).To(Equal(http.StatusUnauthorized), "key %s at router %d", removedKey, i+1)
 		f.g.Expect(r.isReady()).To(BeTrue(), "router %d", i+1)
 	}
-	f.g.Expect(time.Since(since)).To(BeNumerically("<", inForceTime))
+	f.g.Expect(time.Since(since)).To(BeNumerically("<", applyTimeout))
 }
 
-// serves waits until all routers serve calls with a key.
-func (f *restorable) serves() {
+// awaitServing waits until all routers serve calls with a key.
+func (f *restorableFleet) awaitServing() {
 	f.t.Helper()
 	for i, r := range f.routers {
-		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, inForceTime, 5*time.Millisecond).Should(Equal(http.StatusOK), "router %d", i+1)
+		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, applyTimeout, 5*time.Millisecond).Should(Equal(http.StatusOK), "router %d", i+1)
 	}
 }
 
@@ -141,8 +141,8 @@
 	return func(request *http.Request) { request.Header.Set("Authorization", "Bearer "+key) }
 }
 
-// added is the default routes with one more for each of the names.
-func added(names ...string) []map[string]any {
+// routesWith returns the default routes and one more for each of the names.
+func routesWith(names ...string) []map[string]any {
 	routes := defaultRoutes()
 	for _, name := range names {
 		routes = append(routes, route(name, "/"+name+"/", "safe", "plain", nil))
@@ -150,88 +150,88 @@
 	return routes
 }
 
-// Guards against changes that are never in force, and weights that runners never take, since
-// the store gave out revisions again that routers had seen before it came back from a copy.
-func TestChangesAreInForceAfterTheStoreCameBackFromACopy(t *testing.T) {
-	returns := map[string]func(f *restorable, lost uint64){
-		"below the known revision": func(f *restorable, lost uint64) { f.writeAgain(2) },
-		"at the known revision": func(f *restorable, lost uint64) {
-			f.writeAgain(2)
-			f.grow(int(lost - f.store.Revision()))
+// Guards against changes that never take effect, and weights that runners never load, because the
+// restored store assigned revisions again that routers had seen before.
+func TestChangesTakeEffectAfterRestore(t *testing.T) {
+	afterRestores := map[string]func(f *restorableFleet, lostRevision uint64){
+		"below the known revision": func(f *restorableFleet, lostRevision uint64) { f.rewriteEntries(2) },
+		"at the known revision": func(f *restorableFleet, lostRevision uint64) {
+			f.rewriteEntries(2)
+			f.writeUnrelated(int(lostRevision - f.store.Revision()))
 		},
-		"past the known revision": func(f *restorable, lost uint64) {
-			f.writeAgain(2)
-			f.grow(lostWrites + 20)
+		"above the known revision": func(f *restorableFleet, lostRevision uint64) {
+			f.rewriteEntries(2)
+			f.writeUnrelated(lostWrites + 20)
 		},
 	}
-	for how, back := range returns {
+	for name, afterRestore := range afterRestores {
 		for _, routers := range []int{1, 3, 6} {
-			t.Run(fmt.Sprintf("%s, %d routers", how, routers), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d routers", name, routers), func(t *testing.T) {
 				t.Parallel()
-				f := newRestorable(t, routers, nil)
-				kept := f.store.Copy()
-				name(f.fleet, 2)
-				f.haveWeights(2)
-				f.grow(lostWrites)
-				time.Sleep(seenTime)
-				lost := f.store.Revision()
-				f.restore(kept, storeAway, func() { back(f, lost) })
-				f.serves()
+				f := newRestorableFleet(t, routers, nil)
+				backup := f.store.Copy()
+				nameWeights(f.fleet, 2)
+				f.awaitWeights(2)
+				f.writeUnrelated(lostWrites)
+				time.Sleep(propagationTime)
+				lostRevision := f.store.Revision()
+				f.restore(backup, storeDowntime, func() { afterRestore(f, lostRevision) })
+				f.awaitServing()
 
 				changed := time.Now()
-				f.configure(2, added("fresh"), goodKey)
-				name(f.fleet, 3)
-				f.inForce(changed, "/fresh/x", "key-two")
-				f.haveWeights(3)
+				f.configure(2, routesWith("fresh"), goodKey)
+				nameWeights(f.fleet, 3)
+				f.awaitConfiguration(changed, "/fresh/x", "key-two")
+				f.awaitWeights(3)
 			})
 		}
 	}
 }
 
-// Guards against changes that are passed over for good as they were given revisions that
-// routers had seen already, and are older than what the store has when these ask again.
-func TestChangesWithRevisionsGivenOutAgainAreInForce(t *testing.T) {
+// Guards against changes that are ignored forever because they received revisions that routers had
+// already seen, and because the store is past these revisions when the routers read it again.
+func TestChangesWithReusedRevisionsTakeEffect(t *testing.T) {
 	for _, routers := range []int{1, 3, 6} {
 		t.Run(fmt.Sprintf("%d routers", routers), func(t *testing.T) {
 			t.Parallel()
-			f := newRestorable(t, routers, nil)
-			kept := f.store.Copy()
-			f.grow(lostWrites)
-			time.Sleep(seenTime)
+			f := newRestorableFleet(t, routers, nil)
+			backup := f.store.Copy()
+			f.writeUnrelated(lostWrites)
+			time.Sleep(propagationTime)
 			var changed time.Time
 			var joined *runnerstand.Runner
-			f.restore(kept, storeAway, func() {
-				f.writeAgain(1)
+			f.restore(backup, storeDowntime, func() {
+				f.rewriteEntries(1)
 				changed = time.Now()
-				f.configure(2, added("fresh"), goodKey)
-				name(f.fleet, 2)
+				f.configure(2, routesWith("fresh"), goodKey)
+				nameWeights(f.fleet, 2)
 				joined = f.runner("p2", "plain")
-				f.grow(lostWrites)
+				f.writeUnrelated(lostWrites)
 			})
-			f.inForce(changed, "/fresh/x", "key-two")
-			f.haveWeights(2)
+			f.awaitConfiguration(changed, "/fresh/x", "key-two")
+			f.awaitWeights(2)
 			f.plain.Close()
 			f.store.Remove(platform.KindServers, f.plain.ID)
-			f.serves()
-			f.g.Expect(joined.Runs()).NotTo(BeEmpty(), "the runner that joined is known")
+			f.awaitServing()
+			f.g.Expect(joined.Runs()).NotTo(BeEmpty(), "the added runner gets requests")
 		})
 	}
 }
 
-// Guards against callers that are refused, or served by keys and weights that were replaced,
-// from when the store goes away until all that it lost has been written again.
-func TestCallersAreServedWhileTheStoreComesBackFromACopy(t *testing.T) {
+// Guards against callers that are rejected, or served under replaced keys and weights, from the
+// loss of the store until everything that it lost has been rewritten.
+func TestCallersAreServedDuringStoreRestore(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
-	f.configure(2, added("fresh"), goodKey)
-	name(f.fleet, 2)
-	f.haveWeights(2)
-	f.inForce(time.Now(), "/fresh/x", "key-two")
-	f.grow(lostWrites)
-	time.Sleep(seenTime)
+	f := newRestorableFleet(t, 3, nil)
+	backup := f.store.Copy()
+	f.configure(2, routesWith("fresh"), goodKey)
+	nameWeights(f.fleet, 2)
+	f.awaitWeights(2)
+	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
+	f.writeUnrelated(lostWrites)
+	time.Sleep(propagationTime)
 
-	var served, refused, denied atomic.Int64
+	var served, rejected, acceptedRemovedKey atomic.Int64
 	done := make(chan struct{})
 	for _, r := range f.routers {
 		go func() {
@@ -244,47 +244,47 @@
 				if r.call("/fresh/x", nil).status == http.StatusOK {
 					served.Add(1)
 				} else {
-					refused.Add(1)
+					rejected.Add(1)
 				}
 				if r.call("/safe/x", withKey("key-two")).status != http.StatusUnauthorized {
-					denied.Add(1)
+					acceptedRemovedKey.Add(1)
 				}
 			}
 		}()
 	}
-	f.restore(kept, storeAway, nil)
-	time.Sleep(2 * storeAway)
-	fresh := f.servingRouter("late", func(settings *gateway.Settings) {
+	f.restore(backup, storeDowntime, nil)
+	time.Sleep(2 * storeDowntime)
+	started := f.servingRouter("late", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), f.routers[0].seeds
 	})
-	f.g.Expect(fresh.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized), "a router that starts now learns the newest configuration of the others")
-	f.configure(2, added("fresh"), goodKey)
-	f.writeAgain(2)
-	time.Sleep(storeAway)
+	f.g.Expect(started.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized), "a router that starts now receives the newest configuration from the others")
+	f.configure(2, routesWith("fresh"), goodKey)
+	f.rewriteEntries(2)
+	time.Sleep(storeDowntime)
 	close(done)
 	f.g.Expect(served.Load()).To(BeNumerically(">", 100))
-	f.g.Expect(refused.Load()).To(BeZero())
-	f.g.Expect(denied.Load()).To(BeZero(), "calls with the key that was taken away")
+	f.g.Expect(rejected.Load()).To(BeZero())
+	f.g.Expect(acceptedRemovedKey.Load()).To(BeZero(), "calls accepted with the removed key")
 	for _, engine := range f.engines {
 		f.g.Expect(engine.Version()).To(Equal(uint64(2)))
 	}
 }
 
-// Guards against the second return of a series that is taken for the first one.
-func TestChangesAreInForceAfterTwoReturnsInARow(t *testing.T) {
+// Guards against a second restore that is mistaken for the first one.
+func TestChangesTakeEffectAfterTwoRestores(t *testing.T) {
 	t.Parallel()
-	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
-	f.grow(lostWrites)
-	time.Sleep(seenTime)
+	f := newRestorableFleet(t, 3, nil)
+	backup := f.store.Copy()
+	f.writeUnrelated(lostWrites)
+	time.Sleep(propagationTime)
 	for range 2 {
-		f.restore(kept, storeAway/4, func() { f.writeAgain(1) })
-		time.Sleep(storeAway / 2)
+		f.restore(backup, storeDowntime/4, func() { f.rewriteEntries(1) })
+		time.Sleep(storeDowntime / 2)
 	}
-	f.serves()
+	f.awaitServing()
 	changed := time.Now()
-	f.configure(2, added("fresh"), goodKey)
-	name(f.fleet, 2)
-	f.inForce(changed, "/fresh/x", "key-two")
-	f.haveWeights(2)
+	f.configure(2, routesWith("fresh"), goodKey)
+	nameWeights(f.fleet, 2)
+	f.awaitConfiguration(changed, "/fresh/x", "key-two")
+	f.awaitWeights(2)
 }
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -65,7 +65,7 @@
 		f.routers = append(f.routers, f.servingRouter(fmt.Sprintf("seed-%d", i), f.asSeed(address)))
 	}
 	for i := range followers {
-		f.routers = append(f.routers, f.servingRouter(fmt.Sprintf("follower-%d", i), f.asFollower(f.seeds)))
+		f.routers = append(f.routers, f.servingRouter(fmt.Sprintf("follower-%d", i), f.followerSettings(f.seeds)))
 	}
 	for _, r := range f.routers {
 		for _, engine := range f.engines {
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -59,7 +59,7 @@
 	toSeed, err := faultproxy.Start(seed.seeds[0])
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(toSeed.Close)
-	r := f.servingRouter("r1", f.asFollower([]string{toSeed.Address}))
+	r := f.servingRouter("r1", f.followerSettings([]string{toSeed.Address}))
 	warned := func() bool { return strings.Contains(r.log.String(), "connection to another router was lost") }
 	for round := 0; round < rounds && !warned(); round++ {
 		time.Sleep(5 * time.Second) // a younger connection tells of a slow router
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -124,7 +124,7 @@
 		return c.notAnswered(err)
 	}
 	defer response.Body.Close()
-	answer := c.gateway.ports.Protocol.Answer(response.Status, response.Header)
+	answer := c.gateway.ports.Protocol.ParseResponse(response.Status, response.Header)
 	c.answering, c.rest = answer.WeightVersion, answer.Signals.Backoff
 	c.hear(answer, response.Status)
 	news := c.learnVersion(answer.WeightVersion)
@@ -141,7 +141,7 @@
 	case !answer.Stamped || answer.Encoded:
 		return c.spoilt(quarantine.Indeterminate, "not a runner's answer")
 	case c.route.Kind == routing.Streaming && isSuccess(response.Status):
-		return c.relay(response)
+		return c.streamResponse(response)
 	case c.stream != nil:
 		// The head of the first runner stands; a failure cannot follow it.
 		return c.spoilt(quarantine.Indeterminate, "failure instead of the rest of a stream")
@@ -169,8 +169,8 @@
 	protocol, id := c.gateway.ports.Protocol, c.facts.ID
 	return &httpconn.Request{
 		Method: c.caller.Method, Target: target(c.caller), Host: c.caller.Host,
-		Header: protocol.Forward(c.caller.Header, dispatch), Body: c.body,
-		MatchesResponse: func(header http.Header) bool { return protocol.Answer(0, header).RequestID == id },
+		Header: protocol.ForwardHeaders(c.caller.Header, dispatch), Body: c.body,
+		MatchesResponse: func(header http.Header) bool { return protocol.ParseResponse(0, header).RequestID == id },
 		Confirm:         c.mayBegin,
 	}
 }
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -25,7 +25,7 @@
 // sharingGateway is a router without others that knows the runners and the tenants.
 func sharingGateway(tenants ...string) *Gateway {
 	g := &Gateway{ports: Ports{Clock: clock.New()}, runners: backend.NewSet("z"), random: rand.New(rand.NewPCG(1, 2))}
-	g.relays = &relays{gateway: g}
+	g.relays = &peerRouters{gateway: g}
 	g.settings.Zone = "z"
 	g.metrics = newMetrics(g)
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -43,7 +43,7 @@
 }
 
 // hear takes what the runner says of itself in the head of an answer.
-func (c *call) hear(answer AnswerFacts, status int) {
+func (c *call) hear(answer ResponseInfo, status int) {
 	g, now := c.gateway, c.gateway.now()
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
--- a/internal/gateway/silentholder_test.go
+++ b/internal/gateway/silentholder_test.go
@@ -19,7 +19,7 @@
 	runner.LeaveOrders()
 	gap := func(settings *gateway.Settings) { settings.LeaseGap = 3 * time.Second }
 	routers := map[string]*router{"r1": f.servingRouter("r1", gap), "r2": f.servingRouter("r2", gap)}
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(runner.Orders, 3*time.Second, 10*time.Millisecond).ShouldNot(BeEmpty())
 	first := runner.Orders()[0].Holder
 	time.Sleep(800 * time.Millisecond)
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -30,7 +30,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	name(f, 1)
+	nameWeights(f, 1)
 	held, store := holdingStore(f, platform.KindVersions)
 	held.Store(false)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = store })
@@ -51,7 +51,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	name(f, 1)
+	nameWeights(f, 1)
 	seedAt := loopback.FreeAddress()
 	f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = seedAt, []string{seedAt}
@@ -82,10 +82,10 @@
 
 // nameTwo names two versions and returns when the first was named.
 func (f *fleet) nameTwo() time.Time {
-	name(f, 2)
+	nameWeights(f, 2)
 	named := time.Now()
 	time.Sleep(skippedGap)
-	name(f, 3)
+	nameWeights(f, 3)
 	time.Sleep(blindAfter)
 	return named
 }
@@ -107,12 +107,12 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	name(f, 1)
+	nameWeights(f, 1)
 	seedAt := loopback.FreeAddress()
 	f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = seedAt, []string{seedAt}
 	})
 	time.Sleep(time.Second)
 	named := f.nameTwo()
-	f.expiresInTime(f.servingRouter("started", f.asFollower([]string{seedAt})), named)
+	f.expiresInTime(f.servingRouter("started", f.followerSettings([]string{seedAt})), named)
 }
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// transferWait is how long the first lists of a router that starts in a later era are held
-	// back for another router's answer.
-	transferWait = 100 * time.Millisecond
-	// transferFirstRetry and transferLastRetry bound the pause before others are asked again.
-	transferFirstRetry = 20 * time.Millisecond
-	transferLastRetry  = 500 * time.Millisecond
-	// transferTime is how long others are asked: by then all is written again that the store
-	// lost.
-	transferTime = 10 * time.Second
+	// transferListDelay is the maximum time that the first lists of a router that starts in a later
+	// era wait for the answer of another router.
+	transferListDelay = 100 * time.Millisecond
+	// minTransferRetryDelay and maxTransferRetryDelay bound the delay between two attempts.
+	minTransferRetryDelay = 20 * time.Millisecond
+	maxTransferRetryDelay = 500 * time.Millisecond
+	// transferTimeout is when the attempts end. By then everything that the store lost has been
+	// rewritten.
+	transferTimeout = 10 * time.Second
 )
 
-// stateTransfer has other routers tell what they know beyond a store that came back from a copy
-// before this router started. What that store lists may be older, at revisions that the others
-// have too, so that no delta tells it.
+// stateTransfer pulls the copies of other routers if the store was restored from a backup before
+// this router started. The store may then list older states at revisions that the other routers
+// have too, so a delta would not include the newer states.
 type stateTransfer struct {
 	gateway *Gateway
 	once    sync.Once
-	// running is true while this router may know nothing but what such a store lists.
+	// running is true while this router may know no more than the restored store lists.
 	running atomic.Bool
-	// over is closed when a transfer has succeeded, is given up or is not needed.
-	over chan struct{}
+	// done is closed when a transfer has succeeded, was abandoned or is not needed.
+	done chan struct{}
 }
 
 func newStateTransfer(g *Gateway) *stateTransfer {
-	return &stateTransfer{gateway: g, over: make(chan struct{})}
+	return &stateTransfer{gateway: g, done: make(chan struct{})}
 }
 
-// begin asks for a transfer if this router does not have copies of all kinds yet.
-func (t *stateTransfer) begin() {
+// start starts a transfer unless this router already has copies of all kinds.
+func (t *stateTransfer) start() {
 	t.once.Do(func() {
-		if t.gateway.relays.transport == nil || t.gateway.copies.complete() {
-			close(t.over)
+		if t.gateway.relays.transport == nil || t.gateway.copies.hasAllKinds() {
+			close(t.done)
 			return
 		}
 		t.running.Store(true)
@@ -53,16 +53,16 @@
 	})
 }
 
-// await holds a list of the era back for a transfer, if one is needed.
+// await delays a list of the given era until the transfer is done, if one is needed.
 func (t *stateTransfer) await(era uint64) {
 	if era == storerev.FirstEra {
 		return
 	}
-	t.begin()
-	timer := time.NewTimer(transferWait)
+	t.start()
+	timer := time.NewTimer(transferListDelay)
 	defer timer.Stop()
 	select {
-	case <-t.over:
+	case <-t.done:
 	case <-timer.C:
 	case <-t.gateway.ctx.Done():
 	}
@@ -72,21 +72,22 @@
 	g := t.gateway
 	defer func() {
 		t.running.Store(false)
-		close(t.over)
+		close(t.done)
 	}()
-	began := g.now()
-	for attempt := 0; g.since(began) < transferTime; attempt++ {
-		if t.askAny(g.relays.transferSources(), attempt > 0) || !g.backOff(attempt, transferFirstRetry, transferLastRetry) {
+	startedAt := g.now()
+	for attempt := 0; g.since(startedAt) < transferTimeout; attempt++ {
+		if t.pullFromAny(g.relays.transferSources(), attempt > 0) || !g.backOff(attempt, minTransferRetryDelay, maxTransferRetryDelay) {
 			return
 		}
 	}
 }
 
-// askAny asks the routers at once and tells whether one has transferred its copies.
-func (t *stateTransfer) askAny(addresses []string, again bool) bool {
+// pullFromAny pulls from all routers concurrently and reports whether one of them has transferred
+// its copies.
+func (t *stateTransfer) pullFromAny(addresses []string, retry bool) bool {
 	answers := make(chan bool, len(addresses))
 	for _, address := range addresses {
-		t.gateway.spawn(func() { answers <- t.ask(address, again) })
+		t.gateway.spawn(func() { answers <- t.pullFrom(address, retry) })
 	}
 	for range addresses {
 		if <-answers {
@@ -96,52 +97,52 @@
 	return false
 }
 
-// ask asks one router and takes its copies. Whole copies may take long, and a call that may take
-// long keeps a silent connection from being replaced: from the second time on they are asked of
-// routers only that have just said that they have any.
-func (t *stateTransfer) ask(address string, again bool) bool {
-	g, patience := t.gateway, pullTime
-	if again {
-		if !knows(t.call(address, pullTime, nil)) {
+// pullFrom pulls from one router and merges its copies. Full copies need a long timeout, and a call
+// with a long timeout delays the replacement of a silent connection. On retries they are therefore
+// requested only from a router that has just reported having copies.
+func (t *stateTransfer) pullFrom(address string, retry bool) bool {
+	g, timeout := t.gateway, pullTimeout
+	if retry {
+		if !canTransfer(t.sendPull(address, pullTimeout, nil)) {
 			return false
 		}
-		patience = directoryTime
+		timeout = directoryPullTimeout
 	}
-	answer := t.call(address, patience, objectKinds)
-	if !knows(answer) {
+	answer := t.sendPull(address, timeout, objectKinds)
+	if !canTransfer(answer) {
 		return false
 	}
-	deltas, readable := g.relays.unpack(answer.GetDeltas())
-	joined := 0
+	deltas, ok := g.relays.unpackDeltas(answer.GetDeltas())
+	merged := 0
 	for _, d := range deltas {
-		joined += g.copies.inherit(d.kind, d.delta)
+		merged += g.copies.mergeTransferred(d.kind, d.delta)
 	}
-	g.log.Log(events.StateTransferred, events.Fields{"router": address, "era": g.era.newest(), "objects": joined})
-	return readable
+	g.log.Log(events.StateTransferred, events.Fields{"router": address, "era": g.era.newest(), "objects": merged})
+	return ok
 }
 
-// knows tells whether the answer is of a router that knows more than the store may.
-func knows(answer *wire.CopyAnswer) bool { return answer.GetProven() && !answer.GetStoreOnly() }
+// canTransfer reports whether the answer is from a router that may know more than the store.
+func canTransfer(answer *wire.CopyAnswer) bool { return answer.GetProven() && !answer.GetStoreOnly() }
 
-// call asks a router for whole copies of the kinds and returns its answer, or nil.
-func (t *stateTransfer) call(address string, patience time.Duration, kinds []ObjectKind) *wire.CopyAnswer {
-	relays := t.gateway.relays
-	ctx, cancel := context.WithTimeout(t.gateway.ctx, patience)
+// sendPull requests full copies of the kinds from a router and returns its answer, or nil.
+func (t *stateTransfer) sendPull(address string, timeout time.Duration, kinds []ObjectKind) *wire.CopyAnswer {
+	peers := t.gateway.relays
+	ctx, cancel := context.WithTimeout(t.gateway.ctx, timeout)
 	defer cancel()
-	request := relays.newPull(address)
+	request := peers.newPull(address)
 	request.StateTransfer = true
 	for _, kind := range kinds {
 		request.Have = append(request.Have, &wire.CopyRevision{Kind: uint32(kind)})
 	}
-	reply, err := relays.transport.Call(ctx, "", address, &wire.Envelope{Body: &wire.Envelope_CopyPull{CopyPull: request}})
+	reply, err := peers.transport.Call(ctx, "", address, &wire.Envelope{Body: &wire.Envelope_CopyPull{CopyPull: request}})
 	if err != nil {
-		// The next attempt asks again.
+		// The next attempt pulls again.
 		return nil
 	}
 	return reply.GetCopyAnswer()
 }
 
-// answer returns this router's copies.
+// answer returns this router's full copies of the requested kinds.
 func (t *stateTransfer) answer(pull *wire.CopyPull) *wire.CopyAnswer {
 	g := t.gateway
 	current := g.view.Load()
@@ -152,54 +153,54 @@
 	answer.ProofAgeMillis = wire.AgeMillis(g.since(current.provenAt))
 	for _, have := range pull.GetHave() {
 		if kind := ObjectKind(have.GetKind()); int(kind) < len(objectKinds) {
-			answer.Deltas = append(answer.Deltas, g.relays.changes(kind, 0))
+			answer.Deltas = append(answer.Deltas, g.relays.packedChanges(kind, 0))
 		}
 	}
 	return answer
 }
 
-// inherit takes the whole copy of another router and returns how many objects are newer there
-// than the store lists them.
-func (c *copies) inherit(kind ObjectKind, whole config.Delta) int {
-	c.apply(kind, whole, proof{})
+// mergeTransferred merges the full copy of another router and returns the number of objects whose
+// state there is newer than the one that the store lists.
+func (c *copies) mergeTransferred(kind ObjectKind, full config.Delta) int {
+	c.apply(kind, full, proof{})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	newer := c.newerThanListed(kind, whole)
+	newer := c.newerThanListed(kind, full)
 	if len(newer) == 0 {
 		return 0
 	}
 	store := c.stores[kind]
 	store.Replace(newer)
-	c.gateway.relays.forgetPacked()
+	c.gateway.relays.clearPackedDeltas()
 	for _, object := range newer {
-		c.gateway.putObjectInForce(kind, object)
+		c.gateway.applyObject(kind, object)
 	}
-	c.settleLater(kind, config.Delta{Through: store.Revision(), Full: true, Objects: newer})
+	c.scheduleGracePeriods(kind, config.Delta{Through: store.Revision(), Full: true, Objects: newer})
 	return len(newer)
 }
 
-// newerThanListed returns the objects of another router's copy that are newer than this copy's,
-// at the revisions that this one has them, and those of earlier eras that it lacks. The mutex is
-// held.
-func (c *copies) newerThanListed(kind ObjectKind, whole config.Delta) []v1.Object {
+// newerThanListed returns the objects of another router's copy that are newer than this copy's, at
+// the revisions of this copy, and the objects of earlier eras that this copy lacks. The mutex must
+// be held.
+func (c *copies) newerThanListed(kind ObjectKind, full config.Delta) []v1.Object {
 	store := c.stores[kind]
 	var newer []v1.Object
-	for _, object := range whole.Objects {
+	for _, object := range full.Objects {
 		known, found := store.Object(object.Key())
 		switch {
 		case object.Deleted:
-		case found && writtenBefore(kind, known, object) && c.precedes(kind, known, object):
+		case found && notRewritten(kind, known, object) && c.precedes(kind, known, object):
 			object.Version = known.Version
 			newer = append(newer, object)
-		case !found && !store.Deleted(object.Key()) && ofEarlierEra(object, store.Revision()):
+		case !found && !store.Deleted(object.Key()) && isFromEarlierEra(object, store.Revision()):
 			newer = append(newer, object)
 		}
 	}
 	return newer
 }
 
-// writtenBefore tells whether the known object is not written anew since the other one was
-// known. Configurations and weights carry a version that tells which one is newer in any case.
-func writtenBefore(kind ObjectKind, known, other v1.Object) bool {
-	return kind != RunnerObjects || known.Version == other.Version || ofEarlierEra(other, storerev.Revision(known.Version))
+// notRewritten reports whether the known object has not been rewritten since the other state.
+// Configurations and weights always pass, because their versions tell which one is newer.
+func notRewritten(kind ObjectKind, known, other v1.Object) bool {
+	return kind != RunnerObjects || known.Version == other.Version || isFromEarlierEra(other, storerev.Revision(known.Version))
 }
--- a/internal/gateway/storecall.go
+++ b/internal/gateway/storecall.go
@@ -9,72 +9,71 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// storeAnswer is what a list or a watch brought.
-type storeAnswer struct {
+// storeResponse is the result of a list or watch call.
+type storeResponse struct {
 	objects  []v1.Object
 	revision storerev.Revision
-	// sent is when the call that was answered left, and known the newest revision that
-	// this router knew of then.
-	sent  time.Time
-	known storerev.Revision
-	err   error
+	// sentAt is when the call was sent, and knownRevision the newest revision that this router knew
+	// then.
+	sentAt        time.Time
+	knownRevision storerev.Revision
+	err           error
 }
 
-// errFromThePast means that an answer is older than what was known before its call.
-var errFromThePast = errors.New("the answer is older than what was known before")
+// errStaleResponse means that a response is older than a revision known before its call.
+var errStaleResponse = errors.New("response is older than the newest known revision")
 
-// storeCall makes one call.
-type storeCall func(context.Context) storeAnswer
+// storeCall performs one call to the store.
+type storeCall func(context.Context) storeResponse
 
-// patience bounds the calls to a store that has failed before.
-type patience struct {
-	// again is after how long a call without an answer is made anew.
-	again time.Duration
-	// whole bounds all of it.
-	whole time.Duration
+// hedgeTimeouts bounds the calls to a store that failed before.
+type hedgeTimeouts struct {
+	// attempt is how long to wait before the next attempt is sent.
+	attempt time.Duration
+	// total bounds all attempts together.
+	total time.Duration
 }
 
-// askTwice makes a call to a store that has not answered of late. A slow store
-// still answers what was asked first; one that was silent has lost that and must
-// be asked anew. So the first call keeps waiting while a second one is made again
-// and again, each in place of the one before: at most two are open. What comes
-// first counts.
-func askTwice(ctx context.Context, bounds patience, call storeCall) storeAnswer {
-	ctx, cancel := context.WithTimeout(ctx, bounds.whole)
+// callHedged calls a store that has not responded recently. A slow store still responds to the
+// first call, whereas a store that was silent has lost it and needs another one. So the first call
+// keeps waiting while further ones are sent one after the other. At most two are open at a time,
+// and the first response wins.
+func callHedged(ctx context.Context, timeouts hedgeTimeouts, call storeCall) storeResponse {
+	ctx, cancel := context.WithTimeout(ctx, timeouts.total)
 	defer cancel()
-	answers := make(chan storeAnswer)
-	give := func(answer storeAnswer) {
+	responses := make(chan storeResponse)
+	deliver := func(response storeResponse) {
 		select {
-		case answers <- answer:
+		case responses <- response:
 		case <-ctx.Done():
 		}
 	}
-	go func() { give(call(ctx)) }()
+	go func() { deliver(call(ctx)) }()
 	go func() {
-		for asking := waitFor(ctx, bounds.again); asking; asking = ctx.Err() == nil {
-			if answer, ended := askWithin(ctx, bounds.again, call); ended {
-				give(answer)
+		for running := sleep(ctx, timeouts.attempt); running; running = ctx.Err() == nil {
+			if response, ended := callWithin(ctx, timeouts.attempt, call); ended {
+				deliver(response)
 			}
 		}
 	}()
 	select {
-	case answer := <-answers:
-		return answer
+	case response := <-responses:
+		return response
 	case <-ctx.Done():
-		return storeAnswer{err: ctx.Err()}
+		return storeResponse{err: ctx.Err()}
 	}
 }
 
-// askWithin makes a call and tells whether it ended within the time.
-func askWithin(ctx context.Context, limit time.Duration, call storeCall) (answer storeAnswer, ended bool) {
-	limited, cancel := context.WithTimeout(ctx, limit)
+// callWithin makes a call and reports whether it ended within the limit.
+func callWithin(ctx context.Context, limit time.Duration, call storeCall) (response storeResponse, ended bool) {
+	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	answer = call(limited)
-	return answer, limited.Err() == nil
+	response = call(callCtx)
+	return response, callCtx.Err() == nil
 }
 
-// waitFor waits for the duration, or returns false when the context ends.
-func waitFor(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration. It returns false if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -39,7 +39,7 @@
 // The routers that others learn from were suspended, and the other was not.
 func TestProofOfARouterThatWasSuspendedIsOldElsewhere(t *testing.T) {
 	t.Parallel()
-	f, seeds, _ := relayedFleet(t)
+	f, seeds, _ := newSeededFleet(t)
 	for _, seed := range seeds {
 		seed.door.Set(storestand.Silent)
 	}
@@ -47,7 +47,7 @@
 	for _, seed := range seeds {
 		seed.clock.suspend(suspension)
 	}
-	follower := f.routerAt("started since", f.asFollower(seeds[0].seeds), storestand.Silent)
+	follower := f.routerAt("started since", f.followerSettings(seeds[0].seeds), storestand.Silent)
 	// 503 while nothing proves a configuration, 401 once the third router has read the store.
 	f.g.Consistently(func() int { return follower.call("/safe/x", nil).status }, time.Second, 50*time.Millisecond).Should(Or(Equal(http.StatusServiceUnavailable), Equal(http.StatusUnauthorized)))
 }
@@ -61,7 +61,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = suspension, 10*time.Millisecond
 	})
-	name(f, 2)
+	nameWeights(f, 2)
 	r.logs("weights named")
 	f.g.Expect(r.call("/once/x", nil).status).To(Equal(http.StatusOK))
 	r.clock.suspend(suspension)
@@ -77,7 +77,7 @@
 		runner.DelayReports(100 * time.Millisecond)
 	}
 	r := f.servingRouter("r1", nil)
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(func() int { return ordered(runners) }, 4*time.Second, time.Millisecond).Should(Equal(1))
 	// It cannot renew the lease, nor learn that another router has it.
 	r.door.Set(storestand.Busy)
--- a/internal/gateway/unansweredorders_test.go
+++ b/internal/gateway/unansweredorders_test.go
@@ -40,7 +40,7 @@
 	f, runners := engines(t)
 	runners[0].LeaveOrders()
 	f.servingRouter("r1", nil)
-	name(f, 2)
+	nameWeights(f, 2)
 	for _, runner := range runners[1:] {
 		f.g.Eventually(runner.Version, 4*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	}
@@ -58,7 +58,7 @@
 	f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = 5*time.Second, 10*time.Millisecond
 	})
-	name(f, 2)
+	nameWeights(f, 2)
 	count := func() int { return ordered(runners) }
 	f.g.Eventually(count, 3*time.Second, 10*time.Millisecond).Should(Equal(2))
 	f.g.Consistently(count, 500*time.Millisecond, 10*time.Millisecond).Should(Equal(2))
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -14,11 +14,11 @@
 const (
 	// noticeTime is within which a router whose watch fell silent has the answer of the
 	// next one: a watch is given up after its wait and slack, and made again after a pause.
-	noticeTime = configWait + callSlack + lastRetry
+	noticeTime = configWatchTimeout + watchCallMargin + maxRetryDelay
 	// lostNews is the longest that lost watches alone keep news from any router: until
 	// a seed notices, compares revisions and is asked by the others. Whatever took longer
 	// was a store, or a way to it, that did not work.
-	lostNews = noticeTime + settle + newsSlack + longestPull + pullTime
+	lostNews = noticeTime + batchDelay + watchLatencyMargin + maxPullInterval + pullTimeout
 )
 
 // namingTimes are the times by which older weights are used.
@@ -31,7 +31,7 @@
 func (g *Gateway) newsOfWeights(now time.Time, revision storerev.Revision) namings.Observation {
 	proven := g.copies.provenAt(WeightObjects)
 	return namings.Observation{
-		LearnedAt: now, StartedAt: g.started, StoreFailures: g.disturbance.latest(), SingleRouter: g.relays.alone(),
+		LearnedAt: now, StartedAt: g.started, StoreFailures: g.disturbance.latest(), SingleRouter: g.relays.hasNoPeers(),
 		CopyCurrentAt: proven, NotNamedAt: namings.Later(proven, g.copies.checkpoints.before(revision)),
 	}
 }
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -46,7 +46,7 @@
 // they were named.
 func (r *router) nameNew() time.Time {
 	named := time.Now()
-	name(r.fleet, 2)
+	nameWeights(r.fleet, 2)
 	r.logs("weights named")
 	return named
 }
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -15,11 +15,11 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// crowdedFleet has a seed that answers two routers itself, and followers of one
-// zone of which the first can carry all others. The followers start for the first time:
-// they wait for the seed for 1 s rather than 0.1 s, so that none reads the store though
-// all start at once on a busy machine.
-func crowdedFleet(t *testing.T, caches gateway.CacheReader, followers int) (f *fleet, seed *router, others []*router) {
+// newOverloadedFleet returns a fleet with a seed that serves at most two followers directly, and
+// followers in one zone, of which the first has the capacity for all others. The followers run with
+// FirstStart, so they wait 1 s for the seed instead of 0.1 s. Thus none of them reads the store
+// although all start at once on a busy machine.
+func newOverloadedFleet(t *testing.T, caches gateway.CacheReader, followers int) (f *fleet, seed *router, others []*router) {
 	f = newFleet(t)
 	f.caches = caches
 	f.configure(1, defaultRoutes(), goodKey)
@@ -30,7 +30,7 @@
 	})
 	for i := range followers {
 		others = append(others, f.router(fmt.Sprint("r", i), func(settings *gateway.Settings) {
-			f.asFollower([]string{address})(settings)
+			f.followerSettings([]string{address})(settings)
 			settings.FirstStart = true
 			settings.CPUShare, settings.LinkMegabits = 0.2, 20
 			if i == 0 {
@@ -44,8 +44,8 @@
 	return f, seed, others
 }
 
-// sources counts whom the routers learned from last.
-func sources(routers []*router) map[string]int {
+// countSources counts the routers by the source that they last pulled from.
+func countSources(routers []*router) map[string]int {
 	counts := map[string]int{}
 	for _, r := range routers {
 		counts[r.Status().Source]++
@@ -53,43 +53,43 @@
 	return counts
 }
 
-// A seed that many ask refers them to the strongest router of their zone, and the
-// store is read by the seed alone.
-func TestCrowdedSeedIsRelievedByARelay(t *testing.T) {
+// A seed with many followers assigns them to the router of their zone with the highest capacity.
+// Only the seed reads the store.
+func TestOverloadedSeedAssignsRelay(t *testing.T) {
 	t.Parallel()
-	f, seed, others := crowdedFleet(t, nil, 8)
-	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1), "only the relay asks the seed")
-	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]), "the strongest is the relay")
+	f, seed, others := newOverloadedFleet(t, nil, 8)
+	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1), "only the relay pulls from the seed")
+	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]), "the router with the highest capacity is the relay")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	for _, r := range others {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 		f.g.Expect(r.door.Calls()).To(BeZero())
 	}
-	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "changes are pushed on")
+	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "the relay pushes changes")
 }
 
-// When the relay is gone its followers find the next one within a second, and
-// none of them reads the store.
-func TestFollowersOfALostRelayFindTheNextOne(t *testing.T) {
+// When the relay is lost, its followers find the next one within a second, and none of them reads
+// the store.
+func TestFollowersOfLostRelayFindNextOne(t *testing.T) {
 	t.Parallel()
-	f, seed, others := crowdedFleet(t, nil, 8)
-	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
+	f, seed, others := newOverloadedFleet(t, nil, 8)
+	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
 	others[0].Kill()
 	f.configure(2, defaultRoutes(), "key-two")
-	lost := time.Now()
+	killedAt := time.Now()
 	for _, r := range others[1:] {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 		f.g.Expect(r.door.Calls()).To(BeZero())
 	}
-	f.g.Expect(time.Since(lost)).To(BeNumerically("<", time.Second))
+	f.g.Expect(time.Since(killedAt)).To(BeNumerically("<", time.Second))
 }
 
-// With the seed gone the relay reads the store for its followers.
-func TestRelayReadsTheStoreForItsFollowersWhenSeedsAreGone(t *testing.T) {
+// When the seed is lost, the relay reads the store for its followers.
+func TestRelayReadsStoreWhenSeedsAreDown(t *testing.T) {
 	t.Parallel()
-	f, seed, others := crowdedFleet(t, nil, 8)
-	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
+	f, seed, others := newOverloadedFleet(t, nil, 8)
+	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
 	seed.Kill()
 	f.g.Eventually(func() bool { return others[0].Status().ReadsStore }, 2*time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.configure(2, defaultRoutes(), "key-two")
@@ -101,14 +101,14 @@
 	}
 }
 
-// What runners keep reaches the followers of a relay.
-func TestRelayGivesOnWhatRunnersKeep(t *testing.T) {
+// The cache contents of runners reach the followers of a relay.
+func TestRelayForwardsCacheContents(t *testing.T) {
 	t.Parallel()
-	kept := newKeptParts()
-	kept.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
-	f, seed, others := crowdedFleet(t, kept, 6)
+	cached := newKeptParts()
+	cached.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
+	f, seed, others := newOverloadedFleet(t, cached, 6)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
-	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
+	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
 	last := others[len(others)-1]
 	f.g.Eventually(func() string {
 		before := runCounts(runners)
@@ -118,40 +118,40 @@
 	}, 5*time.Second, 10*time.Millisecond).Should(Equal(runners[0].Address), "a runner that lacks the trunk fetches it")
 }
 
-// Routers that start together beside silent seeds read lists that may be old,
-// which cost the store little, and one watch proves the configuration.
+// Routers that start at the same time while the seeds are silent read stale lists, which cost the
+// store little. One watch then proves the configuration.
 func TestStartedRouterReadsStaleListsFirst(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	r := f.router("first", f.asFollower([]string{silentPeer(f)}))
+	r := f.router("first", f.followerSettings([]string{startSilentPeer(f)}))
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Eventually(r.door.StaleLists, time.Second, 5*time.Millisecond).Should(Equal(4), "one a kind: configuration, runners, weights and quarantines")
-	f.g.Expect(r.door.Calls()-r.door.StaleLists()).To(BeNumerically("<=", 5), "one watch a kind, and the next of the configuration")
+	f.g.Eventually(r.door.StaleLists, time.Second, 5*time.Millisecond).Should(Equal(4), "one per kind: configuration, runners, weights and quarantines")
+	f.g.Expect(r.door.Calls()-r.door.StaleLists()).To(BeNumerically("<=", 5), "one watch per kind, and the next one of the configuration")
 }
 
-// A store whose history is gone since the stale list is listed in full.
-func TestStaleListWithoutHistoryIsReadAgain(t *testing.T) {
+// If the history after a stale list is gone, the store is listed again in full.
+func TestListIsRepeatedWhenHistoryIsGone(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	r := f.routerAt("first", f.asFollower([]string{silentPeer(f)}), storestand.Healthy)
+	r := f.routerAt("first", f.followerSettings([]string{startSilentPeer(f)}), storestand.Healthy)
 	f.store.Forget()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 }
 
-// While there is no configuration yet the seeds say so, and nobody else reads the
-// store to find out.
-func TestRoutersWaitWithTheSeedForTheFirstConfiguration(t *testing.T) {
+// While there is no configuration, the seed reports that, and no other router reads the store to
+// find out.
+func TestRoutersWaitForFirstConfigurationThroughSeed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	address := []string{loopback.FreeAddress()}
 	f.router("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address[0], address })
-	r := f.router("r1", f.asFollower(address))
+	r := f.router("r1", f.followerSettings(address))
 	time.Sleep(1500 * time.Millisecond)
 	f.g.Expect(r.door.Calls()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
@@ -163,24 +163,25 @@
 	f.g.Expect(r.door.Calls()).To(BeZero())
 }
 
-// A relay that comes back without knowing anything is left for the next one.
-func TestFollowersLeaveARelayThatKnowsNothing(t *testing.T) {
+// Followers leave a relay that restarts without a configuration and use the next one.
+func TestFollowersLeaveRelayWithoutConfiguration(t *testing.T) {
 	t.Parallel()
-	f, seed, others := crowdedFleet(t, nil, 8)
-	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
-	// Until the strongest is the relay of all another one may be of some: the first that
-	// asked. Its address is still in use after the strongest is killed.
-	f.g.Eventually(func() map[string]int { return sources(others) }, 3*time.Second, 20*time.Millisecond).Should(HaveLen(2))
+	f, seed, others := newOverloadedFleet(t, nil, 8)
+	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
+	// Until the router with the highest capacity is the relay of all others, another one may be the
+	// relay of some: the first that pulled. Its address remains in use after the router with the
+	// highest capacity is killed.
+	f.g.Eventually(func() map[string]int { return countSources(others) }, 3*time.Second, 20*time.Millisecond).Should(HaveLen(2))
 	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]))
 	relay := others[1].Status().Source
 	others[0].Kill()
 	f.routerAt("again", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds = relay, []string{silentPeer(f)}
+		settings.PeerAddress, settings.Seeds = relay, []string{startSilentPeer(f)}
 	}, storestand.Silent)
 	onNextRelay := func() bool {
-		counts := sources(others[1:])
+		counts := countSources(others[1:])
 		return counts[seed.seeds[0]] == 1 && counts[relay] == 0
 	}
-	f.g.Eventually(onNextRelay, 3*time.Second, 20*time.Millisecond).Should(BeTrue(), "one of them is the next relay")
+	f.g.Eventually(onNextRelay, 3*time.Second, 20*time.Millisecond).Should(BeTrue(), "one of the followers is the next relay")
 	f.g.Consistently(onNextRelay, time.Second, 20*time.Millisecond).Should(BeTrue())
 }
