--- a/internal/gateway/restoredlease_test.go
+++ b/internal/gateway/restoredlease_test.go
@@ -73,7 +73,7 @@
 	f := newRestorableFleet(t, 6, nil)
 	kept := f.store.Copy()
 	f.writeUnrelated(lostWrites)
-	time.Sleep(propagationTime)
+	time.Sleep(revisionPropagationTime)
 	cutOff := f.routers[3:]
 	f.restore(kept, storeDowntime/4, func() {
 		f.rewriteEntries(1)
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -111,7 +111,7 @@
 		f.list(engine, "ready")
 	}
 	f.writeUnrelated(lostWrites)
-	time.Sleep(propagationTime)
+	time.Sleep(revisionPropagationTime)
 	orders := f.orders()
 	streams := make(chan answer, len(f.routers))
 	f.setStoreFault(storestand.Reset)
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -44,7 +44,7 @@
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
 	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
-	time.Sleep(propagationTime)
+	time.Sleep(revisionPropagationTime)
 	f.restore(backup, storeDowntime/4, nil)
 	f.awaitNewEra()
 	return f
@@ -136,12 +136,12 @@
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), []string{proxy.Address}
 	})
-	time.Sleep(2 * propagationTime)
+	time.Sleep(2 * revisionPropagationTime)
 	countSeedFound := func() int { return strings.Count(follower.log.String(), `"store":false`) }
 	for range 4 {
 		before := countSeedFound()
 		proxy.Set(faultproxy.Mute)
 		proxy.Set(faultproxy.Pass)
-		f.g.Eventually(countSeedFound, propagationTime, 5*time.Millisecond).Should(BeNumerically(">", before), "the seed answers again")
+		f.g.Eventually(countSeedFound, revisionPropagationTime, 5*time.Millisecond).Should(BeNumerically(">", before), "the seed answers again")
 	}
 }
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -20,8 +20,8 @@
 const (
 	// storeDowntime is how long the store is down during a restore.
 	storeDowntime = 1200 * time.Millisecond
-	// propagationTime is the time within which routers know the newest revision.
-	propagationTime = 1200 * time.Millisecond
+	// revisionPropagationTime is the time within which routers know the newest revision.
+	revisionPropagationTime = 1200 * time.Millisecond
 	// applyTimeout is the time within which a change accepted by the store must take effect.
 	applyTimeout = 2 * time.Second
 	// weightUpdateTimeout is the time within which runners must have newly named weights.
@@ -173,7 +173,7 @@
 				nameWeights(f.fleet, 2)
 				f.awaitWeights(2)
 				f.writeUnrelated(lostWrites)
-				time.Sleep(propagationTime)
+				time.Sleep(revisionPropagationTime)
 				lostRevision := f.store.Revision()
 				f.restore(backup, storeDowntime, func() { afterRestore(f, lostRevision) })
 				f.awaitServing()
@@ -197,7 +197,7 @@
 			f := newRestorableFleet(t, routers, nil)
 			backup := f.store.Copy()
 			f.writeUnrelated(lostWrites)
-			time.Sleep(propagationTime)
+			time.Sleep(revisionPropagationTime)
 			var changed time.Time
 			var joined *runnerstand.Runner
 			f.restore(backup, storeDowntime, func() {
@@ -229,7 +229,7 @@
 	f.awaitWeights(2)
 	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
 	f.writeUnrelated(lostWrites)
-	time.Sleep(propagationTime)
+	time.Sleep(revisionPropagationTime)
 
 	var served, rejected, acceptedRemovedKey atomic.Int64
 	done := make(chan struct{})
@@ -276,7 +276,7 @@
 	f := newRestorableFleet(t, 3, nil)
 	backup := f.store.Copy()
 	f.writeUnrelated(lostWrites)
-	time.Sleep(propagationTime)
+	time.Sleep(revisionPropagationTime)
 	for range 2 {
 		f.restore(backup, storeDowntime/4, func() { f.rewriteEntries(1) })
 		time.Sleep(storeDowntime / 2)
