--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -35,7 +35,7 @@
 // runner's response.
 func (c *call) setResponseHeaders(header http.Header) {
 	response := c.writer.Header()
-	for name, values := range c.gateway.ports.Protocol.Return(header) {
+	for name, values := range c.gateway.ports.Protocol.ResponseHeaders(header) {
 		response[name] = values
 	}
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -54,7 +54,7 @@
 			settings.PeerAddress, settings.Seeds = address, addresses
 		}))
 	}
-	f.servingRouter("other", f.asFollower(addresses))
+	f.servingRouter("other", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until all routers are in a steady state
 	for _, seed := range seeds {
 		seed.door.Set(fault)
@@ -115,12 +115,12 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	name(f, 1)
+	nameWeights(f, 1)
 	blocked, storeAddress := blockingStore(f, platform.KindWeightVersions, platform.KindRunners)
 	addresses := []string{loopback.FreeAddress()}
 	asSeed := func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses }
 	previousSeed := f.servingRouter("former", asSeed)
-	follower := f.servingRouter("follower", f.asFollower(addresses))
+	follower := f.servingRouter("follower", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until it is in a steady state
 	follower.door.Set(storestand.Silent)
 	previousSeed.Kill()
@@ -129,7 +129,7 @@
 		settings.StoreAddress = storeAddress
 	})
 	time.Sleep(1500 * time.Millisecond)
-	name(f, 2)
+	nameWeights(f, 2)
 	namedAt := time.Now()
 	time.Sleep(3500 * time.Millisecond)
 	blocked.Store(false)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -44,7 +44,7 @@
 	controller *http.ResponseController
 	// incoming is the caller's HTTP request, and metadata the contents of its headers.
 	incoming  *http.Request
-	metadata  CallFacts
+	metadata  RequestInfo
 	arrivedAt time.Time
 	view      *view
 	route     *routing.Route
@@ -141,7 +141,7 @@
 	g.awaitStart(request.Context(), now)
 	c := &call{
 		gateway: g, writer: writer, controller: http.NewResponseController(writer), incoming: request,
-		metadata: g.ports.Protocol.Call(request.Header), arrivedAt: now, view: g.view.Load(),
+		metadata: g.ports.Protocol.ParseRequest(request.Header), arrivedAt: now, view: g.view.Load(),
 	}
 	// Replace the write deadline of an earlier request on this connection.
 	_ = c.controller.SetWriteDeadline(time.Now().Add(maxCallDuration))
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -132,7 +132,7 @@
 	r := f.servingRouter("r1", nil)
 	answers := r.callWithLongTimeout("/once/x", nil)
 	f.awaitBlockedDial()
-	name(f, 2)
+	nameWeights(f, 2)
 	f.g.Eventually(r.log.String, 10*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner's weights changed"))
 	close(f.dials.released)
 	var got answer
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -80,7 +80,7 @@
 	// Where there is no seed, many routers read at once, and a possibly stale list costs the store
 	// little. Once the history since a stale list has been compacted, stale lists are of no use and
 	// are not requested again.
-	stale := !g.relays.isSource()
+	stale := !g.relays.alwaysReadsStore()
 	for g.direct.waitEnabled(g.ctx) {
 		next, err := q.read(revision, stale)
 		if err == nil && next > 0 {
@@ -88,7 +88,7 @@
 			continue
 		}
 		if errors.Is(err, ErrHistoryGone) {
-			if !g.pauseInNewEra() {
+			if !g.delayNewEraList() {
 				return
 			}
 			revision, stale = 0, false
@@ -103,15 +103,15 @@
 // read lists all records if revision is 0, and otherwise waits for changes after it. It returns the
 // next revision, 0 if there is none.
 func (q *storedQuarantines) read(revision storerev.Revision, stale bool) (next storerev.Revision, err error) {
-	g, callName, wait, start := q.gateway, callWatch, directoryWait, q.gateway.now()
+	g, callName, wait, start := q.gateway, callWatch, directoryWatchTimeout, q.gateway.now()
 	if revision == 0 {
 		callName, wait = callList, 0
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, wait+quarantineCallTimeout)
 	defer cancel()
-	var objects []KeptQuarantine
+	var objects []StoredQuarantine
 	if revision == 0 {
-		objects, next, err = g.ports.Store.Quarantines(ctx, stale)
+		objects, next, err = g.ports.Store.ListQuarantines(ctx, stale)
 	} else {
 		objects, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
 	}
@@ -120,7 +120,7 @@
 	case err != nil:
 		return revision, err
 	case next.Era() < revision.Era():
-		return revision, errFromThePast
+		return revision, errStaleResponse
 	case revision > 0 && next.Era() > revision.Era():
 		return revision, ErrHistoryGone
 	}
@@ -160,14 +160,14 @@
 
 // apply merges the records in the store. Records that are gone were removed by a router because
 // they were cleared or had expired, which each router determines itself.
-func (q *storedQuarantines) apply(objects []KeptQuarantine) {
+func (q *storedQuarantines) apply(objects []StoredQuarantine) {
 	g := q.gateway
 	var records []quarantine.Record
 	for _, object := range objects {
 		switch {
 		case object.Fault != "":
 			g.log.Log(events.ObjectUnreadable, events.Fields{"kind": quarantineKind, "name": object.Name, "fault": object.Fault})
-		case !object.Gone:
+		case !object.Removed:
 			record := toLocalClock(g.now(), time.Now().Round(0), object.Record)
 			records = append(records, record)
 			q.markStored(record)
@@ -263,7 +263,7 @@
 func (q *storedQuarantines) put(record quarantine.Record) error {
 	g := q.gateway
 	written, era := toWallClock(g.now(), time.Now().Round(0), record), g.era.newest()
-	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.KeepQuarantine(ctx, written) }); err != nil {
+	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.SaveQuarantine(ctx, written) }); err != nil {
 		return err
 	}
 	if g.era.newest() != era {
@@ -278,7 +278,7 @@
 // remove deletes the record of the content from the store.
 func (q *storedQuarantines) remove(content quarantine.ContentID) error {
 	g := q.gateway
-	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.DropQuarantine(ctx, content) }); err != nil {
+	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.DeleteQuarantine(ctx, content) }); err != nil {
 		return err
 	}
 	q.mutex.Lock()
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -30,7 +30,7 @@
 	compactRevision = 10
 )
 
-func (s *compactedStore) Quarantines(_ context.Context, stale bool) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *compactedStore) ListQuarantines(_ context.Context, stale bool) ([]StoredQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
 	if stale {
 		return nil, staleRevision, nil
@@ -38,7 +38,7 @@
 	return nil, compactRevision, nil
 }
 
-func (s *compactedStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]KeptQuarantine, storerev.Revision, error) {
+func (s *compactedStore) WatchQuarantines(ctx context.Context, revision storerev.Revision, _ time.Duration) ([]StoredQuarantine, storerev.Revision, error) {
 	s.calls.Add(1)
 	if revision < compactRevision {
 		return nil, 0, ErrHistoryGone
@@ -52,11 +52,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, direct: newDirectMode(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
-	gateway.relays = newRelays(gateway)
+	gateway.relays = newPeerRouters(gateway)
 	// Any transport will do, since nothing is sent.
 	gateway.relays.transport = &wire.Transport{}
 	gateway.metrics, gateway.random = newMetrics(gateway), rand.New(rand.NewPCG(1, 2))
-	gateway.suspects, gateway.era = newSuspects(gateway), newStoreEra(gateway)
+	gateway.suspects, gateway.era = newSuspects(gateway), newEraTracker(gateway)
 	return gateway
 }
 
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -38,7 +38,7 @@
 func (f *fleet) drainRunnerAndNameWeights() {
 	entry := map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 8, "state": "draining", "cold_remaining_ms": 0, "seq": 2}
 	f.store.Put(platform.KindRunners, "p1", entry)
-	name(f, 2)
+	nameWeights(f, 2)
 }
 
 func TestChangesArriveWhenAllStoreConnectionsAreSilent(t *testing.T) {
@@ -74,7 +74,7 @@
 			seed := f.servingRouter("seed", func(settings *gateway.Settings) {
 				settings.PeerAddress, settings.Seeds = addresses[0], addresses
 			})
-			follower := f.servingRouter("follower", f.asFollower(addresses))
+			follower := f.servingRouter("follower", f.followerSettings(addresses))
 			time.Sleep(300 * time.Millisecond)
 			seed.door.LoseWatches(kind)
 			f.drainRunnerAndNameWeights()
@@ -98,7 +98,7 @@
 		runner := f.runner("e1", "engines")
 		r := start(f)
 		r.door.Set(storestand.Silent)
-		name(f, 2)
+		nameWeights(f, 2)
 		namedAt := time.Now()
 		time.Sleep(silence)
 		r.door.Set(storestand.Loses) // so that no router can make the runner update
@@ -175,7 +175,7 @@
 		settings.MetricsAddress, settings.DirectFollowers = metricsAddress, 1000
 	})
 	pullAsManyRouters(f, seedAddress, extraRouters)
-	follower := f.servingRouter("follower", f.asFollower([]string{seedAddress, silentSeed}))
+	follower := f.servingRouter("follower", f.followerSettings([]string{seedAddress, silentSeed}))
 	time.Sleep(1500 * time.Millisecond)
 	blocked.Store(true)
 	f.runner("p2", "plain") // ends the pending watch
--- a/internal/gateway/newsoutbox.go
+++ b/internal/gateway/newsoutbox.go
@@ -82,7 +82,7 @@
 	// A router that misses a message gets the records with its next pull, and a seed from the next
 	// router that detects the same.
 	b.sendTo(b.gateway.schedulers.otherSchedulers(), forSeeds)
-	b.sendTo(b.gateway.relays.pushed(b.gateway.now()), forFollowers)
+	b.sendTo(b.gateway.relays.pushTargets(b.gateway.now()), forFollowers)
 }
 
 func (b *broadcaster[K]) sendTo(addresses []string, changed map[K]bool) {
--- a/internal/gateway/pastanswers_test.go
+++ b/internal/gateway/pastanswers_test.go
@@ -15,9 +15,9 @@
 	g := NewWithT(t)
 	proofTime := time.Unix(1_000, 0)
 	copies := &copies{}
-	copies.noteReached(checkpoint{revision: 12, at: proofTime.Add(-500 * time.Millisecond)})
-	answer := storeAnswer{revision: 10, known: 10}
-	g.Expect(copies.shownBy(answer, proofTime)).To(BeFalse(), "revision 12 was known half a second before")
-	copies.noteReached(checkpoint{revision: 13, at: proofTime.Add(20 * time.Millisecond)})
-	g.Expect(copies.shownBy(answer, proofTime)).To(BeFalse(), "revision 12 was known before, regardless of later revisions")
+	copies.recordReached(checkpoint{revision: 12, at: proofTime.Add(-500 * time.Millisecond)})
+	answer := storeResponse{revision: 10, knownRevision: 10}
+	g.Expect(copies.isCurrent(answer, proofTime)).To(BeFalse(), "revision 12 was known half a second before")
+	copies.recordReached(checkpoint{revision: 13, at: proofTime.Add(20 * time.Millisecond)})
+	g.Expect(copies.isCurrent(answer, proofTime)).To(BeFalse(), "revision 12 was known before, regardless of later revisions")
 }
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -36,7 +36,7 @@
 	firstResponseTime := c.firstResponseAt.Sub(c.arrivedAt)
 	maxPause := time.Duration(0)
 	if c.stream != nil {
-		maxPause = c.stream.worstPause
+		maxPause = c.stream.maxPause
 	}
 	reason := lateReason(firstResponseTime, maxPause, c.route)
 	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrivedAt))
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -101,7 +101,7 @@
 // writeRefusal sends the refusal to the caller.
 func (c *call) writeRefusal(r *refusal) {
 	header := c.writer.Header()
-	for name, values := range c.gateway.ports.Protocol.Refusal(c.metadata.ID) {
+	for name, values := range c.gateway.ports.Protocol.RefusalHeaders(c.metadata.ID) {
 		header[name] = values
 	}
 	header.Set("Content-Type", "text/plain")
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -59,7 +59,7 @@
 	seedProxy, err := faultproxy.Start(seed.seeds[0])
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(seedProxy.Close)
-	r := f.servingRouter("r1", f.asFollower([]string{seedProxy.Address}))
+	r := f.servingRouter("r1", f.followerSettings([]string{seedProxy.Address}))
 	detected := func() bool { return strings.Contains(r.log.String(), "connection to another router was lost") }
 	for round := 0; round < maxRounds && !detected(); round++ {
 		time.Sleep(5 * time.Second) // silence on a younger connection counts as a slow router
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -71,7 +71,7 @@
 // runners exist.
 func (s *schedulers) place(envelope *wire.Envelope, message *wire.RunnerAsk) *wire.RunnerAnswer {
 	g, now := s.gateway, s.gateway.now()
-	if g.draining.Load() || !g.proven(now) || g.copies.behind(now, usableFor(g.settings.ConfigLease)) || !s.isScheduler() {
+	if g.draining.Load() || !g.proven(now) || g.copies.anyOlderThan(now, usableFor(g.settings.ConfigLease)) || !s.isScheduler() {
 		return &wire.RunnerAnswer{Declined: true}
 	}
 	query := decodePlacementQuery(message)
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -46,7 +46,7 @@
 }
 
 // receiveSignals applies the signals in the headers of a runner's response.
-func (c *call) receiveSignals(answer AnswerFacts, status int) {
+func (c *call) receiveSignals(answer ResponseInfo, status int) {
 	g, now := c.gateway, c.gateway.now()
 	success := answer.Stamped && !answer.Encoded && isSuccess(status)
 	g.mutex.Lock()
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -48,7 +48,7 @@
 // time of the announcement.
 func (r *router) announceNewWeights() time.Time {
 	announcedAt := time.Now()
-	name(r.fleet, 2)
+	nameWeights(r.fleet, 2)
 	r.logs("weights named")
 	return announcedAt
 }
