--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -52,7 +52,7 @@
 	store.Put(platform.KindConfig, "main", config)
 	env, _, errors := newEnv()
 	g.Expect(CheckStored(context.Background(), env, ports)).To(Equal(ExitInvalid))
-	g.Expect(errors.String()).To(ContainSubstring(`there is no service "s"`))
+	g.Expect(errors.String()).To(ContainSubstring(`service "s" does not exist`))
 
 	door.Set(storestand.Busy)
 	env, _, _ = newEnv()
