--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -29,7 +29,7 @@
 		printFailureGroups(env.Out, log.Failures())
 		return ExitOK
 	}
-	history, found := log.Request(requestID)
+	history, found := log.History(requestID)
 	if !found {
 		env.printError("none of %d log lines mentions request %q", len(log.Lines), requestID)
 		return ExitNotFound
@@ -63,7 +63,7 @@
 	return io.MultiReader(readers...), closeAll, nil
 }
 
-func printFailureGroups(out io.Writer, groups []explain.Cause) {
+func printFailureGroups(out io.Writer, groups []explain.FailureGroup) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "COUNT\tOUTCOME\tCAUSE\tEXAMPLES")
 	for _, group := range groups {
@@ -72,9 +72,9 @@
 	table.Flush()
 }
 
-func printHistory(out io.Writer, history explain.Story) {
+func printHistory(out io.Writer, history explain.RequestHistory) {
 	fmt.Fprintf(out, "request %s\n\nstate of the routers and runners:\n", history.Request)
-	printLines(out, history.Beliefs)
+	printLines(out, history.StateChanges)
 	fmt.Fprintf(out, "\nevents of the request:\n")
 	printLines(out, history.Lines)
 }
@@ -92,7 +92,7 @@
 			}
 		}
 		sort.Strings(names)
-		fmt.Fprintf(out, "  %s  %s  %d %s:", line.Time.Format(timeOfDayFormat), line.Node, line.Event, line.Text)
+		fmt.Fprintf(out, "  %s  %s  %d %s:", line.Time.Format(timeOfDayFormat), line.Node, line.Event, line.Message)
 		for _, name := range names {
 			fmt.Fprintf(out, " %s=%v", name, line.Fields[name])
 		}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,9 +1,9 @@
-// Package explain reads log lines of one or several routers and tells what
-// became of a request and what each router believed then.
+// Package explain reads the logs of one or several routers. It finds the events of a request
+// together with the state of the routers and runners at that time, and groups failed requests
+// by cause.
 //
-// Lines may have anything before their JSON object, such as the name of the
-// machine that a collector puts there. Lines that are no log events are skipped
-// and counted.
+// A line may have any text before its JSON object, such as a machine name added by a log
+// collector. Lines that are not log events are skipped and counted.
 package explain
 
 import (
@@ -20,42 +20,45 @@
 
 // Line is one log event.
 type Line struct {
-	Time   time.Time
-	Node   string
-	Event  int
-	Text   string
+	Time time.Time
+	// Node is the name of the router that logged the event.
+	Node string
+	// Event is the number of the event, as in package events.
+	Event   int
+	Message string
+	// Fields are all other fields except the level.
 	Fields map[string]any
 }
 
-// Field returns a field as text, or "".
-func (l Line) Field(name string) string {
-	text, _ := l.Fields[name].(string)
-	return text
+// StringField returns the value of a field, or "" if it is missing or not a string.
+func (l Line) StringField(name string) string {
+	value, _ := l.Fields[name].(string)
+	return value
 }
 
-// Number returns a field as a number, or 0.
-func (l Line) Number(name string) float64 {
-	number, _ := l.Fields[name].(float64)
-	return number
+// NumberField returns the value of a field, or 0 if it is missing or not a number.
+func (l Line) NumberField(name string) float64 {
+	value, _ := l.Fields[name].(float64)
+	return value
 }
 
-// Log is a set of lines in order of time.
+// Log is the merged log of one or several routers, sorted by time.
 type Log struct {
 	Lines []Line
-	// Skipped counts lines that are no log events.
+	// Skipped is the number of lines that were not log events.
 	Skipped int
 }
 
-// maxLineBytes bounds one log line.
+// maxLineBytes is the maximum length of one log line.
 const maxLineBytes = 1 << 20
 
-// Read reads log lines.
+// Read parses log lines and sorts them by time. Lines with the same time keep their order.
 func Read(reader io.Reader) (*Log, error) {
 	log := &Log{}
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		line, ok := parseLine(scanner.Bytes())
 		if !ok {
 			log.Skipped++
 			continue
@@ -66,24 +69,25 @@
 	return log, scanner.Err()
 }
 
-// envelope is the part of a line that every event has.
-type envelope struct {
-	Event int       `json:"event"`
-	Node  string    `json:"node"`
-	Text  string    `json:"msg"`
-	Time  time.Time `json:"time"`
+// eventHeader holds the fields that every event has.
+type eventHeader struct {
+	Event   int       `json:"event"`
+	Node    string    `json:"node"`
+	Message string    `json:"msg"`
+	Time    time.Time `json:"time"`
 }
 
-func parse(text []byte) (Line, bool) {
+// parseLine returns false if the text is not a log event.
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
 	}
-	var common envelope
-	if json.Unmarshal(text[start:], &common) != nil || common.Event == 0 {
+	var header eventHeader
+	if json.Unmarshal(text[start:], &header) != nil || header.Event == 0 {
 		return Line{}, false
 	}
-	line := Line{Time: common.Time, Node: common.Node, Event: common.Event, Text: common.Text}
+	line := Line{Time: header.Time, Node: header.Node, Event: header.Event, Message: header.Message}
 	if json.Unmarshal(text[start:], &line.Fields) != nil {
 		return Line{}, false
 	}
@@ -93,79 +97,86 @@
 	return line, true
 }
 
-// Story is what the log says of one request.
-type Story struct {
+// History holds the log lines that explain the outcome of one request.
+type RequestHistory struct {
 	Request string
-	// Lines are the request's own, in order.
+	// Lines are the events of the request, in order.
 	Lines []Line
-	// Beliefs are the last lines before the request's first one, or during it, in
-	// which its routers changed what they believed, of each kind the newest.
-	Beliefs []Line
+	// StateChanges are the events up to the last event of the request that changed the
+	// state of the request's routers and runners: the latest of each kind.
+	StateChanges []Line
 }
 
-// beliefEvents are the events that change what a router believes of everything.
-var beliefEvents = numbers(
+// routerStateEvents are the events that change the state of a router as a whole.
+var routerStateEvents = eventNumbers(
 	events.GatewayStarted, events.GatewayDraining, events.ConfigInForce, events.ConfigStale, events.ConfigProven, events.StoreUnavailable, events.StoreRecovered,
 	events.SourceChanged, events.WeightsNamed, events.CacheStoreAvailabilityChanged, events.LeaseAcquired, events.LeaseLost,
 )
 
-// runnerEvents are the events that change what a router believes of one runner.
-var runnerEvents = numbers(events.RunnerAdded, events.RunnerChanged, events.RunnerRemoved)
+// runnerStateEvents are the events that change a router's view of one runner. They are
+// relevant only if logged by a router of the request.
+var runnerStateEvents = eventNumbers(events.RunnerAdded, events.RunnerChanged, events.RunnerRemoved)
 
-// orderEvents concern a runner whichever router they happen at.
-var orderEvents = numbers(events.RunnerWeightsChanged, events.OrderSent, events.RunnerReportFailed)
+// globalRunnerEvents are the events about a runner that are relevant whichever router logs
+// them.
+var globalRunnerEvents = eventNumbers(events.RunnerWeightsChanged, events.OrderSent, events.RunnerReportFailed)
 
-func numbers(list ...events.Event) map[int]bool {
-	set := map[int]bool{}
+// eventNumbers returns the set of the events' numbers.
+func eventNumbers(list ...events.Event) map[int]bool {
+	numbers := map[int]bool{}
 	for _, event := range list {
-		set[event.Number] = true
+		numbers[event.Number] = true
 	}
-	return set
+	return numbers
 }
 
-// Request returns the story of a request, or false when the log does not have it.
-func (l *Log) Request(id string) (Story, bool) {
-	story := Story{Request: id}
+// History returns the history of a request, or false if the log does not mention the
+// request.
+func (l *Log) History(id string) (RequestHistory, bool) {
+	history := RequestHistory{Request: id}
 	nodes, runners := map[string]bool{}, map[string]bool{}
 	for _, line := range l.Lines {
-		if line.Field("request") != id {
+		if line.StringField("request") != id {
 			continue
 		}
-		story.Lines = append(story.Lines, line)
+		history.Lines = append(history.Lines, line)
 		nodes[line.Node] = true
-		if runner := line.Field("runner"); runner != "" {
+		if runner := line.StringField("runner"); runner != "" {
 			runners[runner] = true
 		}
 	}
-	if len(story.Lines) == 0 {
-		return story, false
+	if len(history.Lines) == 0 {
+		return history, false
 	}
-	story.Beliefs = l.beliefs(story.Lines[len(story.Lines)-1].Time, nodes, runners)
-	return story, true
+	history.StateChanges = l.stateChanges(history.Lines[len(history.Lines)-1].Time, nodes, runners)
+	return history, true
 }
 
-// belief names what a line is about; a newer line about the same replaces it.
-type belief struct {
+// stateKey identifies the state that a line changes. A later line with the same key
+// replaces an earlier one.
+type stateKey struct {
 	node   string
 	event  int
 	runner string
 	kind   string
 }
 
-func (l *Log) beliefs(until time.Time, nodes, runners map[string]bool) []Line {
-	newest := map[belief]Line{}
+// stateChanges returns the latest line of each state key, up to the given time, that is about
+// one of the nodes or runners.
+func (l *Log) stateChanges(until time.Time, nodes, runners map[string]bool) []Line {
+	latest := map[stateKey]Line{}
 	for _, line := range l.Lines {
 		if line.Time.After(until) {
 			break
 		}
-		general := beliefEvents[line.Event] && nodes[line.Node]
-		ofRunner := runners[line.Field("runner")] && (orderEvents[line.Event] || runnerEvents[line.Event] && nodes[line.Node])
-		if general || ofRunner {
-			newest[belief{line.Node, line.Event, line.Field("runner"), line.Field("kind")}] = line
+		ofRouter := routerStateEvents[line.Event] && nodes[line.Node]
+		ofRunner := runners[line.StringField("runner")] && (globalRunnerEvents[line.Event] || runnerStateEvents[line.Event] && nodes[line.Node])
+		if ofRouter || ofRunner {
+			latest[stateKey{line.Node, line.Event, line.StringField("runner"), line.StringField("kind")}] = line
 		}
 	}
 	var lines []Line
-	for _, line := range newest {
+	for _, line := range latest {
 		lines = append(lines, line)
 	}
 	slices.SortFunc(lines, func(a, b Line) int {
@@ -174,51 +185,52 @@
 	return lines
 }
 
-// Cause is a group of requests that ended alike.
-type Cause struct {
+// FailureGroup is a group of requests that failed in the same way.
+type FailureGroup struct {
 	Outcome string
 	Reason  string
 	Count   int
-	// Examples are a few of the requests.
+	// Examples are the IDs of the first requests of the group, at most maxGroupExamples.
 	Examples []string
 }
 
-// maxExamples bounds the examples of a cause.
-const maxExamples = 3
+// maxGroupExamples is the maximum number of examples in a group.
+const maxGroupExamples = 3
 
-// Failures groups the requests that were refused, failed or late by cause, the
-// most frequent first.
-func (l *Log) Failures() []Cause {
-	lastReason := map[string]string{}
-	causes := map[[2]string]*Cause{}
+// Failures groups the requests that were refused, failed or late by outcome and reason. The
+// largest groups come first.
+func (l *Log) Failures() []FailureGroup {
+	lastReasons := map[string]string{}
+	groups := map[[2]string]*FailureGroup{}
 	for _, line := range l.Lines {
-		id := line.Field("request")
+		id := line.StringField("request")
 		switch line.Event {
 		case events.RequestAttemptFailed.Number:
-			lastReason[id] = line.Field("outcome") + ": " + line.Field("cause")
+			lastReasons[id] = line.StringField("outcome") + ": " + line.StringField("cause")
 		case events.StreamCut.Number:
-			lastReason[id] = line.Field("reason") + "; " + lastReason[id]
+			lastReasons[id] = line.StringField("reason") + "; " + lastReasons[id]
 		case events.RequestRefused.Number:
-			count(causes, "refused", line.Field("reason"), id)
+			addFailure(groups, "refused", line.StringField("reason"), id)
 		case events.RequestEnded.Number:
-			if outcome := endOf(line); outcome != "" {
-				count(causes, outcome, lastReason[id], id)
+			if outcome := failureOutcome(line); outcome != "" {
+				addFailure(groups, outcome, lastReasons[id], id)
 			}
 		}
 	}
-	var ordered []Cause
-	for _, cause := range causes {
-		ordered = append(ordered, *cause)
+	var ordered []FailureGroup
+	for _, group := range groups {
+		ordered = append(ordered, *group)
 	}
-	slices.SortFunc(ordered, func(a, b Cause) int {
+	slices.SortFunc(ordered, func(a, b FailureGroup) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Reason, b.Reason))
 	})
 	return ordered
 }
 
-// endOf returns how a request ended if it did not end well, or "".
-func endOf(line Line) string {
-	outcome := line.Field("outcome")
+// failureOutcome returns the outcome of a request that did not complete, "late" for one that
+// completed late, or "" for one that completed in time.
+func failureOutcome(line Line) string {
+	outcome := line.StringField("outcome")
 	late, _ := line.Fields["late"].(bool)
 	switch {
 	case outcome != "complete":
@@ -229,13 +241,14 @@
 	return ""
 }
 
-func count(causes map[[2]string]*Cause, outcome, reason, id string) {
+// addFailure adds a request to the group of its outcome and reason.
+func addFailure(groups map[[2]string]*FailureGroup, outcome, reason, id string) {
 	key := [2]string{outcome, reason}
-	if causes[key] == nil {
-		causes[key] = &Cause{Outcome: outcome, Reason: reason}
+	if groups[key] == nil {
+		groups[key] = &FailureGroup{Outcome: outcome, Reason: reason}
 	}
-	causes[key].Count++
-	if len(causes[key].Examples) < maxExamples {
-		causes[key].Examples = append(causes[key].Examples, id)
+	groups[key].Count++
+	if len(groups[key].Examples) < maxGroupExamples {
+		groups[key].Examples = append(groups[key].Examples, id)
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const sample = `
+const sampleLog = `
 starting up
   1.2 n1 {"event":810,"node":"n1","msg":"configuration in force","time":"2026-01-01T00:00:01.000Z","version":3,"level":"info"}
 n2 {"event":810,"node":"n2","msg":"configuration in force","time":"2026-01-01T00:00:01.500Z","version":4}
@@ -26,33 +26,33 @@
 {"event": "odd"}
 `
 
-func TestStoryOfARequest(t *testing.T) {
+func TestRequestHistory(t *testing.T) {
 	g := NewWithT(t)
-	log, err := Read(strings.NewReader(sample))
+	log, err := Read(strings.NewReader(sampleLog))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(log.Skipped).To(Equal(3))
-	story, found := log.Request("r1")
+	history, found := log.History("r1")
 	g.Expect(found).To(BeTrue())
 	var order []int
-	for _, line := range story.Lines {
+	for _, line := range history.Lines {
 		order = append(order, line.Event)
 	}
 	g.Expect(order).To(Equal([]int{512, 513, 510}))
-	var beliefs []string
-	for _, line := range story.Beliefs {
-		beliefs = append(beliefs, line.Node+" "+line.Text)
+	var stateChanges []string
+	for _, line := range history.StateChanges {
+		stateChanges = append(stateChanges, line.Node+" "+line.Message)
 	}
-	g.Expect(beliefs).To(Equal([]string{"n1 runner added", "n1 configuration in force", "n3 order"}))
-	g.Expect(story.Beliefs[1].Number("version")).To(Equal(5.0), "the newest before the end")
-	_, found = log.Request("r9")
+	g.Expect(stateChanges).To(Equal([]string{"n1 runner added", "n1 configuration in force", "n3 order"}))
+	g.Expect(history.StateChanges[1].NumberField("version")).To(Equal(5.0), "the latest value before the end of the request")
+	_, found = log.History("r9")
 	g.Expect(found).To(BeFalse())
 }
 
-func TestFailuresAreGroupedByCause(t *testing.T) {
+func TestFailures(t *testing.T) {
 	g := NewWithT(t)
-	log, err := Read(strings.NewReader(sample))
+	log, err := Read(strings.NewReader(sampleLog))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(log.Failures()).To(Equal([]Cause{
+	g.Expect(log.Failures()).To(Equal([]FailureGroup{
 		{Outcome: "refused", Reason: "no route", Count: 2, Examples: []string{"r4", "r5"}},
 		{Outcome: "late", Count: 1, Examples: []string{"r2"}},
 		{Outcome: "unknown", Reason: "unreachable: reset", Count: 1, Examples: []string{"r1"}},
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -95,12 +95,12 @@
 func causeOf(line explain.Line) (cause string, isRequest bool) {
 	switch line.Event {
 	case events.RequestRefused.Number:
-		return "refused: " + line.Field("reason"), true
+		return "refused: " + line.StringField("reason"), true
 	case events.RequestEnded.Number:
-		if outcome := line.Field("outcome"); outcome != "complete" {
+		if outcome := line.StringField("outcome"); outcome != "complete" {
 			return "not served: " + outcome, true
 		}
-		if by := line.Field("late_by"); by != "" {
+		if by := line.StringField("late_by"); by != "" {
 			return "late: " + by, true
 		}
 		return "", true
@@ -111,8 +111,8 @@
 func keysOf(line explain.Line, began time.Time) map[Dimension]string {
 	second := int(line.Time.Sub(began).Truncate(window).Seconds())
 	keys := map[Dimension]string{
-		ByRoute: line.Field("route"), ByTenant: line.Field("tenant"), ByRouter: line.Node,
-		ByRunner: line.Field("runner"), ByWindow: strconv.Itoa(second),
+		ByRoute: line.StringField("route"), ByTenant: line.StringField("tenant"), ByRouter: line.Node,
+		ByRunner: line.StringField("runner"), ByWindow: strconv.Itoa(second),
 	}
 	maps.DeleteFunc(keys, func(_ Dimension, key string) bool { return key == "" })
 	return keys
