--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -97,7 +97,7 @@
 	return line, true
 }
 
-// History holds the log lines that explain the outcome of one request.
+// RequestHistory holds the log lines that explain the outcome of one request.
 type RequestHistory struct {
 	Request string
 	// Lines are the events of the request, in order.
