--- a/api/v1/defaults.go
+++ b/api/v1/defaults.go
@@ -1,6 +1,7 @@
 package v1
 
-// Defaults, written out into every stored resource so that operators see them.
+// Default values of unset fields. They are written into every stored resource so that operators
+// see the values in effect.
 const (
 	DefaultMaxWaitMillis     = 2000
 	DefaultRequestsPerSecond = 100
@@ -13,12 +14,13 @@
 	DefaultBlockBytes        = 64
 )
 
-// Defaulter fills the unset fields of a spec.
+// Defaulter is implemented by all specs.
 type Defaulter interface {
 	// SetDefaults writes default values into unset fields.
 	SetDefaults()
 }
 
+// setDefault sets a field that has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/api/v1/manifest_test.go
+++ b/api/v1/manifest_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestDemonstrationManifestsAreValid(t *testing.T) {
+func TestDemoManifestsAreValid(t *testing.T) {
 	g := NewWithT(t)
 	content, err := os.ReadFile("../../examples/demo.yaml")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -18,13 +18,13 @@
 	g.Expect(CheckReferences(manifests, func(Key) bool { return false })).To(BeEmpty())
 }
 
-func TestFaultsNameFileLineAndField(t *testing.T) {
+func TestFaultsIncludeFileLineAndField(t *testing.T) {
 	cases := []struct {
 		name, content, want string
 	}{
 		{"unknown kind", "apiVersion: clovertiller/v1\nkind: Car\n", "f.yaml:1: kind: must be one of"},
-		{"other version", "apiVersion: v9\nkind: Tier\n", "f.yaml:1: apiVersion: must be"},
-		{"unknown top field", "apiVersion: clovertiller/v1\nkind: Tier\nextra: 1\n", "f.yaml:3: extra: unknown field"},
+		{"unsupported apiVersion", "apiVersion: v9\nkind: Tier\n", "f.yaml:1: apiVersion: must be"},
+		{"unknown top-level field", "apiVersion: clovertiller/v1\nkind: Tier\nextra: 1\n", "f.yaml:3: extra: unknown field"},
 		{"unknown spec field", "apiVersion: clovertiller/v1\nkind: Tier\nmetadata: {name: a}\nspec:\n  colour: red\n", `f.yaml:5: spec: spec: json: unknown field "colour"`},
 		{"wrong type", "apiVersion: clovertiller/v1\nkind: Tier\nmetadata: {name: a}\nspec: {priority: high}\n", "cannot unmarshal string"},
 		{"out of range", "apiVersion: clovertiller/v1\nkind: Pool\nmetadata: {name: a}\nspec: {maxLoading: -2}\n", "f.yaml:1: spec.maxLoading: must be above 0, got -2"},
@@ -36,16 +36,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, faults := ParseManifests("f.yaml", []byte(c.content))
-			var all []string
+			var texts []string
 			for _, fault := range faults {
-				all = append(all, fault.String())
+				texts = append(texts, fault.String())
 			}
-			NewWithT(t).Expect(strings.Join(all, "\n")).To(ContainSubstring(c.want))
+			NewWithT(t).Expect(strings.Join(texts, "\n")).To(ContainSubstring(c.want))
 		})
 	}
 }
 
-func TestMissingReferencesAndDoubleNames(t *testing.T) {
+func TestCheckReferences(t *testing.T) {
 	g := NewWithT(t)
 	tenant := "apiVersion: clovertiller/v1\nkind: Tenant\nmetadata: {name: a}\nspec: {tier: gone, keyHashes: [" + strings.Repeat("a", 64) + "]}\n"
 	manifests, faults := ParseManifests("f.yaml", []byte(tenant+"---\n"+tenant))
@@ -55,7 +55,7 @@
 	g.Expect(CheckReferences(manifests[:1], func(key Key) bool { return key == Key{KindTier, "gone"} })).To(BeEmpty())
 }
 
-func TestDefaultsAreWrittenOut(t *testing.T) {
+func TestObjectIncludesDefaults(t *testing.T) {
 	g := NewWithT(t)
 	manifests, _ := ParseManifests("f.yaml", []byte("apiVersion: clovertiller/v1\nkind: Pool\nmetadata: {name: a}\n"))
 	g.Expect(string(manifests[0].Object().Spec)).To(ContainSubstring(`"maxLoading":2`))
--- a/api/v1/types.go
+++ b/api/v1/types.go
@@ -1,8 +1,8 @@
-// Package v1 holds the typed, versioned resources by which operators drive
-// clovertiller, with their defaults, validation and YAML form.
+// Package v1 defines the versioned resources with which operators configure clovertiller, their
+// default values, their validation and their YAML manifests.
 //
-// The package has no I/O. The platform's object API stores each resource as an
-// Object whose Spec is the JSON form of one of the spec types below.
+// The platform's object API stores each resource as an Object, whose Spec is the JSON encoding of
+// one of the spec types of this package. The package performs no I/O.
 package v1
 
 import (
@@ -12,7 +12,7 @@
 // APIVersion is the value of the apiVersion field of every manifest.
 const APIVersion = "clovertiller/v1"
 
-// Kind names a resource type.
+// Kind is the type of a resource.
 type Kind string
 
 // The resource kinds. Machine, Lease and ClaimAssignment are written by the
@@ -48,8 +48,8 @@
 type Object struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Version is the platform's revision at which the object last changed, with its era.
-	// It orders all accepted states of the object.
+	// Version is the revision of the platform's store at which the object last changed, including
+	// the era of the store. It orders all accepted states of the object.
 	Version uint64 `json:"version"`
 	// Deleted marks a tombstone: Version is then the revision of the deletion.
 	Deleted bool            `json:"deleted,omitempty"`
@@ -57,13 +57,13 @@
 	Status  *Status         `json:"status,omitempty"`
 }
 
-// Key returns the object's identity.
+// Key returns the kind and name of the object.
 func (o Object) Key() Key { return Key{Kind: o.Kind, Name: o.Name} }
 
-// ConditionState is the value of a Condition.
+// ConditionState is the state of a Condition.
 type ConditionState string
 
-// The values of a condition.
+// The states of a condition.
 const (
 	ConditionTrue    ConditionState = "True"
 	ConditionFalse   ConditionState = "False"
@@ -72,15 +72,15 @@
 
 // Condition types written by the routers.
 const (
-	// ConditionAccepted says whether the routers could read and validate the object.
+	// ConditionAccepted is true if the routers can decode the object and it is valid.
 	ConditionAccepted = "Accepted"
-	// ConditionInForce says whether every live router applies ObservedVersion.
+	// ConditionInForce is true if every live router applies ObservedVersion.
 	ConditionInForce = "InForce"
-	// ConditionServing says whether a runner serves its model's desired weights.
+	// ConditionServing is true if the runner serves the desired weights of its model.
 	ConditionServing = "Serving"
 )
 
-// Condition is one typed observation about a resource.
+// Condition is the state of one aspect of a resource, as observed by the routers.
 type Condition struct {
 	Type    string         `json:"type"`
 	State   ConditionState `json:"state"`
@@ -88,96 +88,98 @@
 	Message string         `json:"message,omitempty"`
 }
 
-// Status is what the system reports back on a resource.
+// Status is the state of a resource, as reported by the routers.
 type Status struct {
-	// ObservedVersion is the version the conditions speak of.
+	// ObservedVersion is the version of the object to which the conditions apply.
 	ObservedVersion uint64      `json:"observedVersion"`
 	Conditions      []Condition `json:"conditions,omitempty"`
 }
 
-// TierSpec is a priority that tenants buy.
+// TierSpec defines a service tier, which determines the priority of its tenants' requests.
 type TierSpec struct {
-	// Priority orders tiers; 0 is served first.
+	// Priority orders the tiers; 0 is the highest priority.
 	Priority int `json:"priority"`
-	// MaxWaitMillis is the longest expected wait for a first token, in
-	// milliseconds, at which a request of this tier is still accepted.
+	// MaxWaitMillis is the maximum expected time to first token, in milliseconds. Requests of
+	// this tier that would wait for longer are refused.
 	MaxWaitMillis int `json:"maxWaitMillis,omitempty"`
 }
 
-// TenantSpec is one customer of the platform.
+// TenantSpec defines a customer of the platform and its limits.
 type TenantSpec struct {
 	Tier string `json:"tier"`
-	// KeyHashes are lower-case hex SHA-256 digests of the tenant's bearer keys.
+	// KeyHashes are SHA-256 digests of the tenant's bearer tokens, in lower-case hex.
 	KeyHashes []string `json:"keyHashes"`
-	// RequestsPerSecond is the sustained request rate over all routers.
+	// RequestsPerSecond is the maximum sustained request rate across all routers.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
-	// MaxConcurrent bounds open requests over all routers.
+	// MaxConcurrent is the maximum number of open requests across all routers.
 	MaxConcurrent int `json:"maxConcurrent,omitempty"`
-	// Models lists the models the tenant may call; empty means all.
+	// Models are the models that the tenant may use; empty means all.
 	Models []string `json:"models,omitempty"`
 }
 
-// ModelSpec is a model callers may name.
+// ModelSpec defines a model that requests may name.
 type ModelSpec struct {
+	// Pool is the pool whose runners serve the model.
 	Pool string `json:"pool"`
-	// WeightVersion is the desired version; runners are moved to it by rollout.
+	// WeightVersion is the desired version of the weights. A rollout updates the runners to it.
 	WeightVersion string `json:"weightVersion"`
-	// ContextTokens bounds prompt plus answer, in tokens.
+	// ContextTokens is the maximum length of prompt and completion together, in tokens.
 	ContextTokens int `json:"contextTokens,omitempty"`
 }
 
-// AdapterSpec is a fine-tuned adapter on a model; callers name it "model:adapter".
+// AdapterSpec defines a fine-tuned adapter of a model. Requests name it as "model:adapter".
 type AdapterSpec struct {
 	Model string `json:"model"`
 }
 
-// WeightVersionSpec is one set of weights of a model in the weight store.
+// WeightVersionSpec defines one version of a model's weights in the weight store.
 type WeightVersionSpec struct {
 	Model string `json:"model"`
-	// Source is the weight store's name of the weights.
+	// Source is the name of the weights in the weight store.
 	Source string `json:"source"`
 }
 
-// PoolSpec is a group of runners that share models and rollout limits.
+// PoolSpec defines a group of runners that serve the same models, and the limits of rollouts
+// in the group.
 type PoolSpec struct {
-	// HitWeight weighs prefix hits against queueing when a runner is chosen:
-	// the cost of one uncached prompt token relative to one queued token.
+	// HitWeight is the cost of one uncached prompt token relative to one queued token. It weighs
+	// cache hits against queueing in the choice of a runner.
 	HitWeight float64 `json:"hitWeight,omitempty"`
-	// MaxLoading bounds how many runners load weights at once.
+	// MaxLoading is the maximum number of runners that load weights at the same time.
 	MaxLoading int `json:"maxLoading,omitempty"`
-	// MinServingPercent is the share of runners that must keep serving in a rollout.
+	// MinServingPercent is the percentage of runners that must keep serving during a rollout.
 	MinServingPercent int `json:"minServingPercent,omitempty"`
-	// AnchorStride is the distance in blocks between indexed blocks.
+	// AnchorStride is the distance between indexed cache blocks, in blocks.
 	AnchorStride int `json:"anchorStride,omitempty"`
-	// BlockBytes is the size of a cache block in bytes of prompt text.
+	// BlockBytes is the size of a cache block, in bytes of prompt text.
 	BlockBytes int `json:"blockBytes,omitempty"`
 }
 
-// RunnerRole is the part a runner plays in its pool.
+// RunnerRole determines whether a runner of a pool receives requests.
 type RunnerRole string
 
 // The roles of a runner.
 const (
 	RoleServe RunnerRole = "serve"
-	// RoleStandby keeps a runner loaded but out of placement.
+	// RoleStandby keeps the weights of a runner loaded, but excludes it from placement.
 	RoleStandby RunnerRole = "standby"
 )
 
-// RunnerSpec is one model engine process.
+// RunnerSpec defines one model engine process.
 type RunnerSpec struct {
 	Pool string `json:"pool"`
 	Zone string `json:"zone"`
-	// Address is the engine's HTTP address as IP:port.
+	// Address is the IP:port of the engine's HTTP server.
 	Address string     `json:"address"`
 	Role    RunnerRole `json:"role,omitempty"`
-	// Machine names the machine in the machine list that the runner is on.
+	// Machine is the name, in the machine list, of the machine on which the runner runs.
 	Machine string `json:"machine,omitempty"`
 }
 
 // MachineState is a machine's state in the platform's machine list.
 type MachineState string
 
-// The states of a listed machine.
+// The states of a machine. A leaving machine is about to be removed.
 const (
 	MachineLive    MachineState = "live"
 	MachineLeaving MachineState = "leaving"
@@ -189,30 +191,31 @@
 	Zone  string       `json:"zone"`
 }
 
-// LeaseSpec is the content of a lease object. The object's version at the
-// acquiring write is the fencing token of the holder's term.
+// LeaseSpec is the content of a lease object. The version of the object at the write that
+// acquired the lease is the fencing token of the holder's term.
 type LeaseSpec struct {
 	Holder string `json:"holder"`
-	// Term counts acquisitions; it changes with the holder, not on renewal.
+	// Term counts acquisitions. A renewal does not change it.
 	Term uint64 `json:"term"`
-	// RenewCount changes on every renewal, so that other nodes can time the
-	// lease on their own clocks.
+	// RenewCount changes with every renewal, so that other nodes can measure the age of the
+	// lease by their own clocks.
 	RenewCount uint64 `json:"renewCount"`
-	// DurationMillis is the time without renewal after which it may be taken.
+	// DurationMillis is the time without renewal, in milliseconds, after which another node may
+	// acquire the lease.
 	DurationMillis int64 `json:"durationMillis"`
-	// StoreEra is the era of the platform's store in which the writer had read the
-	// lease before; without one, the first.
+	// StoreEra is the era of the platform's store in which the writer last read the lease; 0
+	// means the first era.
 	StoreEra uint64 `json:"storeEra,omitempty"`
 }
 
-// ClaimHolder is one process that holds claims: a node and its incarnation, so
-// that a restarted process, whose memory is gone, is not mistaken for it.
+// ClaimHolder identifies one process that holds claims. Claims are kept in memory, so the
+// incarnation distinguishes a restarted process, which has lost them, from the one before.
 type ClaimHolder struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// ClaimAssignmentSpec is the numbered set of claim holders in force.
+// ClaimAssignmentSpec is the current set of claim holders. Each new set has a higher number.
 type ClaimAssignmentSpec struct {
 	Number  uint64        `json:"number"`
 	Holders []ClaimHolder `json:"holders"`
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -23,7 +23,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Fault is one thing wrong with a resource.
+// Fault is an invalid field of a resource.
 type Fault struct {
 	// Field is the path of the field, such as "spec.tier".
 	Field   string
@@ -33,19 +33,19 @@
 // String returns "field: message".
 func (f Fault) String() string { return f.Field + ": " + f.Message }
 
-// Spec is the typed content of a resource.
+// Spec is the content of a resource.
 type Spec interface {
 	Defaulter
-	// Validate returns the faults visible without other resources.
+	// Validate returns the faults that can be found without looking at other resources.
 	Validate() []Fault
-	// References returns the resources this one names.
+	// References returns the references to other resources that must exist.
 	References() []Reference
 }
 
-// Reference is a field that names another resource.
+// Reference is a field that refers to another resource.
 type Reference struct {
-	Field string
-	To    Key
+	Field  string
+	Target Key
 }
 
 // NewSpec returns an empty spec of the kind, or false for an unknown kind.
@@ -75,8 +75,8 @@
 	return nil, false
 }
 
-// DecodeSpec reads the object's spec, refuses unknown fields and writes the
-// defaults. It returns trace.BadParameter when the spec cannot be read.
+// DecodeSpec decodes the spec of an object and sets unset fields to their defaults. It returns
+// trace.BadParameter if the kind or a field is unknown or the spec cannot be decoded.
 func DecodeSpec(object Object) (Spec, error) {
 	spec, known := NewSpec(object.Kind)
 	if !known {
@@ -91,7 +91,7 @@
 	return spec, nil
 }
 
-// ValidateName returns the fault of a resource name, if any.
+// ValidateName returns a fault if the resource name is invalid.
 func ValidateName(name string) []Fault {
 	if len(name) > maxNameLength || !namePattern.MatchString(name) {
 		return []Fault{{"metadata.name", fmt.Sprintf("must be at most %d lower-case letters, digits, '-' or '.', got %q", maxNameLength, name)}}
@@ -99,21 +99,22 @@
 	return nil
 }
 
-// checks collects faults.
-type checks []Fault
+// faultList collects the faults of one spec.
+type faultList []Fault
 
-func (c *checks) require(ok bool, field, format string, args ...any) {
+// require adds a fault unless ok is true.
+func (l *faultList) require(ok bool, field, format string, args ...any) {
 	if !ok {
-		*c = append(*c, Fault{field, fmt.Sprintf(format, args...)})
+		*l = append(*l, Fault{field, fmt.Sprintf(format, args...)})
 	}
 }
 
 // Validate implements Spec.
 func (s *TierSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Priority >= 0 && s.Priority <= maxPriority, "spec.priority", "must be 0 to %d, got %d", maxPriority, s.Priority)
-	c.require(s.MaxWaitMillis > 0, "spec.maxWaitMillis", "must be above 0, got %d", s.MaxWaitMillis)
-	return c
+	var faults faultList
+	faults.require(s.Priority >= 0 && s.Priority <= maxPriority, "spec.priority", "must be 0 to %d, got %d", maxPriority, s.Priority)
+	faults.require(s.MaxWaitMillis > 0, "spec.maxWaitMillis", "must be above 0, got %d", s.MaxWaitMillis)
+	return faults
 }
 
 // References implements Spec.
@@ -121,16 +122,16 @@
 
 // Validate implements Spec.
 func (s *TenantSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Tier != "", "spec.tier", "is required")
-	c.require(len(s.KeyHashes) > 0, "spec.keyHashes", "needs at least one key hash")
+	var faults faultList
+	faults.require(s.Tier != "", "spec.tier", "is required")
+	faults.require(len(s.KeyHashes) > 0, "spec.keyHashes", "needs at least one key hash")
 	for i, hash := range s.KeyHashes {
 		_, err := hex.DecodeString(hash)
-		c.require(err == nil && len(hash) == keyHashHexLength, fmt.Sprintf("spec.keyHashes[%d]", i), "must be a SHA-256 digest of %d hex digits", keyHashHexLength)
+		faults.require(err == nil && len(hash) == keyHashHexLength, fmt.Sprintf("spec.keyHashes[%d]", i), "must be a SHA-256 digest of %d hex digits", keyHashHexLength)
 	}
-	c.require(s.RequestsPerSecond > 0, "spec.requestsPerSecond", "must be above 0, got %g", s.RequestsPerSecond)
-	c.require(s.MaxConcurrent > 0, "spec.maxConcurrent", "must be above 0, got %d", s.MaxConcurrent)
-	return c
+	faults.require(s.RequestsPerSecond > 0, "spec.requestsPerSecond", "must be above 0, got %g", s.RequestsPerSecond)
+	faults.require(s.MaxConcurrent > 0, "spec.maxConcurrent", "must be above 0, got %d", s.MaxConcurrent)
+	return faults
 }
 
 // References implements Spec.
@@ -144,11 +145,11 @@
 
 // Validate implements Spec.
 func (s *ModelSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Pool != "", "spec.pool", "is required")
-	c.require(s.WeightVersion != "", "spec.weightVersion", "is required")
-	c.require(s.ContextTokens > 0, "spec.contextTokens", "must be above 0, got %d", s.ContextTokens)
-	return c
+	var faults faultList
+	faults.require(s.Pool != "", "spec.pool", "is required")
+	faults.require(s.WeightVersion != "", "spec.weightVersion", "is required")
+	faults.require(s.ContextTokens > 0, "spec.contextTokens", "must be above 0, got %d", s.ContextTokens)
+	return faults
 }
 
 // References implements Spec.
@@ -161,9 +162,9 @@
 
 // Validate implements Spec.
 func (s *AdapterSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Model != "", "spec.model", "is required")
-	return c
+	var faults faultList
+	faults.require(s.Model != "", "spec.model", "is required")
+	return faults
 }
 
 // References implements Spec.
@@ -173,25 +174,25 @@
 
 // Validate implements Spec.
 func (s *WeightVersionSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Model != "", "spec.model", "is required")
-	c.require(s.Source != "", "spec.source", "is required")
-	return c
+	var faults faultList
+	faults.require(s.Model != "", "spec.model", "is required")
+	faults.require(s.Source != "", "spec.source", "is required")
+	return faults
 }
 
-// References implements Spec. The model is not listed: a model names its
-// version and the version its model, and one of the two must be written first.
+// References implements Spec. It does not include the model: a model and its weight version
+// refer to each other, and one of the two must be written first.
 func (s *WeightVersionSpec) References() []Reference { return nil }
 
 // Validate implements Spec.
 func (s *PoolSpec) Validate() []Fault {
-	var c checks
-	c.require(s.HitWeight > 0 && s.HitWeight <= 10, "spec.hitWeight", "must be above 0 and at most 10, got %g", s.HitWeight)
-	c.require(s.MaxLoading > 0, "spec.maxLoading", "must be above 0, got %d", s.MaxLoading)
-	c.require(s.MinServingPercent >= 0 && s.MinServingPercent < 100, "spec.minServingPercent", "must be 0 to 99, got %d", s.MinServingPercent)
-	c.require(s.AnchorStride > 0 && s.AnchorStride <= maxAnchorStride, "spec.anchorStride", "must be 1 to %d, got %d", maxAnchorStride, s.AnchorStride)
-	c.require(s.BlockBytes >= minBlockBytes && s.BlockBytes <= maxBlockBytes, "spec.blockBytes", "must be %d to %d, got %d", minBlockBytes, maxBlockBytes, s.BlockBytes)
-	return c
+	var faults faultList
+	faults.require(s.HitWeight > 0 && s.HitWeight <= 10, "spec.hitWeight", "must be above 0 and at most 10, got %g", s.HitWeight)
+	faults.require(s.MaxLoading > 0, "spec.maxLoading", "must be above 0, got %d", s.MaxLoading)
+	faults.require(s.MinServingPercent >= 0 && s.MinServingPercent < 100, "spec.minServingPercent", "must be 0 to 99, got %d", s.MinServingPercent)
+	faults.require(s.AnchorStride > 0 && s.AnchorStride <= maxAnchorStride, "spec.anchorStride", "must be 1 to %d, got %d", maxAnchorStride, s.AnchorStride)
+	faults.require(s.BlockBytes >= minBlockBytes && s.BlockBytes <= maxBlockBytes, "spec.blockBytes", "must be %d to %d, got %d", minBlockBytes, maxBlockBytes, s.BlockBytes)
+	return faults
 }
 
 // References implements Spec.
@@ -199,13 +200,13 @@
 
 // Validate implements Spec.
 func (s *RunnerSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Pool != "", "spec.pool", "is required")
-	c.require(s.Zone != "", "spec.zone", "is required")
+	var faults faultList
+	faults.require(s.Pool != "", "spec.pool", "is required")
+	faults.require(s.Zone != "", "spec.zone", "is required")
 	_, err := netip.ParseAddrPort(s.Address)
-	c.require(err == nil, "spec.address", "must be IP:port, got %q", s.Address)
-	c.require(s.Role == RoleServe || s.Role == RoleStandby, "spec.role", "must be %q or %q, got %q", RoleServe, RoleStandby, s.Role)
-	return c
+	faults.require(err == nil, "spec.address", "must be IP:port, got %q", s.Address)
+	faults.require(s.Role == RoleServe || s.Role == RoleStandby, "spec.role", "must be %q or %q, got %q", RoleServe, RoleStandby, s.Role)
+	return faults
 }
 
 // References implements Spec.
@@ -215,9 +216,9 @@
 
 // Validate implements Spec.
 func (s *MachineSpec) Validate() []Fault {
-	var c checks
-	c.require(s.State == MachineLive || s.State == MachineLeaving, "spec.state", "must be %q or %q, got %q", MachineLive, MachineLeaving, s.State)
-	return c
+	var faults faultList
+	faults.require(s.State == MachineLive || s.State == MachineLeaving, "spec.state", "must be %q or %q, got %q", MachineLive, MachineLeaving, s.State)
+	return faults
 }
 
 // References implements Spec.
@@ -225,9 +226,9 @@
 
 // Validate implements Spec.
 func (s *LeaseSpec) Validate() []Fault {
-	var c checks
-	c.require(s.DurationMillis > 0, "spec.durationMillis", "must be above 0, got %d", s.DurationMillis)
-	return c
+	var faults faultList
+	faults.require(s.DurationMillis > 0, "spec.durationMillis", "must be above 0, got %d", s.DurationMillis)
+	return faults
 }
 
 // References implements Spec.
@@ -235,10 +236,10 @@
 
 // Validate implements Spec.
 func (s *ClaimAssignmentSpec) Validate() []Fault {
-	var c checks
-	c.require(s.Number > 0, "spec.number", "must be above 0")
-	c.require(len(s.Holders) > 0, "spec.holders", "needs at least one holder")
-	return c
+	var faults faultList
+	faults.require(s.Number > 0, "spec.number", "must be above 0")
+	faults.require(len(s.Holders) > 0, "spec.holders", "needs at least one holder")
+	return faults
 }
 
 // References implements Spec.
