--- a/cmd/clovertiller-gateway/main.go
+++ b/cmd/clovertiller-gateway/main.go
@@ -1,5 +1,5 @@
-// Command clovertiller-gateway is the router on the users' platform. Its
-// settings come from the platform's settings file.
+// Command clovertiller-gateway runs a router on the users' platform. It reads its settings
+// from the platform's settings file.
 package main
 
 import (
--- a/cmd/clovertiller-lab/ledger.go
+++ b/cmd/clovertiller-lab/ledger.go
@@ -15,14 +15,14 @@
 	"github.com/clovertiller/clovertiller/internal/lab/ledger"
 )
 
-// ledgerCommand tells where requests of a day were lost.
+// ledgerCommand counts the lost requests of one bench run, which is called a day.
 func ledgerCommand() command {
 	subcommand := newSubcommand("ledger", "Count the lost requests of a day by cause, route, tenant, router, runner and time.")
 	var logPath, reportPath, csvPath, plotPath string
-	subcommand.String(&logPath, "", "log", "Path of the routers' log lines.")
-	subcommand.String(&reportPath, "", "report", "Path of the day's report, for what each cause cost.")
-	subcommand.String(&csvPath, "", "csv", "Where all rows go as CSV.")
-	subcommand.String(&plotPath, "", "plot", "Where the plot over time goes, as .svg or .png.")
+	subcommand.String(&logPath, "", "log", "Path of the routers' log.")
+	subcommand.String(&reportPath, "", "report", "Path of the bench's report on the day, which has the cost of each cause.")
+	subcommand.String(&csvPath, "", "csv", "Path of a CSV file for all rows.")
+	subcommand.String(&plotPath, "", "plot", "Path of an .svg or .png file for a plot over time.")
 	return command{subcommand, func(context.Context) error { return runLedger(logPath, reportPath, csvPath, plotPath) }}
 }
 
@@ -36,33 +36,34 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	account, err := ledger.FromLog(log)
+	lostRequests, err := ledger.FromLog(log)
 	if err != nil {
 		return err
 	}
-	report, err := readReport(reportPath, account)
+	report, err := readReport(reportPath, lostRequests)
 	if err != nil {
 		return err
 	}
-	account.WriteTable(os.Stdout, report)
+	lostRequests.WriteTable(os.Stdout, report)
 	if plotPath != "" {
-		if err := account.Plot(plotPath); err != nil {
+		if err := lostRequests.Plot(plotPath); err != nil {
 			return err
 		}
 	}
 	if csvPath == "" {
 		return nil
 	}
-	rows, err := os.Create(csvPath)
+	csvFile, err := os.Create(csvPath)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	defer rows.Close()
-	return account.WriteCSV(rows)
+	defer csvFile.Close()
+	return lostRequests.WriteCSV(csvFile)
 }
 
-// readReport returns nil without a path.
-func readReport(path string, account *ledger.Ledger) (*ledger.Report, error) {
+// readReport reads a report and checks that it is of the same day as the lost requests. It
+// returns nil if the path is empty.
+func readReport(path string, lostRequests *ledger.Ledger) (*ledger.Report, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -75,22 +76,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return report, report.Matches(account)
+	return report, report.Matches(lostRequests)
 }
 
-// compareCommand plays the same days with two builds.
+// compareCommand runs the same days of the users' bench with two builds.
 func compareCommand() command {
-	subcommand := newSubcommand("compare", "Play the same days with two builds and tell the mean difference.")
+	subcommand := newSubcommand("compare", "Run the same days with two builds and print the mean difference.")
 	settings := compare.Settings{Jobs: 2}
-	bench, why, seeds, sites, days := "", "comparison of two builds (trial)", "0", "", ""
-	subcommand.String(&bench, "", "bench", "Path of the users' bench.")
-	subcommand.String(&settings.Before, "", "before", "Folder of the first build's sources.")
-	subcommand.String(&settings.After, "", "after", "Folder of the second build's sources.")
+	benchPath, note, seeds, sites, days := "", "comparison of two builds (trial)", "0", "", ""
+	subcommand.String(&benchPath, "", "bench", "Path of the users' bench.")
+	subcommand.String(&settings.Before, "", "before", "Source folder of the first build.")
+	subcommand.String(&settings.After, "", "after", "Source folder of the second build.")
 	subcommand.String(&sites, "", "sites", "Paths of site files, separated by commas.")
 	subcommand.String(&days, "", "days", "Names of days or paths of day files, separated by commas.")
-	subcommand.String(&seeds, "", "seeds", "Seeds, separated by commas; 0 is the day's own.")
-	subcommand.Int(&settings.Jobs, "", "jobs", "How many plays run at once.")
-	subcommand.String(&why, "", "why", "What the journals note.")
+	subcommand.String(&seeds, "", "seeds", "Seeds, separated by commas; 0 is the seed of the day file.")
+	subcommand.Int(&settings.Jobs, "", "jobs", "Number of concurrent runs.")
+	subcommand.String(&note, "", "why", "Note for the bench's journal.")
 	return command{subcommand, func(ctx context.Context) error {
 		settings.Sites, settings.Days = absolutePaths(splitList(sites)), splitList(days)
 		for _, text := range splitList(seeds) {
@@ -100,20 +101,21 @@
 			}
 			settings.Seeds = append(settings.Seeds, seed)
 		}
-		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{bench})[0], Why: why})
+		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{benchPath})[0], Why: note})
 		if err != nil {
-			return fmt.Errorf("comparison given up: %w", err)
+			return fmt.Errorf("comparison failed: %w", err)
 		}
 		compare.Write(os.Stdout, pairs)
 		return nil
 	}}
 }
 
+// splitList splits a comma-separated list and drops empty elements.
 func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
 
-// absolutePaths makes paths that hold in other folders too.
+// absolutePaths makes the paths independent of the working directory. It changes the slice.
 func absolutePaths(paths []string) []string {
 	for i, path := range paths {
 		if absolute, err := filepath.Abs(path); err == nil {
--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -1,5 +1,5 @@
-// Command clovertiller-lab runs the stand-ins of engines and platform, and the
-// project's experiments. It is no part of the product.
+// Command clovertiller-lab runs simulated engines and a simulated platform, and the load tests
+// and experiments of the project. It is not part of the product.
 package main
 
 import (
@@ -26,7 +26,7 @@
 
 func main() { os.Exit(run()) }
 
-// command is one subcommand with what it does.
+// command is a subcommand and the function that runs it.
 type command struct {
 	subcommand *flaggy.Subcommand
 	run        func(context.Context) error
@@ -34,7 +34,7 @@
 
 func run() int {
 	parser := flaggy.NewParser("clovertiller-lab")
-	parser.Description = "Stand-ins and experiments of clovertiller."
+	parser.Description = "Simulators, load tests and experiments for clovertiller."
 	commands := []command{platformCommand(), engineCommand(), loadCommand(), experimentCommand(), soakCommand(), gatewayCommand(), ledgerCommand(), compareCommand()}
 	for _, c := range commands {
 		parser.AttachSubcommand(c.subcommand, 1)
@@ -66,12 +66,12 @@
 }
 
 func platformCommand() command {
-	subcommand := newSubcommand("platform", "Run the stand-in of the platform.")
+	subcommand := newSubcommand("platform", "Run a simulated platform.")
 	listen := "127.0.0.1:7700"
 	settings := platformserver.DefaultSettings()
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
-	subcommand.Duration(&settings.LoadTime, "", "load-time", "How long one load of weights takes.")
-	subcommand.Int(&settings.LoadsAtOnce, "", "loads-at-once", "How many loads run at full speed.")
+	subcommand.Duration(&settings.LoadTime, "", "load-time", "Duration of one load of weights.")
+	subcommand.Int(&settings.LoadsAtOnce, "", "loads-at-once", "Maximum number of concurrent loads at full speed.")
 	return command{subcommand, func(ctx context.Context) error {
 		listener, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -85,16 +85,16 @@
 }
 
 func engineCommand() command {
-	subcommand := newSubcommand("engine", "Run the stand-in of a model engine.")
+	subcommand := newSubcommand("engine", "Run a simulated model engine.")
 	listen := "127.0.0.1:0"
 	settings := engineserver.Settings{Engine: enginemodel.DefaultSettings()}
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
-	subcommand.String(&settings.Platform, "", "platform", "IP:port of the platform stand-in, for weights.")
-	subcommand.String(&settings.Model, "m", "model", "Model loaded from the start.")
-	subcommand.String(&settings.WeightVersion, "w", "weights", "Weight version loaded from the start.")
-	subcommand.Int(&settings.Engine.CapacityBlocks, "", "blocks", "Size of the cache in blocks.")
-	subcommand.Int(&settings.Faults.EventLagMillis, "", "event-lag", "Lag of cache events in milliseconds.")
-	subcommand.Float64(&settings.Faults.EventLoss, "", "event-loss", "Share of cache events lost, 0 to 1.")
+	subcommand.String(&settings.Platform, "", "platform", "IP:port of the simulated platform, from which weights are loaded.")
+	subcommand.String(&settings.Model, "m", "model", "Model that is loaded at the start.")
+	subcommand.String(&settings.WeightVersion, "w", "weights", "Weight version that is loaded at the start.")
+	subcommand.Int(&settings.Engine.CapacityBlocks, "", "blocks", "Cache size in blocks.")
+	subcommand.Int(&settings.Faults.EventLagMillis, "", "event-lag", "Delay of cache events in milliseconds.")
+	subcommand.Float64(&settings.Faults.EventLoss, "", "event-loss", "Fraction of cache events that are lost, 0 to 1.")
 	return command{subcommand, func(ctx context.Context) error {
 		listener, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -102,44 +102,44 @@
 		}
 		server := engineserver.Start(listener, settings)
 		<-ctx.Done()
-		// A second signal ends the drain.
-		drain, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		// A second signal aborts the drain.
+		drainCtx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		server.Drain(drain)
+		server.Drain(drainCtx)
 		server.Close()
 		return nil
 	}}
 }
 
 func experimentCommand() command {
-	subcommand := newSubcommand("experiment", "Compare placement with baselines and an oracle in emulated time.")
+	subcommand := newSubcommand("experiment", "Compare placement with baselines and an oracle in virtual time.")
 	settings := experiment.DefaultSettings()
 	subcommand.Int(&settings.Seeds, "", "seeds", "Number of seeds.")
-	subcommand.Duration(&settings.Duration, "", "duration", "Emulated time of one run.")
-	subcommand.Float64(&settings.Load, "", "load", "Offered load as a share of the oracle's saturation.")
-	subcommand.String(&settings.PlotDirectory, "", "plots", "Directory for plots; none without it.")
+	subcommand.Duration(&settings.Duration, "", "duration", "Virtual time of one run.")
+	subcommand.Float64(&settings.Load, "", "load", "Offered load as a fraction of the load that saturates the oracle.")
+	subcommand.String(&settings.PlotDirectory, "", "plots", "Directory for plots. Without it, no plots are written.")
 	return command{subcommand, func(context.Context) error { return experiment.Run(os.Stdout, settings) }}
 }
 
-// errNotClean makes a run with a lost, doubled or wrong answer fail.
-var errNotClean = errors.New("not every request was answered whole, once and right")
+// errIncorrectAnswers is the error of a run with lost, duplicated or wrong answers.
+var errIncorrectAnswers = errors.New("not every request was answered completely, exactly once and correctly")
 
 func loadCommand() command {
-	subcommand := newSubcommand("load", "Send both workloads to routers and check every answer.")
+	subcommand := newSubcommand("load", "Send requests of both workloads to routers and check every answer.")
 	settings := load.Settings{Requests: 600, Concurrency: 24, Seed: 1, Workload: workload.DefaultSettings()}
-	routers, platform, name := "127.0.0.1:7800", "", "load"
-	small := false
-	subcommand.String(&routers, "r", "routers", "IP:port of the routers, with commas between.")
-	subcommand.String(&platform, "", "platform", "IP:port of the platform stand-in, for the count of runs.")
-	subcommand.String(&name, "", "name", "Name on the last line.")
+	routers, platform, summaryName := "127.0.0.1:7800", "", "load"
+	smallPrompts := false
+	subcommand.String(&routers, "r", "routers", "IP:port of the routers, separated by commas.")
+	subcommand.String(&platform, "", "platform", "IP:port of the simulated platform, which counts how often each prompt was run.")
+	subcommand.String(&summaryName, "", "name", "Name at the start of the summary line.")
 	subcommand.Int(&settings.Requests, "n", "requests", "Number of requests.")
-	subcommand.Int(&settings.Concurrency, "c", "concurrency", "Requests open at once.")
-	subcommand.Float64(&settings.RequestsPerSecond, "", "rate", "Requests a second; 0 for as fast as answers come.")
-	subcommand.UInt64(&settings.Seed, "", "seed", "Seed of the workload.")
-	subcommand.Bool(&small, "", "small", "Short prompts.")
+	subcommand.Int(&settings.Concurrency, "c", "concurrency", "Number of concurrent requests.")
+	subcommand.Float64(&settings.RequestsPerSecond, "", "rate", "Requests per second; 0 sends the next request when an answer arrives.")
+	subcommand.UInt64(&settings.Seed, "", "seed", "Random seed of the workload.")
+	subcommand.Bool(&smallPrompts, "", "small", "Use short prompts.")
 	return command{subcommand, func(ctx context.Context) error {
 		settings.Routers = strings.Split(routers, ",")
-		if small {
+		if smallPrompts {
 			settings.Workload.Sizes = workload.SmallSizes()
 		}
 		settings.Progress = func(percent int) { fmt.Printf("progress %d\n", percent) }
@@ -150,15 +150,16 @@
 			return err
 		}
 		lost := report.Sent - report.Complete
-		fmt.Printf("%s: %d sent, %d complete, %d lost, %d duplicated, %d wrong\n", name, report.Sent, report.Complete, lost, duplicated, report.Wrong)
+		fmt.Printf("%s: %d sent, %d complete, %d lost, %d duplicated, %d wrong\n", summaryName, report.Sent, report.Complete, lost, duplicated, report.Wrong)
 		if lost+duplicated+report.Wrong > 0 || report.Sent != settings.Requests {
-			return errNotClean
+			return errIncorrectAnswers
 		}
 		return nil
 	}}
 }
 
-// countDuplicated asks the platform stand-in how often each prompt was run.
+// countDuplicated returns how many unrepeatable requests were run more than once, as counted by
+// the simulated platform. Without the platform's address it returns 0.
 func countDuplicated(report *load.Report, platform string) (int, error) {
 	if platform == "" {
 		return 0, nil
@@ -168,9 +169,9 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	runs := map[string]int{}
-	if err := json.NewDecoder(response.Body).Decode(&runs); err != nil {
+	runCounts := map[string]int{}
+	if err := json.NewDecoder(response.Body).Decode(&runCounts); err != nil {
 		return 0, err
 	}
-	return report.Duplicated(runs, engineserver.PromptDigest), nil
+	return report.Duplicated(runCounts, engineserver.PromptDigest), nil
 }
--- a/cmd/clovertiller-lab/soak.go
+++ b/cmd/clovertiller-lab/soak.go
@@ -10,62 +10,63 @@
 	"github.com/clovertiller/clovertiller/internal/lab/soak"
 )
 
-// soakCommand runs gateways as processes under random faults.
+// soakCommand runs gateway processes under random faults.
 func soakCommand() command {
-	subcommand := newSubcommand("soak", "Run gateways under random faults from outside and check the promises.")
-	program, older, root := "", "", "out"
+	subcommand := newSubcommand("soak", "Run gateway processes, inject random faults from outside, and check the promises.")
+	program, olderProgram, logRoot := "", "", "out"
 	poison, suspensions, signals, restores, lateOperator := false, false, false, false, false
 	seed, duration := uint64(0), time.Minute
 	gateways, engines := 0, 0
-	subcommand.String(&program, "", "program", "Path of the gateway; empty for the one in this program.")
-	subcommand.String(&older, "", "older", "Path of an earlier version, which every second gateway runs.")
-	subcommand.Bool(&poison, "", "poison", "Ask what ends each runner that runs it.")
-	subcommand.Bool(&suspensions, "", "suspensions", "Suspend machines; needs the gateway in this program.")
-	subcommand.Bool(&signals, "", "signals", "Have runners say that they leave, limit requests or want a rest.")
-	subcommand.Bool(&restores, "", "restores", "Have the store come back from copies.")
-	subcommand.Bool(&lateOperator, "", "late-operator", "Have the operator write again late what such a store lost.")
-	subcommand.String(&root, "", "folder", "Where settings and logs go.")
-	subcommand.UInt64(&seed, "", "seed", "Seed of the faults; 0 draws one.")
-	subcommand.Duration(&duration, "", "duration", "How long faults are injected.")
-	subcommand.Int(&gateways, "", "gateways", "How many gateways; 0 for the usual number.")
-	subcommand.Int(&engines, "", "engines", "How many runners with a model; 0 for the usual number.")
+	subcommand.String(&program, "", "program", "Path of the gateway program. Without it, this program's own gateway is run.")
+	subcommand.String(&olderProgram, "", "older", "Path of an older gateway program, which every second gateway runs.")
+	subcommand.Bool(&poison, "", "poison", "Send requests that crash every runner that processes them.")
+	subcommand.Bool(&suspensions, "", "suspensions", "Suspend machines; requires this program's own gateway.")
+	subcommand.Bool(&signals, "", "signals", "Have runners signal shutdown, rate limits and backoff.")
+	subcommand.Bool(&restores, "", "restores", "Restore the store from backups.")
+	subcommand.Bool(&lateOperator, "", "late-operator", "Delay the operator's rewrite of objects that a restored store has lost.")
+	subcommand.String(&logRoot, "", "folder", "Folder for settings and logs.")
+	subcommand.UInt64(&seed, "", "seed", "Random seed of the faults; 0 chooses one.")
+	subcommand.Duration(&duration, "", "duration", "Duration of fault injection.")
+	subcommand.Int(&gateways, "", "gateways", "Number of gateways; 0 for the default.")
+	subcommand.Int(&engines, "", "engines", "Number of runners with a model; 0 for the default.")
 	return command{subcommand, func(ctx context.Context) error {
 		if seed == 0 {
 			seed = uint64(time.Now().UnixNano() % 1e9)
 		}
-		command := []string{program}
+		commandLine := []string{program}
 		if program == "" {
-			itself, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			command = []string{itself, gatewayCommandName}
+			commandLine = []string{executable, gatewayCommandName}
 		}
 		fmt.Println("seed", seed)
 		report, err := soak.Run(ctx, soak.Settings{
-			Program: command, Older: older, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
-			Seed: seed, Duration: duration, Folder: soak.LogFolder(root, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
+			Program: commandLine, Older: olderProgram, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
+			Seed: seed, Duration: duration, Folder: soak.LogFolder(logRoot, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
 		})
 		if err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: %d calls, %d served, %d faults, %d promises broken\n", seed, report.Calls, report.Served, report.Faults, len(report.Failures))
 		if len(report.Failures) > 0 {
-			return fmt.Errorf("seed %d: %d promises broken, logs in %s", seed, len(report.Failures), soak.LogFolder(root, seed))
+			return fmt.Errorf("seed %d: %d promises broken, logs in %s", seed, len(report.Failures), soak.LogFolder(logRoot, seed))
 		}
 		return nil
 	}}
 }
 
-// gatewayCommandName is the subcommand that runs a gateway.
+// gatewayCommandName is the subcommand by which the soak runs this program's own gateway.
 const gatewayCommandName = "gateway"
 
-// gatewayCommand runs a gateway whose machine the soak may suspend.
+// gatewayCommand runs a gateway with a clock that the soak controls to simulate suspensions
+// of the machine.
 func gatewayCommand() command {
-	subcommand := newSubcommand(gatewayCommandName, "Run a gateway whose clock the soak may hold up.")
+	subcommand := newSubcommand(gatewayCommandName, "Run a gateway whose clock the soak can stop.")
 	return command{subcommand, func(context.Context) error {
 		if code := gatewaymain.Run(soak.SuspendableClock(os.Getenv(soak.SuspendedVariable))); code != 0 {
-			return fmt.Errorf("the gateway ended with %d", code)
+			return fmt.Errorf("the gateway exited with code %d", code)
 		}
 		return nil
 	}}
--- a/cmd/clovertiller/gateway.go
+++ b/cmd/clovertiller/gateway.go
@@ -13,32 +13,32 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// gatewayFlags are the values of the gateway's subcommands.
+// gatewayFlags holds the values of the flags of "gateway check" and "gateway status".
 type gatewayFlags struct {
-	settings  string
-	store     bool
-	addresses []string
+	settingsPath string
+	checkStore   bool
+	addresses    []string
 }
 
-// newGatewayCommand returns the subcommands for operators of gateways.
+// newGatewayCommand adds the subcommands "check" and "status" to the command "gateway".
 func newGatewayCommand(parent command, f *flags, env func() *cli.Env) command {
-	values := &gatewayFlags{settings: os.Getenv(platform.SettingsEnvVar)}
+	flagValues := &gatewayFlags{settingsPath: os.Getenv(platform.SettingsEnvVar)}
 	check := flaggy.NewSubcommand("check")
-	check.Description = "Report every fault of a gateway's settings, and of what its store holds."
-	check.String(&values.settings, "s", "settings", "Settings file; "+platform.SettingsEnvVar+" without it.")
-	check.Bool(&values.store, "", "store", "Also check what the store of the settings holds.")
+	check.Description = "Print all faults of a gateway's settings and of the objects in its store."
+	check.String(&flagValues.settingsPath, "s", "settings", "Settings file. Default: the value of "+platform.SettingsEnvVar+".")
+	check.Bool(&flagValues.checkStore, "", "store", "Also check the objects in the store.")
 	status := flaggy.NewSubcommand("status")
-	status.Description = "Print what gateways believe."
-	status.StringSlice(&values.addresses, "r", "router", "IP:port of a gateway's figures; may be given more than once.")
+	status.Description = "Print the status of gateways and of the runners as they see them."
+	status.StringSlice(&flagValues.addresses, "r", "router", "IP:port of a gateway's metrics server; may be given more than once.")
 	status.String(&f.format, "o", "output", "table or json.")
 	parent.subcommand.AttachSubcommand(check, 1)
 	parent.subcommand.AttachSubcommand(status, 1)
 	parent.run = func(ctx context.Context) int {
 		switch {
 		case check.Used:
-			return checkGateway(ctx, env(), values)
-		case status.Used && len(values.addresses) > 0:
-			return cli.GatewayStatus(ctx, env(), values.addresses)
+			return checkGateway(ctx, env(), flagValues)
+		case status.Used && len(flagValues.addresses) > 0:
+			return cli.GatewayStatus(ctx, env(), flagValues.addresses)
 		}
 		fmt.Fprintln(os.Stderr, "usage: clovertiller gateway check [-s FILE] [--store] | clovertiller gateway status -r IP:PORT...")
 		return cli.ExitUsage
@@ -46,13 +46,14 @@
 	return parent
 }
 
-func checkGateway(ctx context.Context, env *cli.Env, values *gatewayFlags) int {
-	settings, err := platform.LoadSettings(values.settings)
+// checkGateway checks the settings and, if they are valid and the flag is set, the store.
+func checkGateway(ctx context.Context, env *cli.Env, flagValues *gatewayFlags) int {
+	settings, err := platform.LoadSettings(flagValues.settingsPath)
 	if err != nil {
 		fmt.Fprintln(env.ErrOut, err)
 		return cli.ExitUsage
 	}
-	if code := cli.CheckGateway(env, settings); code != cli.ExitOK || !values.store {
+	if code := cli.CheckGateway(env, settings); code != cli.ExitOK || !flagValues.checkStore {
 		return code
 	}
 	store := &platform.StoreClient{Address: settings.StoreAddress, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
--- a/cmd/clovertiller/main.go
+++ b/cmd/clovertiller/main.go
@@ -1,4 +1,4 @@
-// Command clovertiller is the router and its operators' command line.
+// Command clovertiller runs a router, and is the command line tool for operators.
 package main
 
 import (
@@ -15,20 +15,21 @@
 	"github.com/clovertiller/clovertiller/internal/node"
 )
 
-// version is set at build time.
+// version is the version of the program. It is set at build time.
 var version = "development"
 
-// flags are the values of the command line.
+// flags holds the values of flags and positional arguments.
 type flags struct {
-	platform string
-	router   string
-	format   string
-	files    []string
-	kind     string
-	name     string
-	version  string
-	settings string
-	static   node.Settings
+	platform     string
+	router       string
+	format       string
+	files        []string
+	kind         string
+	name         string
+	version      string
+	settingsPath string
+	// overrides are the router settings that are given by flags.
+	overrides node.Settings
 }
 
 func main() { os.Exit(run()) }
@@ -55,22 +56,24 @@
 	return cli.ExitUsage
 }
 
-// command is one subcommand with what it does.
+// command is a subcommand and the function that runs it, which returns an exit code.
 type command struct {
 	subcommand *flaggy.Subcommand
 	run        func(context.Context) int
 }
 
+// newCommands adds all subcommands to the parser. The parser stores the values in f.
 func newCommands(parser *flaggy.Parser, f *flags) []command {
 	env := func() *cli.Env {
 		return &cli.Env{Out: os.Stdout, ErrOut: os.Stderr, Platform: f.platform, Format: f.format}
 	}
-	add := func(name, description string, run func(context.Context) int) command {
+	addCommand := func(name, description string, run func(context.Context) int) command {
 		subcommand := flaggy.NewSubcommand(name)
 		subcommand.Description = description
 		parser.AttachSubcommand(subcommand, 1)
 		return command{subcommand, run}
 	}
+	// withKind returns a command function that parses the kind first. An omitted kind is "".
 	withKind := func(run func(context.Context, v1.Kind) int) func(context.Context) int {
 		return func(ctx context.Context) int {
 			kind, known := cli.ParseKind(f.kind)
@@ -81,25 +84,25 @@
 			return run(ctx, kind)
 		}
 	}
-	router := add("router", "Run a router.", func(ctx context.Context) int { return runRouter(ctx, f) })
-	router.subcommand.String(&f.settings, "s", "settings", "Settings file; flags go before it.")
-	router.subcommand.String(&f.static.Node, "n", "node", "Name of this router.")
-	router.subcommand.String(&f.static.Zone, "z", "zone", "Zone of this router.")
-	router.subcommand.String(&f.static.HTTPAddress, "a", "http", "IP:port for callers.")
-	router.subcommand.String(&f.static.PeerAddress, "p", "peer", "IP:port for other routers.")
-	router.subcommand.String(&f.static.Platform, "", "platform", "IP:port of the platform's object API.")
-	router.subcommand.StringSlice(&f.static.Seeds, "", "seed", "Peer address of another router; may be given more than once.")
-	router.subcommand.Bool(&f.static.FaultEndpoint, "", "fault-endpoint", "Open the fault endpoint for tests.")
+	router := addCommand("router", "Run a router.", func(ctx context.Context) int { return runRouter(ctx, f) })
+	router.subcommand.String(&f.settingsPath, "s", "settings", "Settings file. Flags override its settings.")
+	router.subcommand.String(&f.overrides.Node, "n", "node", "Name of this router.")
+	router.subcommand.String(&f.overrides.Zone, "z", "zone", "Zone of this router.")
+	router.subcommand.String(&f.overrides.HTTPAddress, "a", "http", "IP:port on which to serve callers.")
+	router.subcommand.String(&f.overrides.PeerAddress, "p", "peer", "IP:port on which to serve other routers.")
+	router.subcommand.String(&f.overrides.Platform, "", "platform", "IP:port of the platform's object API.")
+	router.subcommand.StringSlice(&f.overrides.Seeds, "", "seed", "Peer address of another router; may be given more than once.")
+	router.subcommand.Bool(&f.overrides.FaultEndpoint, "", "fault-endpoint", "Enable the endpoint that injects faults, for tests.")
 
-	apply := add("apply", "Validate manifests as a whole and write them.", func(ctx context.Context) int { return cli.Apply(ctx, env(), f.files) })
-	get := add("get", "Print resources of a kind.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Get(ctx, env(), kind, f.name) }))
-	describe := add("describe", "Print a resource with its conditions.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Describe(ctx, env(), kind, f.name) }))
-	remove := add("delete", "Delete a resource.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Delete(ctx, env(), kind, f.name, f.version) }))
-	watch := add("watch", "Print changes as they are accepted.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Watch(ctx, env(), kind) }))
-	status := add("status", "Print what a router knows of routers and runners.", func(ctx context.Context) int { return cli.Status(ctx, env(), f.router) })
-	config := add("config", "Work on manifests without the platform.", nil)
+	apply := addCommand("apply", "Validate manifests together and write them.", func(ctx context.Context) int { return cli.Apply(ctx, env(), f.files) })
+	get := addCommand("get", "Print resources of a kind.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Get(ctx, env(), kind, f.name) }))
+	describe := addCommand("describe", "Print resources with their conditions.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Describe(ctx, env(), kind, f.name) }))
+	remove := addCommand("delete", "Delete a resource.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Delete(ctx, env(), kind, f.name, f.version) }))
+	watch := addCommand("watch", "Print changes as they are accepted.", withKind(func(ctx context.Context, kind v1.Kind) int { return cli.Watch(ctx, env(), kind) }))
+	status := addCommand("status", "Print a router's view of the routers and runners.", func(ctx context.Context) int { return cli.Status(ctx, env(), f.router) })
+	config := addCommand("config", "Process manifests without contacting the platform.", nil)
 	check := flaggy.NewSubcommand("check")
-	check.Description = "Report every fault of the manifests."
+	check.Description = "Print all faults of the manifests."
 	config.subcommand.AttachSubcommand(check, 1)
 	config.run = func(context.Context) int {
 		if !check.Used {
@@ -108,13 +111,13 @@
 		}
 		return cli.Check(env(), f.files)
 	}
-	explain := add("explain", "Tell from logs what became of a request, or of all that failed.", func(context.Context) int {
+	explain := addCommand("explain", "Print the logged history of a request, or the failed requests by cause.", func(context.Context) int {
 		return cli.Explain(env(), f.name, f.files)
 	})
-	explain.subcommand.AddPositionalValue(&f.name, "request", 1, false, "Id of the request; without it failures are grouped by cause.")
-	explain.subcommand.StringSlice(&f.files, "f", "file", "Log file; may be given more than once. Standard input without it.")
-	gateways := newGatewayCommand(add("gateway", "Look after gateways on the users' platform.", nil), f, env)
-	print := add("version", "Print the version.", func(context.Context) int {
+	explain.subcommand.AddPositionalValue(&f.name, "request", 1, false, "ID of the request. Without it, failed requests are grouped by cause.")
+	explain.subcommand.StringSlice(&f.files, "f", "file", "Log file; may be given more than once. Default: standard input.")
+	gateways := newGatewayCommand(addCommand("gateway", "Check and inspect gateways on the users' platform.", nil), f, env)
+	printVersion := addCommand("version", "Print the version.", func(context.Context) int {
 		fmt.Println("clovertiller", version)
 		return cli.ExitOK
 	})
@@ -132,16 +135,16 @@
 		c.subcommand.AddPositionalValue(&f.kind, "kind", 1, c.subcommand != watch.subcommand, "Kind of resource.")
 	}
 	get.subcommand.AddPositionalValue(&f.name, "name", 2, false, "Name of the resource.")
-	describe.subcommand.AddPositionalValue(&f.name, "name", 2, false, "Name of the resource; all of the kind without it.")
+	describe.subcommand.AddPositionalValue(&f.name, "name", 2, false, "Name of the resource. Without it, all resources of the kind are printed.")
 	remove.subcommand.AddPositionalValue(&f.name, "name", 2, true, "Name of the resource.")
-	remove.subcommand.String(&f.version, "", "version", "Delete only at this version.")
+	remove.subcommand.String(&f.version, "", "version", "Delete the resource only if it has this version.")
 	status.subcommand.String(&f.router, "r", "router", "IP:port of a router.")
-	return []command{router, apply, get, describe, remove, watch, status, config, gateways, explain, print}
+	return []command{router, apply, get, describe, remove, watch, status, config, gateways, explain, printVersion}
 }
 
-// runRouter runs a router until it is told to stop, and then drains it.
+// runRouter runs a router until ctx is canceled, and then drains it.
 func runRouter(ctx context.Context, f *flags) int {
-	settings, err := routerSettings(f)
+	settings, err := loadRouterSettings(f)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return cli.ExitUsage
@@ -163,37 +166,37 @@
 		return cli.ExitFailure
 	}
 	<-ctx.Done()
-	// A second signal ends the drain.
-	drain, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	// A second signal aborts the drain.
+	drainCtx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	router.Stop(drain)
+	router.Stop(drainCtx)
 	return cli.ExitOK
 }
 
-// routerSettings reads the settings file, if any; flags go before it.
-func routerSettings(f *flags) (node.Settings, error) {
+// loadRouterSettings reads the settings file, if one is given. Flags override its settings.
+func loadRouterSettings(f *flags) (node.Settings, error) {
 	settings := node.Settings{}
-	if f.settings != "" {
-		loaded, err := node.LoadSettings(f.settings)
+	if f.settingsPath != "" {
+		fromFile, err := node.LoadSettings(f.settingsPath)
 		if err != nil {
 			return settings, err
 		}
-		settings = loaded
+		settings = fromFile
 	}
-	override := func(field *string, value string) {
+	overrideField := func(field *string, value string) {
 		if value != "" {
 			*field = value
 		}
 	}
-	override(&settings.Node, f.static.Node)
-	override(&settings.Zone, f.static.Zone)
-	override(&settings.HTTPAddress, f.static.HTTPAddress)
-	override(&settings.PeerAddress, f.static.PeerAddress)
-	override(&settings.Platform, f.static.Platform)
-	if len(f.static.Seeds) > 0 {
-		settings.Seeds = f.static.Seeds
+	overrideField(&settings.Node, f.overrides.Node)
+	overrideField(&settings.Zone, f.overrides.Zone)
+	overrideField(&settings.HTTPAddress, f.overrides.HTTPAddress)
+	overrideField(&settings.PeerAddress, f.overrides.PeerAddress)
+	overrideField(&settings.Platform, f.overrides.Platform)
+	if len(f.overrides.Seeds) > 0 {
+		settings.Seeds = f.overrides.Seeds
 	}
-	settings.FaultEndpoint = settings.FaultEndpoint || f.static.FaultEndpoint
+	settings.FaultEndpoint = settings.FaultEndpoint || f.overrides.FaultEndpoint
 	settings.SetDefaults()
 	return settings, nil
 }
