--- a/hack/demo.sh
+++ b/hack/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the main job with real processes on loopback: one platform stand-in,
-# eight engines and three routers over three zones, both workloads, one engine
-# killed and one router restarted on the way. Leaves no process behind.
+# Runs both workloads against real processes on loopback: a simulated platform, eight
+# simulated engines, and three routers in three zones. One engine is killed and one router is
+# restarted during the run. All processes are stopped at the end.
 set -eu
 cd "$(dirname "$0")/.."
 out=$(mktemp -d)
@@ -11,7 +11,7 @@
   [ -s "$out/pid" ] && pids+=("$(cat "$out/pid")")
   kill "${pids[@]}" $(jobs -p) 2>/dev/null || true
   wait 2>/dev/null || true
-  # What a failed run logged is kept.
+  # Keep the logs of a failed run.
   if [ "${code:-1}" != 0 ]; then mkdir -p out && rm -rf out/demo-failed && cp -r "$out" out/demo-failed; fi
   rm -rf "$out"
 }
@@ -27,12 +27,12 @@
   router_pid=$!
   pids+=($router_pid)
 }
-wait_until() { # seconds, command
+wait_until() { # timeout in seconds, command
   for _ in $(seq $(($1 * 20))); do
     if "${@:2}" >/dev/null 2>&1; then return 0; fi
     sleep 0.05
   done
-  echo "demo: gave up waiting for: ${*:2}" >&2
+  echo "demo: timed out waiting for: ${*:2}" >&2
   tail -n 5 "$out"/*.log >&2
   return 1
 }
@@ -42,7 +42,7 @@
 ./bin/clovertiller-lab platform --listen $platform & pids+=($!)
 for i in 0 1 2 3 4; do
   ./bin/clovertiller-lab engine --listen 127.0.0.1:781$i --platform $platform & pids+=($!)
-  # Not a job of the shell, which would report its end behind the last line.
+  # Without disown the shell would report the end of this job after the summary line.
   [ $i = 1 ] && victim=$! && disown $!
 done
 for i in 0 1 2; do
--- a/hack/mixeddays/main.go
+++ b/hack/mixeddays/main.go
@@ -1,8 +1,8 @@
-// Command mixeddays writes days for the users' bench that mix any of its kinds
-// of trouble, each at any moment and some twice, always together with a fault
-// of the store. The traffic is taken from a day of the site's own sheet.
+// Command mixeddays generates test days for the users' bench. A day combines random faults
+// and planned changes of all kinds that the bench has, at random times, some of them twice, and
+// always includes a fault of the store. Its traffic is that of a day in the site file.
 //
-// usage: go run ./hack/mixeddays SHEET DAY SEED COUNT FOLDER
+// usage: go run ./hack/mixeddays SITE_FILE DAY SEED COUNT FOLDER
 package main
 
 import (
@@ -15,24 +15,25 @@
 	"strings"
 )
 
-// Latest seconds of traffic at which troubles begin. Those of the store are over
-// before the traffic is, as the bench reads the configuration back then.
+// Latest start times of faults and planned changes, in seconds from the start of the traffic.
+// Faults of the store must be over before the traffic ends, because the bench reads the
+// configuration back at that time.
 const (
-	lastStart      = 32
-	lastStoreStart = 24
+	latestStart      = 32
+	latestStoreStart = 24
 )
 
-// Bounds of how many troubles a day has beside the store's.
+// Bounds of the number of faults and planned changes of a day, not counting the store fault.
 const (
-	fewestTroubles = 4
-	mostTroubles   = 8
+	minEntries = 4
+	maxEntries = 8
 )
 
-// repeatShare is the share of troubles that come a second time.
-const repeatShare = 0.3
+// repeatProbability is the probability that a fault or planned change occurs twice.
+const repeatProbability = 0.3
 
-// storeTroubles befall the store or the way to it.
-var storeTroubles = []string{
+// storeFaults are faults of the store and of the connections to it.
+var storeFaults = []string{
 	`kind = "platform_down", how = "nodes", share = 0.35, for_s = 6.0`,
 	`kind = "platform_down", how = "nodes busy", share = 0.6, for_s = 7.0`,
 	`kind = "platform_down", how = "nodes many", share = 0.4, for_s = 6.0`,
@@ -50,8 +51,8 @@
 	`kind = "core_cut", how = "leader race", for_s = 4.0`,
 }
 
-// faults befall machines, runners, connections and callers.
-var faults = []string{
+// otherFaults are faults of machines, runners, connections and callers.
+var otherFaults = []string{
 	`kind = "burst", x = 1.8, for_s = 4.0`,
 	`kind = "retry_abuse", x = 3.0, share = 0.3, for_s = 5.0`,
 	`kind = "give_up", share = 0.3, for_s = 5.0`,
@@ -91,8 +92,8 @@
 	`kind = "kv_slow", share = 0.3, x = 8.0, for_s = 5.0`,
 }
 
-// plans are work that operators plan.
-var plans = []string{
+// plannedChanges are changes made by operators.
+var plannedChanges = []string{
 	`kind = "roll_term", share = 1.0, gap_s = 1.5`,
 	`kind = "roll_term", how = "busy", gap_s = 1.0`,
 	`kind = "hup", share = 0.5, gap_s = 2.0`,
@@ -109,7 +110,7 @@
 	`kind = "revoke", count = 3, gap_s = 1.0`,
 }
 
-// closings end a day; most days have none.
+// closings are the events that end a day. The empty ones make most days end without one.
 var closings = []string{
 	"", "", "",
 	`{ kind = "power_off_all", down_s = 2.0, how = "all" }`,
@@ -125,7 +126,7 @@
 
 func run(arguments []string) error {
 	if len(arguments) != 5 {
-		return fmt.Errorf("usage: mixeddays SHEET DAY SEED COUNT FOLDER")
+		return fmt.Errorf("usage: mixeddays SITE_FILE DAY SEED COUNT FOLDER")
 	}
 	seed, err := strconv.ParseUint(arguments[2], 10, 64)
 	if err != nil {
@@ -135,14 +136,14 @@
 	if err != nil {
 		return err
 	}
-	traffic, err := trafficOf(arguments[0], arguments[1])
+	traffic, err := readTraffic(arguments[0], arguments[1])
 	if err != nil {
 		return err
 	}
 	random := rand.New(rand.NewPCG(seed, 0))
 	for i := range count {
 		name := fmt.Sprintf("mixed-%d-%d", seed, i)
-		day := write(random, name, traffic)
+		day := generateDay(random, name, traffic)
 		if err := os.WriteFile(filepath.Join(arguments[4], name+".toml"), []byte(day), 0o644); err != nil {
 			return err
 		}
@@ -150,15 +151,15 @@
 	return nil
 }
 
-// trafficOf cuts the traffic of a day out of a site's sheet.
-func trafficOf(sheet, day string) (string, error) {
-	content, err := os.ReadFile(sheet)
+// readTraffic returns the traffic section of a day in a site file.
+func readTraffic(siteFile, day string) (string, error) {
+	content, err := os.ReadFile(siteFile)
 	if err != nil {
 		return "", err
 	}
 	_, after, found := strings.Cut(string(content), fmt.Sprintf("name = %q\nslot", day))
 	if !found {
-		return "", fmt.Errorf("%s has no day %q", sheet, day)
+		return "", fmt.Errorf("%s has no day %q", siteFile, day)
 	}
 	block := regexp.MustCompile(`(?s)\ntraffic = \[\n.*?\n\]\n`).FindString(after)
 	if block == "" {
@@ -167,36 +168,37 @@
 	return strings.TrimSpace(block), nil
 }
 
-func write(random *rand.Rand, name, traffic string) string {
-	var planned, unplanned []string
-	for range fewestTroubles + random.IntN(mostTroubles-fewestTroubles+1) {
+// generateDay returns the day as TOML.
+func generateDay(random *rand.Rand, name, traffic string) string {
+	var plan, faults []string
+	for range minEntries + random.IntN(maxEntries-minEntries+1) {
 		if random.IntN(3) == 0 {
-			planned = append(planned, draw(random, plans, lastStart)...)
+			plan = append(plan, drawEntries(random, plannedChanges, latestStart)...)
 		} else {
-			unplanned = append(unplanned, draw(random, faults, lastStart)...)
+			faults = append(faults, drawEntries(random, otherFaults, latestStart)...)
 		}
 	}
-	unplanned = append(unplanned, draw(random, storeTroubles, lastStoreStart)...)
+	faults = append(faults, drawEntries(random, storeFaults, latestStoreStart)...)
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nslot = \"trouble\"\nseed = %d\n", name, random.Uint32())
 	if closing := closings[random.IntN(len(closings))]; closing != "" {
 		fmt.Fprintf(&text, "closing = %s\n", closing)
 	}
-	fmt.Fprintf(&text, "plan = [\n%s]\nfaults = [\n%s]\n%s\n", strings.Join(planned, ""), strings.Join(unplanned, ""), traffic)
+	fmt.Fprintf(&text, "plan = [\n%s]\nfaults = [\n%s]\n%s\n", strings.Join(plan, ""), strings.Join(faults, ""), traffic)
 	return text.String()
 }
 
-// draw returns one trouble at a random moment before the last one, or the same
-// at two moments.
-func draw(random *rand.Rand, kinds []string, last float64) []string {
+// drawEntries chooses one of the kinds and returns an entry with a random start time before
+// latest, or two entries of that kind.
+func drawEntries(random *rand.Rand, kinds []string, latest float64) []string {
 	kind := kinds[random.IntN(len(kinds))]
-	times := 1
-	if random.Float64() < repeatShare {
-		times = 2
+	count := 1
+	if random.Float64() < repeatProbability {
+		count = 2
 	}
 	var entries []string
-	for range times {
-		entries = append(entries, fmt.Sprintf("  { at = %.1f, %s },\n", 1+random.Float64()*(last-1), kind))
+	for range count {
+		entries = append(entries, fmt.Sprintf("  { at = %.1f, %s },\n", 1+random.Float64()*(latest-1), kind))
 	}
 	return entries
 }
--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Removes one mechanism at a time in a scratch copy and runs the proof that must
-# then fail. Prints one line each, and last the count. A mutant that does not
-# build, or whose test does not end, proves nothing and is counted by itself.
+# Mutation tests: disables one mechanism at a time in a scratch copy and runs the test
+# that must then fail. Prints one line per mutant and a summary at the end. A mutant that
+# is not applied or does not build, or whose test times out, proves nothing and is counted
+# separately as unclear.
 set -u
 cd "$(dirname "$0")/.."
 scratch=$(mktemp -d)
@@ -40,49 +41,49 @@
 }
 
 mutant "1 every claim wins" internal/node/claims.go 's/return round.Decide\(\), round.Reason\(\), nil/return claim.Won, round.Reason(), nil/' ./test/prove -ginkgo.focus "duplicates sent to all routers"
-mutant "1 unrepeatable requests are tried again" internal/attempt/attempt.go 's/if !r.repeatable \{/if !r.repeatable \&\& r.limits.MaxAttempts < 0 {/' ./internal/attempt
+mutant "1 unrepeatable requests are retried" internal/attempt/attempt.go 's/if !r.repeatable \{/if !r.repeatable \&\& r.limits.MaxAttempts < 0 {/' ./internal/attempt
 mutant "1 a broken dispatch counts as not run" internal/attempt/attempt.go 's/r.uncertain = true/r.uncertain = false/g' ./internal/attempt
-mutant "1 lost memories keep the old horizon" internal/claim/handover.go 's/handover.Horizon = now/handover.Horizon = time.Time{}/' ./test/prove -ginkgo.focus "when all routers restart"
-mutant "2 frames of any attempt and offset pass" internal/attempt/attempt.go 's/attempt != r.attempts \|\| offset != r.offset \|\| //' ./test/prove -ginkgo.focus "passes on only the frames"
-mutant "2 frames of any request pass" internal/node/relay.go 's/string\(frame.Request\) != x.request.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
+mutant "1 the horizon stays when the holders have lost their claims" internal/claim/handover.go 's/handover.Horizon = now/handover.Horizon = time.Time{}/' ./test/prove -ginkgo.focus "when all routers restart"
+mutant "2 frames of other attempts and offsets are relayed" internal/attempt/attempt.go 's/attempt != r.attempts \|\| offset != r.offset \|\| //' ./test/prove -ginkgo.focus "passes on only the frames"
+mutant "2 frames of other requests are relayed" internal/node/relay.go 's/string\(frame.Request\) != x.request.id/len(frame.Request) == 0/' ./test/prove -ginkgo.focus "passes on only the frames"
 mutant "2 streams are not resumed or continued" internal/attempt/attempt.go 's/r.phase = Ready\n\treturn Dispatch/r.phase = Failed\n\treturn Stop/' ./test/prove -ginkgo.focus "continues elsewhere when the engine is killed"
-mutant "3 the salt lacks the tenant" internal/prefix/prefix.go 's/s.Tenant, s.Model/"", s.Model/' ./test/prove -ginkgo.focus "never between tenants"
-mutant "3 a dead engine's entries stay" internal/cacheindex/index.go 's/delete\(s.holders, old\)/_ = old/g' ./internal/cacheindex
+mutant "3 the cache salt does not include the tenant" internal/prefix/prefix.go 's/s.Tenant, s.Model/"", s.Model/' ./test/prove -ginkgo.focus "never between tenants"
+mutant "3 a crashed engine's cache index entries are kept" internal/cacheindex/index.go 's/delete\(s.holders, old\)/_ = old/g' ./internal/cacheindex
 mutant "4 the machine list is ignored" internal/placement/placement.go 's/return !c.Leaving/return true/' ./test/prove -ginkgo.focus "machine the list shows as leaving"
-mutant "4 a router stops without finishing" internal/node/node.go 's/\tn.httpServer.Shutdown\(ctx\)\n//' ./test/prove -ginkgo.focus "longer than the grace time"
+mutant "4 a router stops without draining" internal/node/node.go 's/\tn.httpServer.Shutdown\(ctx\)\n//' ./test/prove -ginkgo.focus "longer than the grace time"
 mutant "5 peers do not give configuration" internal/control/configuration.go 's/\|\| \w+ >= c.store.Revision\(\) \{/|| true {/' ./test/prove -ginkgo.focus "one restart, platform down: true"
 mutant "5 every router reads from the platform" internal/node/watch.go 's/watchersPerZone = 2/watchersPerZone = 99/' ./test/prove -ginkgo.focus "few reads of the platform"
-mutant "6 older states apply" internal/config/store.go 's/delta.Through <= s.revision/delta.Through == s.revision/' ./internal/config
+mutant "6 older states are applied" internal/config/store.go 's/delta.Through <= s.revision/delta.Through == s.revision/' ./internal/config
 mutant "6 deletions before a list are taken as known" internal/config/store.go 's/\ts.horizon = max\(s.horizon, delta.Through\)\n//' ./internal/config
-mutant "6 a lost answer is an error" internal/platform/client.go 's/case sameSpec\(current.Spec, object.Spec\):/case current == nil:/' ./test/prove -ginkgo.focus "reading back"
-mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
-mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeoverDelay/now.Sub(c.changedAt) >= 0/' ./internal/lease
+mutant "6 a lost response is an error" internal/platform/client.go 's/case sameSpec\(current.Spec, object.Spec\):/case current == nil:/' ./test/prove -ginkgo.focus "reading back"
+mutant "7 an expired lease is still valid" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
+mutant "7 a lease is acquired without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeoverDelay/now.Sub(c.changedAt) >= 0/' ./internal/lease
 mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!unloaded && serving-1 < minServing\)/loading > 999 || minServing < 0/' ./test/prove -ginkgo.focus "within the pool"
-mutant "8 contents are not judged" internal/gateway/suspects.go 's/return s.judge.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
-mutant "8 lost connections count as ends" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
-mutant "8 quarantines are not kept" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
-mutant "8 routers do not tell of ends" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
-mutant "8 runners that are lost at once quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
-mutant "9 suspensions do not count" internal/clock/clock.go 's/return monotonic.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return monotonic/' ./internal/clock
+mutant "8 contents are never quarantined" internal/gateway/suspects.go 's/return s.judge.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run RequestThatEndsItsRunnersIsNotSentForever
+mutant "8 every lost connection counts as a crash" internal/gateway/runnerends.go 's/liveness := e.ask\(runner\)/liveness := max(e.ask(runner), RunnerEnded)/' ./internal/gateway -run EndOfARunnerIsToldFromALostConnection
+mutant "8 quarantines are not stored" internal/gateway/keptquarantines.go 's/endsToKeep = 2/endsToKeep = 99/' ./internal/gateway -run 'KnownAfterTheLossOfAllRouters|KeptQuarantinesAreRead'
+mutant "8 routers do not report crashes to each other" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatIsQuarantined
+mutant "8 runners that crash together quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
+mutant "9 the clock stops during suspensions" internal/clock/clock.go 's/return monotonic.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return monotonic/' ./internal/clock
 mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.signalState.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'SignalsAreRespected|PermitAllows'
-mutant "10 new schedulers grant at once" internal/backpressure/permits.go 's/p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add\(shareChangeDelay\)/p.schedulers, p.pendingSchedulers = count, 0/' ./internal/backpressure
-mutant "10 larger parts count at once" internal/backpressure/permits.go 's/now.Add\(shareChangeDelay\)\n\t\}/now\n\t}/' ./internal/backpressure
-mutant "10 any answer lifts a limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
-mutant "10 the directory takes leaving back" internal/backend/signals.go 's/e.Draining \|\| e.signalState.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
-mutant "10 a rest is a preference" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
-mutant "10 routers do not tell what runners say" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
-mutant "11 eras do not count" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
-mutant "11 watches of another era are taken" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
-mutant "11 the copy is taken as it is" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedWhileTheStore
-mutant "11 runners that the copy lacks are dropped" internal/gateway/newera.go 's/kept := c.missing\(kind, delta\)/kept := c.missing(kind, delta)[:0]/' ./internal/gateway -run RunnersThatACopyOfTheStoreLacks
-mutant "11 a lost lease is taken at once" internal/lease/lease.go 's/now.Before\(c.priorEraLeaseExpiry\)/false/' ./internal/lease
-mutant "11 writes count across eras" internal/lease/lease.go 's/if !sameEra \{/if false \&\& !sameEra {/' ./internal/lease
-mutant "11 lost quarantines stay lost" internal/gateway/keptquarantines.go 's/\t\tk.keepAll\(\)\n//' ./internal/gateway -run QuarantinesThatTheStoreLost
-mutant "11 routers that start go by the copy" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterThatStartsInANewEraLearnsWhat
-mutant "11 routers that know nothing transfer it" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run StartTogetherInANewEra
-mutant "11 newer states at listed revisions are passed over" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run SeedsThatAnswerLate
-mutant "11 runners that only others know stay unknown" internal/gateway/statetransfer.go 's/case !found \&\& /case false \&\& /' ./internal/gateway -run SeedsThatAnswerLate
-mutant "11 a transfer is asked for once" internal/gateway/statetransfer.go 's/transferTime = 10 \* time.Second/transferTime = time.Nanosecond/' ./internal/gateway -run SeedsThatAnswerLate
+mutant "10 new schedulers grant permits at once" internal/backpressure/permits.go 's/p.schedulers, p.pendingSchedulers, p.grantFrom = count, 0, now.Add\(shareChangeDelay\)/p.schedulers, p.pendingSchedulers = count, 0/' ./internal/backpressure
+mutant "10 larger shares apply at once" internal/backpressure/permits.go 's/now.Add\(shareChangeDelay\)\n\t\}/now\n\t}/' ./internal/backpressure
+mutant "10 any response lifts a rate limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
+mutant "10 only the directory tells which runners leave" internal/backend/signals.go 's/e.Draining \|\| e.signalState.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
+mutant "10 runners in backoff get requests" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
+mutant "10 routers do not report runners' signals to each other" internal/gateway/newsoutbox.go 's/schedulers.others\(\), forSeeds/schedulers.others()[:0], forSeeds/' ./internal/gateway -run AllRoutersKnowWhatARunnerSays
+mutant "11 revisions ignore the era" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
+mutant "11 watches of another era are accepted" internal/gateway/follow.go 's/answer.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithRevisionsGivenOutAgain
+mutant "11 a restored store overwrites newer states" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedWhileTheStore
+mutant "11 runners that a restored store lacks are dropped" internal/gateway/newera.go 's/kept := c.missing\(kind, delta\)/kept := c.missing(kind, delta)[:0]/' ./internal/gateway -run RunnersThatACopyOfTheStoreLacks
+mutant "11 a lost lease is acquired at once" internal/lease/lease.go 's/now.Before\(c.priorEraLeaseExpiry\)/false/' ./internal/lease
+mutant "11 lease writes count across eras" internal/lease/lease.go 's/if !sameEra \{/if false \&\& !sameEra {/' ./internal/lease
+mutant "11 lost quarantines are not stored again" internal/gateway/keptquarantines.go 's/\t\tk.keepAll\(\)\n//' ./internal/gateway -run QuarantinesThatTheStoreLost
+mutant "11 starting routers trust a restored store" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterThatStartsInANewEraLearnsWhat
+mutant "11 routers transfer state that they have only from the store" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run StartTogetherInANewEra
+mutant "11 newer states at listed revisions are ignored" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run SeedsThatAnswerLate
+mutant "11 runners that only other routers know stay unknown" internal/gateway/statetransfer.go 's/case !found \&\& /case false \&\& /' ./internal/gateway -run SeedsThatAnswerLate
+mutant "11 a state transfer is requested only once" internal/gateway/statetransfer.go 's/transferTime = 10 \* time.Second/transferTime = time.Nanosecond/' ./internal/gateway -run SeedsThatAnswerLate
 
 echo "mutants: $refuted refuted, $survived survived, $unclear unclear"
 [ "$survived$unclear" = 00 ]
--- a/hack/soak.sh
+++ b/hack/soak.sh
@@ -1,29 +1,30 @@
 #!/usr/bin/env bash
-# The fault soak: the seeds that ever failed, then fresh ones, these with contents that end
-# runners, with suspended machines, with runners that speak of themselves and with a store that
-# comes back from copies.
-# usage: hack/soak.sh [FRESH] [DURATION]
+# Runs the fault soak with the seeds that have failed before and then with new random seeds. The
+# runs with new seeds also include requests that crash runners, suspended machines, signals from
+# runners and restores of the store from backups.
+# usage: hack/soak.sh [NUMBER_OF_NEW_SEEDS] [DURATION]
 set -u
 cd "$(dirname "$0")/.."
-fresh=${1:-3}
+new_seeds=${1:-3}
 duration=${2:-30s}
 failed=0
-play() {
+# run_seed SEED [FLAG...]: runs one seed and prints its summary and the broken promises.
+run_seed() {
   ./bin/clovertiller-lab soak --seed "$1" --duration "$duration" "${@:2}" >"out/soak-$1.txt" 2>&1 || failed=1
   tail -1 "out/soak-$1.txt"
   grep BROKEN "out/soak-$1.txt"
 }
 while read -r seed cause; do
   case "$cause" in
-    "(poison)"*) play "$seed" --poison --suspensions ;;
-    "(restores)"*) play "$seed" --restores ;;
-    "(restores, suspensions)"*) play "$seed" --restores --suspensions ;;
-    "(late operator)"*) play "$seed" --restores --late-operator ;;
-    "(late operator, all)"*) play "$seed" --restores --late-operator --poison --suspensions --signals ;;
-    *) play "$seed" ;;
+    "(poison)"*) run_seed "$seed" --poison --suspensions ;;
+    "(restores)"*) run_seed "$seed" --restores ;;
+    "(restores, suspensions)"*) run_seed "$seed" --restores --suspensions ;;
+    "(late operator)"*) run_seed "$seed" --restores --late-operator ;;
+    "(late operator, all)"*) run_seed "$seed" --restores --late-operator --poison --suspensions --signals ;;
+    *) run_seed "$seed" ;;
   esac
 done < <(grep -v '^#' test/soak/seeds.txt)
-for _ in $(seq "$fresh"); do
-  play $((RANDOM * 32768 + RANDOM + 1)) --poison --suspensions --signals --restores --late-operator
+for _ in $(seq "$new_seeds"); do
+  run_seed $((RANDOM * 32768 + RANDOM + 1)) --poison --suspensions --signals --restores --late-operator
 done
 exit $failed
--- a/hack/unit.sh
+++ b/hack/unit.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs all tests. Those that KNOWN-RED.txt lists may fail and are printed; any other
-# failure, also one of a build, fails. A spec of ginkgo is listed as TEST/TEXT OF THE SPEC.
+# Runs all tests. Failures that are listed in KNOWN-RED.txt are printed and tolerated. Any other
+# failure, including a failed build, makes the script fail. A ginkgo spec is listed as
+# TEST/TEXT OF THE SPEC.
 set -u
 cd "$(dirname "$0")/.."
 output=$(mktemp)
@@ -10,6 +11,7 @@
 failed=$(sed -n 's/^--- FAIL: \([^ ]*\).*/\1/p' "$output" | sort -u)
 [ -n "$failed" ] || exit 1
 grep -qE 'build failed|setup failed|^panic:|timed out|^signal:|^exit status' "$output" && exit 1
+# known_red TEST: prints the entry of the test in KNOWN-RED.txt, or exits if there is none.
 known_red() {
   grep -F "$1:" KNOWN-RED.txt 2>/dev/null | grep "^${1%%/*}" | sed 's/^/known red: /' | grep . || exit 1
 }
