--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -14,7 +14,8 @@
 )
 
 var _ = Describe(promises[2], func() {
-	ask := func(c *cluster.Cluster, tenant, prompt string) cluster.Outcome {
+	// doExact sends a call and expects a complete answer with the expected text.
+	doExact := func(c *cluster.Cluster, tenant, prompt string) cluster.Outcome {
 		GinkgoHelper()
 		call := cluster.Call{Tenant: tenant, Prompt: prompt, MaxTokens: 10}
 		outcome := c.Do(context.Background(), 0, call)
@@ -23,60 +24,60 @@
 	}
 
 	It("shares a prefix within a tenant and never between tenants", func() {
-		c := start(cluster.Settings{Routers: 1, Engines: 1})
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeZero())
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeNumerically(">", 200))
-		Expect(ask(c, "two", shared).Answer.CachedTokens).To(BeZero())
+		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
+		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeZero())
+		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeNumerically(">", 200))
+		Expect(doExact(c, "two", sharedPrefix).Answer.CachedTokens).To(BeZero())
 	})
 
-	It("uses nothing of an engine that crashed and came back under its address", func() {
-		c := start(cluster.Settings{Routers: 1, Engines: 1})
-		ask(c, "one", shared)
-		before := c.Status(0).Runners[0].Incarnation
+	It("uses no cache of an engine that crashed and was restarted at the same address", func() {
+		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
+		doExact(c, "one", sharedPrefix)
+		oldIncarnation := c.Status(0).Runners[0].Incarnation
 		c.Engines[0].Kill()
 		Expect(c.Engines[0].Start()).To(Succeed())
 		await("the new process is known", func() bool {
 			status := c.Status(0)
-			return status != nil && status.Runners[0].Incarnation > before && status.Runners[0].Connected
+			return status != nil && status.Runners[0].Incarnation > oldIncarnation && status.Runners[0].Connected
 		})
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeZero())
-		// A dispatch that was meant for the process before is refused.
+		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeZero())
+		// A request for the old incarnation is refused.
 		_, err := engineapi.NewClient().Generate(context.Background(), c.Engines[0].Address, &engineapi.GenerateRequest{
-			Request: "late", Attempt: 1, Incarnation: before, Model: cluster.Model, WeightVersion: cluster.Weights, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
+			Request: "late", Attempt: 1, Incarnation: oldIncarnation, Model: cluster.Model, WeightVersion: cluster.Weights, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
 		})
-		var refused *engineapi.RefusedError
-		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused.Refusal.Code).To(Equal(engineapi.CodeIncarnationMismatch))
+		var refusedErr *engineapi.RefusedError
+		Expect(errors.As(err, &refusedErr)).To(BeTrue())
+		Expect(refusedErr.Refusal.Code).To(Equal(engineapi.CodeIncarnationMismatch))
 	})
 
 	It("uses nothing of older weights, also for requests under way at the switch", func() {
-		c := start(cluster.Settings{Routers: 2, Engines: 2})
-		ask(c, "one", shared)
-		made := calls(200)
-		finished := make(chan []cluster.Outcome)
-		go func() { finished <- each(c, made, func(i int) int { return i % 2 }) }()
+		c := startCluster(cluster.Settings{Routers: 2, Engines: 2})
+		doExact(c, "one", sharedPrefix)
+		calls := newCalls(200)
+		results := make(chan []cluster.Outcome)
+		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 2 }) }()
 		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 10 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
-		expectAllExact(made, <-finished)
+		expectAllExact(calls, <-results)
 		await("all runners have the new weights", func() bool {
 			status := c.Status(0)
 			return status != nil && status.Runners[0].WeightVersion == "v2" && status.Runners[1].WeightVersion == "v2"
 		})
-		fresh := shared + "after the switch " + cluster.NewKey()
-		outcome := ask(c, "two", fresh)
+		freshPrompt := sharedPrefix + "after the switch " + cluster.NewKey()
+		outcome := doExact(c, "two", freshPrompt)
 		Expect(outcome.Answer.WeightVersion).To(Equal("v2"))
 		Expect(outcome.Answer.CachedTokens).To(BeZero())
 	})
 
-	It("stays right when cache events are lost and late", func() {
-		c := start(cluster.Settings{Routers: 2, Engines: 2, Blocks: 64})
+	It("gives correct answers when cache events are lost and late", func() {
+		c := startCluster(cluster.Settings{Routers: 2, Engines: 2, Blocks: 64})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{EventLoss: 0.5, EventLagMillis: 200})).To(Succeed())
 		}
 		for range 3 {
-			made := calls(30)
-			expectAllExact(made, each(c, made, func(i int) int { return i % 2 }))
+			calls := newCalls(30)
+			expectAllExact(calls, doConcurrently(c, calls, func(i int) int { return i % 2 }))
 		}
 	})
 })
--- a/test/prove/config_test.go
+++ b/test/prove/config_test.go
@@ -17,22 +17,23 @@
 	"github.com/clovertiller/clovertiller/internal/platform"
 )
 
-// inForce is within what time a change must be in force everywhere.
-const inForce = 13 * time.Second
-
-// revisions watches all routers and notes any revision that goes back.
-type revisions struct {
-	stop   chan struct{}
-	done   chan struct{}
-	faults []string
+// maxPropagationTime is the maximum time from an accepted change until all routers apply it.
+const maxPropagationTime = 13 * time.Second
+
+// revisionMonitor polls the configuration revisions of all routers and records each time that a
+// revision decreases while a router runs.
+type revisionMonitor struct {
+	stop       chan struct{}
+	done       chan struct{}
+	violations []string
 }
 
-func watchRevisions(c *cluster.Cluster) *revisions {
-	r := &revisions{stop: make(chan struct{}), done: make(chan struct{})}
+func monitorRevisions(c *cluster.Cluster) *revisionMonitor {
+	r := &revisionMonitor{stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		highest := make([]uint64, len(c.Routers))
-		incarnation := make([]uint64, len(c.Routers))
+		incarnations := make([]uint64, len(c.Routers))
 		for {
 			select {
 			case <-r.stop:
@@ -44,11 +45,11 @@
 				if status == nil {
 					continue
 				}
-				if status.Incarnation != incarnation[i] {
-					incarnation[i], highest[i] = status.Incarnation, 0
+				if status.Incarnation != incarnations[i] {
+					incarnations[i], highest[i] = status.Incarnation, 0
 				}
 				if status.Revision < highest[i] {
-					r.faults = append(r.faults, fmt.Sprintf("router %d went back from %d to %d", i, highest[i], status.Revision))
+					r.violations = append(r.violations, fmt.Sprintf("router %d went back from %d to %d", i, highest[i], status.Revision))
 				}
 				highest[i] = max(highest[i], status.Revision)
 			}
@@ -57,25 +58,27 @@
 	return r
 }
 
-func (r *revisions) expectNoneWentBack() {
+// expectNoRollback stops the monitor and expects that no revision has decreased.
+func (r *revisionMonitor) expectNoRollback() {
 	GinkgoHelper()
 	close(r.stop)
 	<-r.done
-	Expect(r.faults).To(BeEmpty())
+	Expect(r.violations).To(BeEmpty())
 }
 
-// change writes a pool setting and returns its version.
-func change(c *cluster.Cluster, weight float64) uint64 {
+// writePool writes the pool with a new hit weight and returns its version.
+func writePool(c *cluster.Cluster, weight float64) uint64 {
 	GinkgoHelper()
 	stored, err := c.Write(v1.KindPool, cluster.Pool, &v1.PoolSpec{MaxLoading: 2, HitWeight: weight})
 	Expect(err).NotTo(HaveOccurred())
 	return stored.Version
 }
 
-// everywhere waits until all routers are at the revision and returns the time.
-func everywhere(c *cluster.Cluster, revision uint64, routers ...int) time.Duration {
+// awaitRevision waits until the routers, or all routers if none are given, are at least at the
+// revision, and returns how long that took.
+func awaitRevision(c *cluster.Cluster, revision uint64, routers ...int) time.Duration {
 	GinkgoHelper()
-	begun := time.Now()
+	startedAt := time.Now()
 	if len(routers) == 0 {
 		for i := range c.Routers {
 			routers = append(routers, i)
@@ -89,64 +92,65 @@
 		}
 		return true
 	})
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
 var _ = Describe(promises[5], func() {
 	It("is in force everywhere within seconds, also when watchers are killed", func() {
-		c := start(cluster.Settings{Routers: 6, Engines: 1})
-		watched := watchRevisions(c)
+		c := startCluster(cluster.Settings{Routers: 6, Engines: 1})
+		monitor := monitorRevisions(c)
 		var times []time.Duration
 		for i := range 20 {
-			times = append(times, everywhere(c, change(c, 1+float64(i)/100)))
+			times = append(times, awaitRevision(c, writePool(c, 1+float64(i)/100)))
 		}
 		slices.Sort(times)
 		GinkgoWriter.Printf("in force everywhere: p50 %s, worst of 20 %s, %d watches\n", times[10], times[19], c.Platform.Counters().Watches)
-		Expect(times[19]).To(BeNumerically("<", inForce))
-		for _, victim := range []int{0, 1, 2} {
-			c.Routers[victim].Kill()
+		Expect(times[19]).To(BeNumerically("<", maxPropagationTime))
+		for _, killedRouter := range []int{0, 1, 2} {
+			c.Routers[killedRouter].Kill()
 			survivors := []int{}
 			for i := range c.Routers {
-				if i != victim {
+				if i != killedRouter {
 					survivors = append(survivors, i)
 				}
 			}
-			Expect(everywhere(c, change(c, 2+float64(victim)/100), survivors...)).To(BeNumerically("<", inForce))
-			Expect(c.Routers[victim].Start()).To(Succeed())
+			Expect(awaitRevision(c, writePool(c, 2+float64(killedRouter)/100), survivors...)).To(BeNumerically("<", maxPropagationTime))
+			Expect(c.Routers[killedRouter].Start()).To(Succeed())
 		}
-		everywhere(c, change(c, 3))
-		watched.expectNoneWentBack()
+		awaitRevision(c, writePool(c, 3))
+		monitor.expectNoRollback()
 	})
 
 	It("reaches a zone that was cut off once it heals, and never reverts there", func() {
-		c := start(cluster.Settings{Routers: 6, Engines: 1})
-		watched := watchRevisions(c)
+		c := startCluster(cluster.Settings{Routers: 6, Engines: 1})
+		monitor := monitorRevisions(c)
 		Expect(c.Cut(2, 5)).To(Succeed())
-		everywhere(c, change(c, 1.5))
+		awaitRevision(c, writePool(c, 1.5))
 		Expect(c.Cut()).To(Succeed())
-		everywhere(c, change(c, 1.6))
-		watched.expectNoneWentBack()
+		awaitRevision(c, writePool(c, 1.6))
+		monitor.expectNoRollback()
 	})
 
 	It("ignores a platform that serves an older state", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 1})
-		// The platform goes on serving the state of now, though it accepts more.
-		held := c.Status(0).Revision
-		version := change(c, 1.7)
-		everywhere(c, version)
-		Expect(version).To(BeNumerically(">", held))
-		watched := watchRevisions(c)
-		c.Platform.SetFaults(platformserver.Faults{Stale: true, StaleRevision: held})
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 1})
+		// The platform will serve the state at this revision, although it has accepted a later
+		// change.
+		staleRevision := c.Status(0).Revision
+		version := writePool(c, 1.7)
+		awaitRevision(c, version)
+		Expect(version).To(BeNumerically(">", staleRevision))
+		monitor := monitorRevisions(c)
+		c.Platform.SetFaults(platformserver.Faults{Stale: true, StaleRevision: staleRevision})
 		for _, router := range c.Routers {
 			router.Kill()
 			Expect(router.Start()).To(Succeed())
-			everywhere(c, version)
+			awaitRevision(c, version)
 		}
-		watched.expectNoneWentBack()
+		monitor.expectNoRollback()
 	})
 
-	It("lets one of two racing operators win each version, and tells the other", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 1})
+	It("accepts one of two concurrent writes to each version, and reports a conflict to the other", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 1})
 		key := v1.Key{Kind: v1.KindPool, Name: cluster.Pool}
 		for round := range 10 {
 			current, err := c.Client.Get(context.Background(), key)
@@ -167,7 +171,7 @@
 	})
 
 	It("resolves a lost answer by reading back, and does not write twice", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 1})
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 1})
 		key := v1.Key{Kind: v1.KindPool, Name: cluster.Pool}
 		current, err := c.Client.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
@@ -175,26 +179,26 @@
 		stored, err := c.Write(v1.KindPool, cluster.Pool, &v1.PoolSpec{MaxLoading: 1, HitWeight: 4})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stored.Version).To(BeNumerically(">", current.Version))
-		everywhere(c, stored.Version)
-		after, err := c.Client.Get(context.Background(), key)
+		awaitRevision(c, stored.Version)
+		reread, err := c.Client.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(after.Version).To(Equal(stored.Version))
+		Expect(reread.Version).To(Equal(stored.Version))
 	})
 
 	It("stays in force while the platform is down, also on a restarted router", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 1})
-		version := change(c, 1.8)
-		everywhere(c, version)
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 1})
+		version := writePool(c, 1.8)
+		awaitRevision(c, version)
 		c.Platform.SetFaults(platformserver.Faults{Down: true})
 		c.Routers[0].Kill()
 		Expect(c.Routers[0].Start()).To(Succeed())
-		everywhere(c, version)
+		awaitRevision(c, version)
 	})
 
 	It("reports back which version is in force", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 1})
-		version := change(c, 1.9)
-		await("the status says so", func() bool {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 1})
+		version := writePool(c, 1.9)
+		await("the status reports the version in force", func() bool {
 			object, err := c.Client.Get(context.Background(), v1.Key{Kind: v1.KindPool, Name: cluster.Pool})
 			if err != nil || object.Status == nil || object.Status.ObservedVersion != version {
 				return false
--- a/test/prove/drain_test.go
+++ b/test/prove/drain_test.go
@@ -17,38 +17,42 @@
 	"github.com/clovertiller/clovertiller/internal/lab/workload"
 )
 
-// noWorkAfter is within what time a leaving back end must get no new work.
-const noWorkAfter = 3 * time.Second
+// maxLeaveDelay is the maximum time from the start of a runner's shutdown until it gets no new
+// requests.
+const maxLeaveDelay = 3 * time.Second
 
-// lostCallPause keeps calls to a router that is not there from spinning.
-const lostCallPause = 20 * time.Millisecond
+// unreachableRetryInterval is the pause after a call to an unreachable router. It prevents a busy
+// loop.
+const unreachableRetryInterval = 20 * time.Millisecond
 
-// traffic sends calls to the routers until it is stopped.
-type traffic struct {
-	stop     atomic.Bool
-	group    sync.WaitGroup
+// trafficGenerator sends calls to the routers until it is stopped.
+type trafficGenerator struct {
+	stopped  atomic.Bool
+	workers  sync.WaitGroup
 	mutex    sync.Mutex
-	made     []cluster.Call
+	calls    []cluster.Call
 	outcomes []cluster.Outcome
 }
 
-func startTraffic(c *cluster.Cluster, streams int, router func(i int) int) *traffic {
-	t := &traffic{}
-	// A test that fails before it finishes the traffic must not leave it running.
+// startTraffic starts a number of concurrent senders. The sender with index i sends its calls one
+// after the other to the router with index routerFor(i).
+func startTraffic(c *cluster.Cluster, concurrency int, routerFor func(i int) int) *trafficGenerator {
+	t := &trafficGenerator{}
+	// Stops the traffic if the test fails before it calls finish.
 	DeferCleanup(t.finish)
-	for i := range streams {
-		t.group.Add(1)
+	for i := range concurrency {
+		t.workers.Add(1)
 		go func() {
-			defer t.group.Done()
-			for !t.stop.Load() {
-				call := calls(1)[0]
-				outcome := c.Do(context.Background(), router(i), call)
+			defer t.workers.Done()
+			for !t.stopped.Load() {
+				call := newCalls(1)[0]
+				outcome := c.Do(context.Background(), routerFor(i), call)
 				t.mutex.Lock()
-				t.made = append(t.made, call)
+				t.calls = append(t.calls, call)
 				t.outcomes = append(t.outcomes, outcome)
 				t.mutex.Unlock()
 				if outcome.Status == 0 {
-					time.Sleep(lostCallPause)
+					time.Sleep(unreachableRetryInterval)
 				}
 			}
 		}()
@@ -56,31 +60,32 @@
 	return t
 }
 
-func (t *traffic) finish() ([]cluster.Call, []cluster.Outcome) {
-	t.stop.Store(true)
-	t.group.Wait()
-	return t.made, t.outcomes
+// finish stops the traffic, waits for open calls, and returns all calls with their outcomes.
+func (t *trafficGenerator) finish() ([]cluster.Call, []cluster.Outcome) {
+	t.stopped.Store(true)
+	t.workers.Wait()
+	return t.calls, t.outcomes
 }
 
-func (t *traffic) count() int {
+func (t *trafficGenerator) callCount() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.made)
+	return len(t.calls)
 }
 
 var _ = Describe(promises[3], func() {
 	It("finishes every stream of an engine that is asked to stop", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		running := startTraffic(c, 24, func(i int) int { return i % 3 })
-		await("traffic runs", func() bool { return running.count() > 30 })
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		generator := startTraffic(c, 24, func(i int) int { return i % 3 })
+		await("traffic runs", func() bool { return generator.callCount() > 30 })
 		c.Engines[0].Terminate()
-		Eventually(c.Engines[0].Done()).WithTimeout(settleTime).Should(BeClosed())
-		made, outcomes := running.finish()
-		expectAllExact(made, outcomes)
+		Eventually(c.Engines[0].Done()).WithTimeout(settleTimeout).Should(BeClosed())
+		calls, outcomes := generator.finish()
+		expectAllExact(calls, outcomes)
 	})
 
 	It("finishes every request of a router that is asked to stop", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
 		settings := load.Settings{Routers: c.RouterAddresses(), Requests: 400, Concurrency: 16, Seed: 4, Workload: workload.DefaultSettings()}
 		settings.Workload.Sizes = workload.SmallSizes()
 		for i := range settings.Workload.Tenants {
@@ -96,11 +101,11 @@
 		}
 		await("the models are served", func() bool {
 			status := c.Status(0)
-			served := map[string]bool{}
+			servedModels := map[string]bool{}
 			for _, runner := range status.Runners {
-				served[runner.Model] = runner.State == "serving"
+				servedModels[runner.Model] = runner.State == "serving"
 			}
-			return served["penyiar-lm"] && served["llm-examen"]
+			return servedModels["penyiar-lm"] && servedModels["llm-examen"]
 		})
 		var once sync.Once
 		settings.Progress = func(percent int) {
@@ -108,74 +113,75 @@
 				once.Do(c.Routers[1].Terminate)
 			}
 		}
-		report := load.Run(background(), settings)
-		Eventually(c.Routers[1].Done()).WithTimeout(settleTime).Should(BeClosed())
+		report := load.Run(testContext(), settings)
+		Eventually(c.Routers[1].Done()).WithTimeout(settleTimeout).Should(BeClosed())
 		Expect(report.Failures).To(BeEmpty())
 		Expect(report.Complete).To(Equal(400))
 		Expect(report.Wrong).To(BeZero())
 	})
 
 	It("finishes requests that are open for longer than the grace time of a router's stop", func() {
-		c := start(cluster.Settings{Routers: 1, Engines: 1})
-		made := calls(500)
-		finished := make(chan []cluster.Outcome)
-		go func() { finished <- each(c, made, func(int) int { return 0 }) }()
+		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
+		calls := newCalls(500)
+		results := make(chan []cluster.Outcome)
+		go func() { results <- doConcurrently(c, calls, func(int) int { return 0 }) }()
 		await("all requests are on the engine", func() bool {
 			status := c.Status(0)
 			return status != nil && status.Runners[0].Running+status.Runners[0].Waiting > 400
 		})
-		stopped := time.Now()
+		stoppedAt := time.Now()
 		c.Routers[0].Terminate()
-		outcomes := <-finished
-		Eventually(c.Routers[0].Done()).WithTimeout(settleTime).Should(BeClosed())
-		Expect(time.Since(stopped)).To(BeNumerically(">", 2*time.Second), "the requests ended within the grace time, which proves nothing")
-		expectAllExact(made, outcomes)
+		outcomes := <-results
+		Eventually(c.Routers[0].Done()).WithTimeout(settleTimeout).Should(BeClosed())
+		Expect(time.Since(stoppedAt)).To(BeNumerically(">", 2*time.Second), "the requests ended within the grace time, so the test proves nothing")
+		expectAllExact(calls, outcomes)
 	})
 
-	// leaves checks that a leaving engine gets no new work once the time is up.
-	leaves := func(c *cluster.Cluster, leave func()) {
+	// expectNoNewWork starts traffic, calls leave to make the first engine leave, and checks that
+	// the engine gets no new work after maxLeaveDelay.
+	expectNoNewWork := func(c *cluster.Cluster, leave func()) {
 		GinkgoHelper()
-		running := startTraffic(c, 12, func(i int) int { return i % 3 })
-		await("traffic runs", func() bool { return running.count() > 20 })
+		generator := startTraffic(c, 12, func(i int) int { return i % 3 })
+		await("traffic runs", func() bool { return generator.callCount() > 20 })
 		leave()
-		left := time.Now()
-		await("the time is up", func() bool { return time.Since(left) > noWorkAfter })
+		leftAt := time.Now()
+		await("maxLeaveDelay has passed", func() bool { return time.Since(leftAt) > maxLeaveDelay })
 		idle := func() bool {
 			status := c.Status(0)
 			return status != nil && status.Runners[0].Running+status.Runners[0].Waiting == 0
 		}
 		await("the engine is idle", idle)
-		before := running.count()
-		await("more traffic has run", func() bool { return running.count() > before+60 })
+		countBefore := generator.callCount()
+		await("more traffic has run", func() bool { return generator.callCount() > countBefore+60 })
 		Expect(idle()).To(BeTrue(), "a leaving engine has work")
-		made, outcomes := running.finish()
-		expectAllExact(made, outcomes)
-		late := 0
+		calls, outcomes := generator.finish()
+		expectAllExact(calls, outcomes)
+		lateCalls := 0
 		for _, outcome := range outcomes {
-			if outcome.Sent.Sub(left) > noWorkAfter {
-				late++
-				Expect(outcome.Runner).NotTo(Equal(c.Engines[0].Runner), "work sent %s after the engine left", outcome.Sent.Sub(left))
+			if outcome.Sent.Sub(leftAt) > maxLeaveDelay {
+				lateCalls++
+				Expect(outcome.Runner).NotTo(Equal(c.Engines[0].Runner), "work sent %s after the engine left", outcome.Sent.Sub(leftAt))
 			}
 		}
-		Expect(late).To(BeNumerically(">", 60))
+		Expect(lateCalls).To(BeNumerically(">", 60))
 	}
 
 	It("gives no new work to an engine whose machine the list shows as leaving", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		leaves(c, func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		expectNoNewWork(c, func() {
 			c.Platform.SetMachine("machine-runner-0", v1.MachineSpec{State: v1.MachineLeaving, Zone: "zone-a"})
 		})
 	})
 
 	It("gives no new work to a draining engine while the platform is down", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
 		c.Platform.SetFaults(platformserver.Faults{Down: true})
-		running := startTraffic(c, 12, func(i int) int { return i % 3 })
-		await("traffic runs", func() bool { return running.count() > 20 })
+		generator := startTraffic(c, 12, func(i int) int { return i % 3 })
+		await("traffic runs", func() bool { return generator.callCount() > 20 })
 		c.Engines[0].Terminate()
-		Eventually(c.Engines[0].Done()).WithTimeout(settleTime).Should(BeClosed())
-		await("more traffic has run", func() bool { return running.count() > 120 })
-		made, outcomes := running.finish()
-		expectAllExact(made, outcomes)
+		Eventually(c.Engines[0].Done()).WithTimeout(settleTimeout).Should(BeClosed())
+		await("more traffic has run", func() bool { return generator.callCount() > 120 })
+		calls, outcomes := generator.finish()
+		expectAllExact(calls, outcomes)
 	})
 })
--- a/test/prove/fence_test.go
+++ b/test/prove/fence_test.go
@@ -15,8 +15,9 @@
 	"github.com/clovertiller/clovertiller/internal/lab/platformserver"
 )
 
-// holder returns the lease as the platform has it.
-func holder(c *cluster.Cluster) (v1.LeaseSpec, uint64) {
+// readLease returns the controller lease and its version, or zero values if it cannot be
+// read.
+func readLease(c *cluster.Cluster) (v1.LeaseSpec, uint64) {
 	object, err := c.Client.Get(context.Background(), v1.Key{Kind: v1.KindLease, Name: "controller"})
 	if err != nil {
 		return v1.LeaseSpec{}, 0
@@ -28,7 +29,7 @@
 	return spec, object.Version
 }
 
-func routerNamed(c *cluster.Cluster, name string) *cluster.Router {
+func findRouter(c *cluster.Cluster, name string) *cluster.Router {
 	for _, router := range c.Routers {
 		if router.Name == name {
 			return router
@@ -37,7 +38,8 @@
 	return nil
 }
 
-func served(c *cluster.Cluster, version string) int {
+// countServing returns how many runners serve a weight version, as the first router sees them.
+func countServing(c *cluster.Cluster, version string) int {
 	count := 0
 	status := c.Status(0)
 	if status == nil {
@@ -52,21 +54,21 @@
 }
 
 var _ = Describe(promises[6], func() {
-	It("lets a woken holder of a lapsed lease do no harm", func() {
-		c := start(cluster.Settings{Routers: 4, Engines: 4, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
-		await("a lease is held", func() bool { spec, _ := holder(c); return spec.Holder != "" })
-		before, _ := holder(c)
-		frozen := routerNamed(c, before.Holder)
-		frozen.Freeze()
+	It("is not disturbed by a resumed lease holder whose lease has expired", func() {
+		c := startCluster(cluster.Settings{Routers: 4, Engines: 4, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		await("a lease is held", func() bool { spec, _ := readLease(c); return spec.Holder != "" })
+		oldLease, _ := readLease(c)
+		frozenRouter := findRouter(c, oldLease.Holder)
+		frozenRouter.Freeze()
 		await("another node holds the lease", func() bool {
-			now, _ := holder(c)
-			return now.Holder != before.Holder && now.Term > before.Term
+			currentLease, _ := readLease(c)
+			return currentLease.Holder != oldLease.Holder && currentLease.Term > oldLease.Term
 		})
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
 		await("the new weights are served", func() bool {
 			for i, router := range c.Routers {
-				if router != frozen && c.Status(i) != nil {
+				if router != frozenRouter && c.Status(i) != nil {
 					count := 0
 					for _, runner := range c.Status(i).Runners {
 						if runner.WeightVersion == "v2" {
@@ -78,38 +80,38 @@
 			}
 			return false
 		})
-		frozen.Thaw()
-		await("the woken router follows", func() bool { return c.Settled() })
-		Consistently(func() int { return served(c, "v2") }).WithTimeout(time.Second).Should(Equal(len(c.Engines)))
+		frozenRouter.Thaw()
+		await("the resumed router has caught up", func() bool { return c.Settled() })
+		Consistently(func() int { return countServing(c, "v2") }).WithTimeout(time.Second).Should(Equal(len(c.Engines)))
 	})
 
 	It("has engines refuse an order with an older token", func() {
-		c := start(cluster.Settings{Routers: 1, Engines: 1})
+		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
 		client := engineapi.NewClient()
 		Expect(client.Order(context.Background(), c.Engines[0].Address, &engineapi.Order{Token: 1 << 40, Kind: engineapi.OrderSetRole, Role: "serve"})).To(Succeed())
 		err := client.Order(context.Background(), c.Engines[0].Address, &engineapi.Order{Token: 1<<40 - 1, Kind: engineapi.OrderSetRole, Role: "standby"})
-		var refused *engineapi.RefusedError
-		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused.Refusal.Code).To(Equal(engineapi.CodeStaleToken))
-		Expect(refused.Refusal.Token).To(Equal(uint64(1 << 40)))
+		var refusedErr *engineapi.RefusedError
+		Expect(errors.As(err, &refusedErr)).To(BeTrue())
+		Expect(refusedErr.Refusal.Code).To(Equal(engineapi.CodeStaleToken))
+		Expect(refusedErr.Refusal.Token).To(Equal(uint64(1 << 40)))
 	})
 
 	It("keeps loads and serving runners within the pool's limits", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 6, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
-		running := startTraffic(c, 8, func(i int) int { return i % 3 })
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 6, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		generator := startTraffic(c, 8, func(i int) int { return i % 3 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
-		fewest := len(c.Engines)
+		minServing := len(c.Engines)
 		await("the new weights are served", func() bool {
-			serving := served(c, "v1") + served(c, "v2")
+			serving := countServing(c, "v1") + countServing(c, "v2")
 			if serving > 0 {
-				fewest = min(fewest, serving)
+				minServing = min(minServing, serving)
 			}
-			return served(c, "v2") == len(c.Engines)
+			return countServing(c, "v2") == len(c.Engines)
 		})
-		made, outcomes := running.finish()
-		expectAllExact(made, outcomes)
+		calls, outcomes := generator.finish()
+		expectAllExact(calls, outcomes)
 		Expect(c.Platform.MostLoading()).To(BeNumerically("<=", 2))
-		Expect(fewest).To(BeNumerically(">=", 3), "half of the pool must keep serving")
+		Expect(minServing).To(BeNumerically(">=", 3), "half of the runners of the pool must keep serving")
 	})
 })
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -13,26 +13,26 @@
 	"github.com/clovertiller/clovertiller/internal/lab/engineserver"
 )
 
-// expectAtMostOnce checks every outcome of an unrepeatable call.
-func expectAtMostOnce(c *cluster.Cluster, made []cluster.Call, outcomes []cluster.Outcome) {
+// expectAtMostOnce checks that each call ran at most once and that its outcome is truthful.
+func expectAtMostOnce(c *cluster.Cluster, calls []cluster.Call, outcomes []cluster.Outcome) {
 	GinkgoHelper()
-	for i, call := range made {
-		expectTruth(c, call, outcomes[i])
+	for i, call := range calls {
+		expectTruthfulOutcome(c, call, outcomes[i])
 		Expect(c.RunsOf(call.Prompt)).To(BeNumerically("<=", 1), "runs of call %d", i)
 	}
 }
 
 var _ = Describe(promises[0], func() {
 	It("runs duplicates sent to all routers at once a single time", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		originals := holds(30)
-		var made []cluster.Call
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		originals := newUnrepeatableCalls(30)
+		var calls []cluster.Call
 		for _, call := range originals {
-			made = append(made, call, call, call)
+			calls = append(calls, call, call, call)
 		}
-		outcomes := each(c, made, func(i int) int { return i % 3 })
-		expectAtMostOnce(c, made, outcomes)
-		complete := 0
+		outcomes := doConcurrently(c, calls, func(i int) int { return i % 3 })
+		expectAtMostOnce(c, calls, outcomes)
+		completed := 0
 		for i := range originals {
 			wins := 0
 			for _, outcome := range outcomes[3*i : 3*i+3] {
@@ -43,72 +43,72 @@
 				}
 			}
 			Expect(wins).To(BeNumerically("<=", 1))
-			complete += wins
+			completed += wins
 		}
-		// Three that race may each get one holder and none a majority; that must
-		// stay the exception.
-		Expect(complete).To(BeNumerically(">=", 15))
+		// Three concurrent duplicates may each claim the key at one holder, so that none has a
+		// majority. At least half of the calls must be won nevertheless.
+		Expect(completed).To(BeNumerically(">=", 15))
 	})
 
-	It("finds out what became of a request whose engine's answer was lost", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 2})
+	It("determines the outcome of a request whose response from the engine was lost", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 2})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{LoseAnswers: 10})).To(Succeed())
 		}
-		made := holds(20)
-		outcomes := each(c, made, func(i int) int { return i % 3 })
-		expectAtMostOnce(c, made, outcomes)
+		calls := newUnrepeatableCalls(20)
+		outcomes := doConcurrently(c, calls, func(i int) int { return i % 3 })
+		expectAtMostOnce(c, calls, outcomes)
 		for i, outcome := range outcomes {
 			Expect(outcome.Complete()).To(BeTrue(), "call %d: %s %s", i, outcome.Code, outcome.RunState)
 		}
 	})
 
-	It("does not run a hold again when its engine is killed", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		made := holds(40)
+	It("does not run an unrepeatable request again when its engine is killed", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		calls := newUnrepeatableCalls(40)
 		var outcomes []cluster.Outcome
-		finished := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			outcomes = each(c, made, func(i int) int { return i % 3 })
-			close(finished)
+			outcomes = doConcurrently(c, calls, func(i int) int { return i % 3 })
+			close(done)
 		}()
-		await("a hold has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("an unrepeatable request has begun", func() bool { return len(c.Platform.Runs()) > 0 })
 		c.Engines[0].Kill()
-		<-finished
-		expectAtMostOnce(c, made, outcomes)
-		complete := 0
+		<-done
+		expectAtMostOnce(c, calls, outcomes)
+		completed := 0
 		for _, outcome := range outcomes {
 			if outcome.Complete() {
-				complete++
+				completed++
 			}
 		}
-		Expect(complete).To(BeNumerically(">", 0))
+		Expect(completed).To(BeNumerically(">", 0))
 	})
 
 	It("keeps the promise when a router is killed between claim and answer", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		made := holds(30)
-		first := make([]cluster.Outcome, len(made))
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		calls := newUnrepeatableCalls(30)
+		firstOutcomes := make([]cluster.Outcome, len(calls))
 		var group sync.WaitGroup
-		for i, call := range made {
+		for i, call := range calls {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				first[i] = c.Do(context.Background(), 0, call)
+				firstOutcomes[i] = c.Do(context.Background(), 0, call)
 			}()
 		}
-		await("a hold has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("an unrepeatable request has begun", func() bool { return len(c.Platform.Runs()) > 0 })
 		c.Routers[0].Kill()
 		group.Wait()
-		second := each(c, made, func(i int) int { return 1 + i%2 })
-		expectAtMostOnce(c, made, first)
-		expectAtMostOnce(c, made, second)
+		secondOutcomes := doConcurrently(c, calls, func(i int) int { return 1 + i%2 })
+		expectAtMostOnce(c, calls, firstOutcomes)
+		expectAtMostOnce(c, calls, secondOutcomes)
 	})
 
 	It("keeps the promise when all routers restart, and takes new keys again", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		made := holds(20)
-		expectAtMostOnce(c, made, each(c, made, func(i int) int { return i % 3 }))
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		calls := newUnrepeatableCalls(20)
+		expectAtMostOnce(c, calls, doConcurrently(c, calls, func(i int) int { return i % 3 }))
 		for _, router := range c.Routers {
 			router.Kill()
 		}
@@ -116,101 +116,101 @@
 			Expect(router.Start()).To(Succeed())
 		}
 		await("the routers serve", c.Settled)
-		again := each(c, made, func(i int) int { return i % 3 })
-		expectAtMostOnce(c, made, again)
-		for _, outcome := range again {
+		repeatedOutcomes := doConcurrently(c, calls, func(i int) int { return i % 3 })
+		expectAtMostOnce(c, calls, repeatedOutcomes)
+		for _, outcome := range repeatedOutcomes {
 			Expect(outcome.RunState).To(Equal("unknown"))
 		}
 		await("a new key is taken", func() bool {
-			call := holds(1)[0]
+			call := newUnrepeatableCalls(1)[0]
 			outcome := c.Do(context.Background(), 0, call)
 			expectAtMostOnce(c, []cluster.Call{call}, []cluster.Outcome{outcome})
 			return cluster.Exact(call, outcome)
 		})
 	})
 
-	It("refuses honestly on the cut-off side and serves on the other", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
+	It("refuses unrepeatable requests on the minority side of a partition and serves them on the other", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
 		Expect(c.Cut(2)).To(Succeed())
-		made := holds(10)
-		alone := each(c, made, func(int) int { return 2 })
-		for _, outcome := range alone {
+		calls := newUnrepeatableCalls(10)
+		isolatedOutcomes := doConcurrently(c, calls, func(int) int { return 2 })
+		for _, outcome := range isolatedOutcomes {
 			Expect(outcome.Complete()).To(BeFalse())
 			Expect(outcome.RunState).To(Equal("unknown"))
 			Expect(outcome.RetryAfter).NotTo(BeEmpty())
 		}
-		expectAtMostOnce(c, made, alone)
-		fresh := holds(10)
-		outcomes := each(c, fresh, func(i int) int { return i % 2 })
-		expectAtMostOnce(c, fresh, outcomes)
+		expectAtMostOnce(c, calls, isolatedOutcomes)
+		freshCalls := newUnrepeatableCalls(10)
+		outcomes := doConcurrently(c, freshCalls, func(i int) int { return i % 2 })
+		expectAtMostOnce(c, freshCalls, outcomes)
 		for i, outcome := range outcomes {
-			Expect(cluster.Exact(fresh[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
+			Expect(cluster.Exact(freshCalls[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		}
 		Expect(c.Cut()).To(Succeed())
 		await("the cut-off router takes new keys", func() bool {
-			call := holds(1)[0]
+			call := newUnrepeatableCalls(1)[0]
 			return cluster.Exact(call, c.Do(context.Background(), 2, call))
 		})
 	})
 
 	It("answers delayed duplicates at once and never runs them", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 2})
-		made := holds(5)
-		expectAtMostOnce(c, made, each(c, made, func(i int) int { return i % 3 }))
-		for i, call := range made {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 2})
+		calls := newUnrepeatableCalls(5)
+		expectAtMostOnce(c, calls, doConcurrently(c, calls, func(i int) int { return i % 3 }))
+		for i, call := range calls {
 			outcome := c.Do(context.Background(), (i+1)%3, call)
 			Expect(outcome.Status).To(Equal(409))
 			Expect(outcome.RunState).To(Equal("unknown"))
 			Expect(outcome.Took).To(BeNumerically("<", time.Second))
 		}
-		expectAtMostOnce(c, made, make([]cluster.Outcome, len(made)))
+		expectAtMostOnce(c, calls, make([]cluster.Outcome, len(calls)))
 	})
 
 	It("keeps the promise while claim holders change one after another", func() {
-		c := start(cluster.Settings{Routers: 5, Engines: 3})
+		c := startCluster(cluster.Settings{Routers: 5, Engines: 3})
 		stop := make(chan struct{})
-		var made []cluster.Call
+		var calls []cluster.Call
 		var outcomes []cluster.Outcome
-		finished := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(finished)
+			defer close(done)
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				batch := holds(3)
-				doubled := append(append([]cluster.Call{}, batch...), batch...)
-				made = append(made, doubled...)
-				outcomes = append(outcomes, each(c, doubled, func(i int) int { return i % 2 })...)
+				batch := newUnrepeatableCalls(3)
+				duplicates := append(append([]cluster.Call{}, batch...), batch...)
+				calls = append(calls, duplicates...)
+				outcomes = append(outcomes, doConcurrently(c, duplicates, func(i int) int { return i % 2 })...)
 			}
 		}()
-		for _, victim := range []int{2, 3, 4} {
-			number := c.Status(0).Assignment
-			c.Routers[victim].Kill()
-			Expect(c.Routers[victim].Start()).To(Succeed())
+		for _, killedRouter := range []int{2, 3, 4} {
+			assignmentBefore := c.Status(0).Assignment
+			c.Routers[killedRouter].Kill()
+			Expect(c.Routers[killedRouter].Start()).To(Succeed())
 			await("the routers are whole", c.Settled)
-			Expect(c.Status(0).Assignment).To(BeNumerically(">=", number))
+			Expect(c.Status(0).Assignment).To(BeNumerically(">=", assignmentBefore))
 			await("a new key that two routers get at once is taken", func() bool {
-				call := holds(1)[0]
+				call := newUnrepeatableCalls(1)[0]
 				pair := []cluster.Call{call, call}
-				taken := each(c, pair, func(i int) int { return i })
-				expectAtMostOnce(c, pair, taken)
-				return taken[0].Complete() || taken[1].Complete()
+				pairOutcomes := doConcurrently(c, pair, func(i int) int { return i })
+				expectAtMostOnce(c, pair, pairOutcomes)
+				return pairOutcomes[0].Complete() || pairOutcomes[1].Complete()
 			})
 		}
 		close(stop)
-		<-finished
-		expectAtMostOnce(c, made, outcomes)
-		complete := 0
+		<-done
+		expectAtMostOnce(c, calls, outcomes)
+		completed := 0
 		for _, outcome := range outcomes {
 			if outcome.Complete() {
-				complete++
+				completed++
 			}
 		}
-		// Duplicates that race while a holder is gone may each get one of the others and none a
-		// majority, so none of these need be complete.
-		AddReportEntry("holds", fmt.Sprintf("%d sent twice, %d complete", len(made)/2, complete))
+		// While a claim holder is down, concurrent duplicates may each claim the key at one of the
+		// other holders, so that none has a majority. So none of these calls has to complete.
+		AddReportEntry("unrepeatable requests", fmt.Sprintf("%d sent twice, %d complete", len(calls)/2, completed))
 	})
 })
--- a/test/prove/restart_test.go
+++ b/test/prove/restart_test.go
@@ -13,18 +13,19 @@
 	"github.com/clovertiller/clovertiller/internal/lab/platformserver"
 )
 
-// untilServed asks a router until it answers a request whole, and returns how
-// long that took and how often it refused; every refusal must be true.
-func untilServed(c *cluster.Cluster, router int) (time.Duration, int) {
+// awaitServed sends calls to a router until one is answered completely. It returns the time until
+// the first token of that answer and the number of refused calls. Every refusal must be reported
+// as not run.
+func awaitServed(c *cluster.Cluster, router int) (time.Duration, int) {
 	GinkgoHelper()
-	begun := time.Now()
+	startedAt := time.Now()
 	refusals := 0
-	for time.Since(begun) < settleTime {
-		call := calls(1)[0]
+	for time.Since(startedAt) < settleTimeout {
+		call := newCalls(1)[0]
 		outcome := c.Do(context.Background(), router, call)
 		if outcome.Complete() {
 			Expect(cluster.Exact(call, outcome)).To(BeTrue())
-			return time.Since(begun) - outcome.Took + outcome.Answer.FirstToken, refusals
+			return time.Since(startedAt) - outcome.Took + outcome.Answer.FirstToken, refusals
 		}
 		if outcome.Status != 0 {
 			refusals++
@@ -36,28 +37,28 @@
 	return 0, 0
 }
 
-// serveAtOnce is within what time a restarted router must serve with a peer to
-// read from. The aim is 300 ms; the bound leaves room for a busy machine.
-const serveAtOnce = 2 * time.Second
+// maxTimeToServe is the maximum time until the first token after a restart if a peer can provide
+// the configuration. The target is 300 ms; the limit is higher because test machines may be busy.
+const maxTimeToServe = 2 * time.Second
 
 var _ = Describe(promises[4], func() {
-	for _, down := range []bool{false, true} {
-		It(fmt.Sprintf("serves at once after one restart, platform down: %t", down), func() {
-			c := start(cluster.Settings{Routers: 3, Engines: 3})
+	for _, platformDown := range []bool{false, true} {
+		It(fmt.Sprintf("serves at once after one restart, platform down: %t", platformDown), func() {
+			c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
 			lists := c.Platform.Counters().Lists
-			c.Platform.SetFaults(platformserver.Faults{Down: down})
+			c.Platform.SetFaults(platformserver.Faults{Down: platformDown})
 			c.Routers[1].Kill()
 			Expect(c.Routers[1].Start()).To(Succeed())
-			took, refusals := untilServed(c, 1)
-			AddReportEntry("restart to first token", fmt.Sprintf("%s, %d refusals, %d lists", took, refusals, c.Platform.Counters().Lists-lists))
-			GinkgoWriter.Printf("restart to first token (platform down %t): %s, %d refusals, %d lists\n", down, took, refusals, c.Platform.Counters().Lists-lists)
-			Expect(took).To(BeNumerically("<", serveAtOnce))
+			elapsed, refusals := awaitServed(c, 1)
+			AddReportEntry("restart to first token", fmt.Sprintf("%s, %d refusals, %d lists", elapsed, refusals, c.Platform.Counters().Lists-lists))
+			GinkgoWriter.Printf("restart to first token (platform down %t): %s, %d refusals, %d lists\n", platformDown, elapsed, refusals, c.Platform.Counters().Lists-lists)
+			Expect(elapsed).To(BeNumerically("<", maxTimeToServe))
 			Expect(c.Platform.Counters().Lists - lists).To(BeNumerically("<=", 1))
 		})
 	}
 
 	It("serves again after all restart together, with few reads of the platform", func() {
-		c := start(cluster.Settings{Routers: 9, Engines: 3})
+		c := startCluster(cluster.Settings{Routers: 9, Engines: 3})
 		lists := c.Platform.Counters().Lists
 		for _, router := range c.Routers {
 			router.Kill()
@@ -66,16 +67,16 @@
 			Expect(router.Start()).To(Succeed())
 		}
 		for i := range c.Routers {
-			took, refusals := untilServed(c, i)
-			GinkgoWriter.Printf("herd: router %d served %s after the last start, %d refusals\n", i, took, refusals)
-			Expect(took).To(BeNumerically("<", 5*time.Second))
+			elapsed, refusals := awaitServed(c, i)
+			GinkgoWriter.Printf("herd: router %d served %s after the last start, %d refusals\n", i, elapsed, refusals)
+			Expect(elapsed).To(BeNumerically("<", 5*time.Second))
 		}
-		// Two watchers a zone, three zones.
+		// There are three zones with two watchers each.
 		Expect(c.Platform.Counters().Lists - lists).To(BeNumerically("<=", 6))
 	})
 
-	It("says so when all restarted while the platform is down, and serves when it is back", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
+	It("refuses requests when all restart while the platform is down, and serves when it is back", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
 		c.Platform.SetFaults(platformserver.Faults{Down: true})
 		for _, router := range c.Routers {
 			router.Kill()
@@ -85,7 +86,7 @@
 		}
 		var outcome cluster.Outcome
 		await("the router answers", func() bool {
-			outcome = c.Do(context.Background(), 0, calls(1)[0])
+			outcome = c.Do(context.Background(), 0, newCalls(1)[0])
 			return outcome.Status != 0
 		})
 		Expect(outcome.Status).To(Equal(http.StatusServiceUnavailable))
@@ -94,7 +95,7 @@
 		Expect(outcome.RetryAfter).NotTo(BeEmpty())
 		c.Platform.SetFaults(platformserver.Faults{})
 		for i := range c.Routers {
-			untilServed(c, i)
+			awaitServed(c, i)
 		}
 	})
 })
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -10,67 +10,68 @@
 	"github.com/clovertiller/clovertiller/internal/lab/engineserver"
 )
 
-func expectAllExact(made []cluster.Call, outcomes []cluster.Outcome) {
+// expectAllExact expects that every call has a complete answer with the expected text.
+func expectAllExact(calls []cluster.Call, outcomes []cluster.Outcome) {
 	GinkgoHelper()
 	for i, outcome := range outcomes {
 		Expect(outcome.Error).NotTo(HaveOccurred())
 		Expect(outcome.Complete()).To(BeTrue(), "call %d: status %d %s %s after %d chunks", i, outcome.Status, outcome.Code, outcome.RunState, outcome.Answer.Chunks)
-		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(made[i], outcome.Answer.WeightVersion)))
+		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(calls[i], outcome.Answer.WeightVersion)))
 	}
 }
 
 var _ = Describe(promises[1], func() {
 	It("passes on only the frames of its own request, attempt and offset", func() {
-		c := start(cluster.Settings{Routers: 2, Engines: 2})
+		c := startCluster(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{CrossFrames: true})).To(Succeed())
 		}
-		made := calls(40)
-		expectAllExact(made, each(c, made, func(i int) int { return i % 2 }))
+		calls := newCalls(40)
+		expectAllExact(calls, doConcurrently(c, calls, func(i int) int { return i % 2 }))
 	})
 
 	It("resumes streams that are cut in the middle", func() {
-		c := start(cluster.Settings{Routers: 2, Engines: 2})
+		c := startCluster(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{CutStreams: 30, CrossFrames: true})).To(Succeed())
 		}
-		made := calls(40)
-		expectAllExact(made, each(c, made, func(i int) int { return i % 2 }))
+		calls := newCalls(40)
+		expectAllExact(calls, doConcurrently(c, calls, func(i int) int { return i % 2 }))
 	})
 
 	It("continues elsewhere when the engine is killed in the middle", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		made := calls(60)
-		finished := make(chan []cluster.Outcome)
-		go func() { finished <- each(c, made, func(i int) int { return i % 3 }) }()
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		calls := newCalls(60)
+		results := make(chan []cluster.Outcome)
+		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 3 }) }()
 		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
 		c.Engines[0].Kill()
-		expectAllExact(made, <-finished)
+		expectAllExact(calls, <-results)
 	})
 
-	It("continues elsewhere when the engine freezes, and drops what it sends when it wakes", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		made := calls(60)
-		finished := make(chan []cluster.Outcome)
-		go func() { finished <- each(c, made, func(i int) int { return i % 3 }) }()
+	It("continues elsewhere when the engine freezes, and discards what the engine sends after resuming", func() {
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
+		calls := newCalls(60)
+		results := make(chan []cluster.Outcome)
+		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 3 }) }()
 		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
 		c.Engines[1].Freeze()
-		outcomes := <-finished
+		outcomes := <-results
 		c.Engines[1].Thaw()
-		expectAllExact(made, outcomes)
-		more := calls(20)
-		expectAllExact(more, each(c, more, func(i int) int { return i % 3 }))
+		expectAllExact(calls, outcomes)
+		moreCalls := newCalls(20)
+		expectAllExact(moreCalls, doConcurrently(c, moreCalls, func(i int) int { return i % 3 }))
 	})
 
-	It("cancels the work of a caller that goes away", func() {
-		c := start(cluster.Settings{Routers: 1, Engines: 1})
-		call := calls(1)[0]
+	It("cancels the request of a caller that disconnects", func() {
+		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
+		call := newCalls(1)[0]
 		ctx, cancel := context.WithCancel(context.Background())
-		gone := make(chan cluster.Outcome)
-		go func() { gone <- c.Do(ctx, 0, call) }()
+		result := make(chan cluster.Outcome)
+		go func() { result <- c.Do(ctx, 0, call) }()
 		await("the request has begun", func() bool { return c.RunsOf(call.Prompt) == 1 })
 		cancel()
-		<-gone
+		<-result
 		await("the engine is idle", func() bool {
 			status := c.Status(0)
 			return status != nil && status.Runners[0].Running+status.Runners[0].Waiting == 0
--- a/test/prove/suite_test.go
+++ b/test/prove/suite_test.go
@@ -1,5 +1,6 @@
-// Package prove holds the failure tests: real router and engine processes, one
-// container a promise. `make prove` runs them and prints one line a promise.
+// Package prove tests the promises of the product under failures, with real router and engine
+// processes. Each promise is one ginkgo container. `make prove` runs the tests and prints one
+// line per promise.
 package prove
 
 import (
@@ -27,93 +28,100 @@
 
 var (
 	binaries cluster.Binaries
-	logs     string
+	// logDir holds the binaries and the logs of all processes.
+	logDir string
 )
 
 var _ = BeforeSuite(func() {
-	directory, err := os.MkdirTemp("", "prove")
+	dir, err := os.MkdirTemp("", "prove")
 	Expect(err).NotTo(HaveOccurred())
-	logs = directory
-	DeferCleanup(func() { os.RemoveAll(directory) })
-	binaries, err = cluster.Build(directory)
+	logDir = dir
+	DeferCleanup(func() { os.RemoveAll(dir) })
+	binaries, err = cluster.Build(dir)
 	Expect(err).NotTo(HaveOccurred())
 })
 
-// settleTime bounds waits for a cluster to be whole; waits end on the event.
-const settleTime = 30 * time.Second
+// settleTimeout is the timeout of waits for a condition and of calls. Waits end as soon as the
+// condition is met.
+const settleTimeout = 30 * time.Second
 
-// start runs a whole cluster for one test.
-func start(settings cluster.Settings) *cluster.Cluster {
-	c, err := cluster.New(binaries, logs, settings)
+// startCluster starts a cluster, waits until all its routers and runners are ready, and stops
+// it at the end of the test.
+func startCluster(settings cluster.Settings) *cluster.Cluster {
+	c, err := cluster.New(binaries, logDir, settings)
 	DeferCleanup(c.Close)
 	Expect(err).NotTo(HaveOccurred())
-	await("the cluster is whole", c.Settled)
+	await("the cluster is ready", c.Settled)
 	return c
 }
 
+// await fails the test unless the condition is met within settleTimeout.
 func await(what string, condition func() bool) {
 	GinkgoHelper()
-	Expect(cluster.Await(settleTime, condition)).To(BeTrue(), "gave up waiting until %s", what)
+	Expect(cluster.Await(settleTimeout, condition)).To(BeTrue(), "timed out waiting until %s", what)
 }
 
-// background returns a context that ends with the test.
-func background() context.Context {
+// testContext returns a context that is canceled at the end of the test.
+func testContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	return ctx
 }
 
-// calls makes count repeatable calls that share a long prefix.
-func calls(count int) []cluster.Call {
-	made := make([]cluster.Call, count)
-	for i := range made {
-		made[i] = cluster.Call{Tenant: "one", Prompt: shared + fmt.Sprintf("question %d of %s", i, cluster.NewKey()), MaxTokens: 60}
+// newCalls returns repeatable calls with different prompts that share a long prefix.
+func newCalls(count int) []cluster.Call {
+	calls := make([]cluster.Call, count)
+	for i := range calls {
+		calls[i] = cluster.Call{Tenant: "one", Prompt: sharedPrefix + fmt.Sprintf("question %d of %s", i, cluster.NewKey()), MaxTokens: 60}
 	}
-	return made
+	return calls
 }
 
-var shared = strings.Repeat("the rules of the house are long and many; ", 40)
+// sharedPrefix is a prompt prefix of several cache blocks.
+var sharedPrefix = strings.Repeat("the rules of the house are long and many; ", 40)
 
-// holds makes count unrepeatable calls with new keys.
-func holds(count int) []cluster.Call {
-	made := calls(count)
-	for i := range made {
-		made[i].Key = cluster.NewKey()
+// newUnrepeatableCalls returns calls with new idempotency keys, each of which may run at most
+// once.
+func newUnrepeatableCalls(count int) []cluster.Call {
+	calls := newCalls(count)
+	for i := range calls {
+		calls[i].Key = cluster.NewKey()
 	}
-	return made
+	return calls
 }
 
-// each runs the calls at once, spread over the routers, and returns their outcomes.
-func each(c *cluster.Cluster, made []cluster.Call, router func(i int) int) []cluster.Outcome {
-	outcomes := make([]cluster.Outcome, len(made))
-	done := make(chan int, len(made))
-	for i, call := range made {
+// doConcurrently sends all calls at the same time, each to the router with the index that
+// routerFor returns, and returns their outcomes.
+func doConcurrently(c *cluster.Cluster, calls []cluster.Call, routerFor func(i int) int) []cluster.Outcome {
+	outcomes := make([]cluster.Outcome, len(calls))
+	done := make(chan int, len(calls))
+	for i, call := range calls {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+			ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 			defer cancel()
-			outcomes[i] = c.Do(ctx, router(i), call)
+			outcomes[i] = c.Do(ctx, routerFor(i), call)
 			done <- i
 		}()
 	}
-	for range made {
+	for range calls {
 		<-done
 	}
 	return outcomes
 }
 
-// expectTruth checks what every promise asks of every outcome: a complete
-// answer is exact, and "not run" is true.
-func expectTruth(c *cluster.Cluster, call cluster.Call, outcome cluster.Outcome) {
+// expectTruthfulOutcome checks that a complete answer has the expected text, and that a call
+// reported as not run was not run. All promises require this of every outcome.
+func expectTruthfulOutcome(c *cluster.Cluster, call cluster.Call, outcome cluster.Outcome) {
 	GinkgoHelper()
 	if outcome.Complete() {
 		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(call, outcome.Answer.WeightVersion)))
 	}
 	if outcome.RunState == "not_run" && call.Key != "" {
-		Expect(c.RunsOf(call.Prompt)).To(BeZero(), "said not run")
+		Expect(c.RunsOf(call.Prompt)).To(BeZero(), "reported as not run")
 	}
 }
 
-// promises are the containers in the order of the report.
+// promises are the texts of the containers, in the order in which they are reported.
 var promises = []string{
 	"1 at most once, and not run is true",
 	"2 streams complete, in order, and one's own",
@@ -125,6 +133,7 @@
 }
 
 var _ = ReportAfterSuite("one line a promise", func(report Report) {
+	// verdicts holds the verdicts on the tests of each promise.
 	verdicts := map[string][]string{}
 	for _, spec := range report.SpecReports {
 		if len(spec.ContainerHierarchyTexts) == 0 {
@@ -146,7 +155,7 @@
 		verdict := "not run"
 		sort.Strings(verdicts[promise])
 		if tests := verdicts[promise]; len(tests) > 0 {
-			// "broken" sorts before "held" before "not run".
+			// The verdicts sort in the order "broken", "held", "not run".
 			verdict = tests[0]
 			if verdict == "held" && tests[len(tests)-1] == "not run" {
 				verdict = "not run"
