--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,4 +1,4 @@
-// Package soak_test runs the fault soak for a short time with fixed seeds.
+// Package soak_test runs short fault soaks with fixed random seeds.
 package soak_test
 
 import (
@@ -14,59 +14,59 @@
 	"github.com/clovertiller/clovertiller/internal/lab/soak"
 )
 
-// faultTime is how long faults are injected for each seed; with the time in which the
-// last ones end and all recovers a seed takes about 25 s.
-const faultTime = 9 * time.Second
+// faultDuration is how long faults are injected for each fixed seed. A run takes about 25 s in
+// total, until the last faults have ended and the system has recovered.
+const faultDuration = 9 * time.Second
 
-// fixedSeeds draw silences and news within the time for which faults are injected; 6 fails
-// without the detection of silent connections between gateways.
+// fixedSeeds are seeds with silent connections, leaving runners and new weight versions within
+// faultDuration. Seed 6 fails without the detection of silent connections between gateways.
 var fixedSeeds = []uint64{3, 6}
 
-// poisonSeed asks for contents that end their runners while machines are suspended, for
-// poisonTime: two contents are asked for long enough to be sent too often. The code before
-// contents were judged fails on it.
+// poisonSeed sends requests whose content crashes runners while machines are suspended. Within
+// poisonDuration two contents are requested often enough to be sent to too many runners. The code
+// fails on this seed without the quarantine of contents.
 const (
-	poisonSeed = 101
-	poisonTime = 26 * time.Second
+	poisonSeed     = 101
+	poisonDuration = 26 * time.Second
 )
 
-// signalSeed has runners say that they leave, limit requests or want a rest, for signalTime. The
-// code before routers read that breaks all three promises on it.
+// signalSeed has runners signal shutdown, rate limits and backoff. Code that ignores the signals
+// breaks all three promises about them within signalDuration.
 const (
-	signalSeed = 2
-	signalTime = 20 * time.Second
+	signalSeed     = 2
+	signalDuration = 20 * time.Second
 )
 
-// restoreSeed has the store come back from copies, in series beside all other faults, for
-// restoreTime.
+// restoreSeed restores the store from backups, several times in a row and together with all other
+// faults, within restoreDuration.
 const (
-	restoreSeed = 24
-	restoreTime = 20 * time.Second
+	restoreSeed     = 24
+	restoreDuration = 20 * time.Second
 )
 
-// The seeds run one after the other, so that there are no more than four gateways at once.
-func TestSoakOfFixedSeeds(t *testing.T) {
+// The seeds run one after the other, so that at most four gateways run at the same time.
+func TestSoakFixedSeeds(t *testing.T) {
 	for _, seed := range fixedSeeds {
-		play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: seed, Duration: faultTime})
+		runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: seed, Duration: faultDuration})
 	}
 }
 
-func TestSoakOfContentsThatEndRunners(t *testing.T) {
-	play(t, soak.Settings{
-		Program: []string{build(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, Duration: poisonTime, Poison: true, Suspensions: true,
+func TestSoakPoison(t *testing.T) {
+	runSeed(t, soak.Settings{
+		Program: []string{buildCommand(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, Duration: poisonDuration, Poison: true, Suspensions: true,
 	})
 }
 
-func TestSoakOfWhatRunnersSayOfThemselves(t *testing.T) {
-	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: signalSeed, Duration: signalTime, Signals: true})
+func TestSoakRunnerSignals(t *testing.T) {
+	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: signalSeed, Duration: signalDuration, Signals: true})
 }
 
-func TestSoakOfAStoreThatComesBackFromCopies(t *testing.T) {
-	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: restoreSeed, Duration: restoreTime, Restores: true})
+func TestSoakStoreRestores(t *testing.T) {
+	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: restoreSeed, Duration: restoreDuration, Restores: true})
 }
 
-// build builds one of the commands and returns its path.
-func build(t *testing.T, command string) string {
+// buildCommand builds the command with the given name and returns the path of the program.
+func buildCommand(t *testing.T, command string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), command)
 	output, err := exec.Command("go", "build", "-o", program, "github.com/clovertiller/clovertiller/cmd/"+command).CombinedOutput()
@@ -74,7 +74,8 @@
 	return program
 }
 
-func play(t *testing.T, settings soak.Settings) {
+// runSeed runs a soak and expects that calls were served and no promise was broken.
+func runSeed(t *testing.T, settings soak.Settings) {
 	t.Helper()
 	t.Run(fmt.Sprint(settings.Seed), func(t *testing.T) {
 		g := NewWithT(t)
