--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -31,7 +31,7 @@
 }
 
 // CheckStore prints all faults of the objects in the store: objects that cannot be decoded
-// and inconsistent configurations.
+// and inconsistent configurations. It also prints the number of objects and faults of each kind.
 func CheckStore(ctx context.Context, env *Env, ports gateway.Ports) int {
 	code := ExitOK
 	for _, kind := range []gateway.ObjectKind{gateway.ConfigObjects, gateway.RunnerObjects, gateway.WeightObjects} {
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -121,7 +121,7 @@
 		for _, outcome := range repeatedOutcomes {
 			Expect(outcome.RunState).To(Equal("unknown"))
 		}
-		await("a new key is taken", func() bool {
+		await("a new key is accepted", func() bool {
 			call := newUnrepeatableCalls(1)[0]
 			outcome := c.Do(context.Background(), 0, call)
 			expectAtMostOnce(c, []cluster.Call{call}, []cluster.Outcome{outcome})
@@ -147,7 +147,7 @@
 			Expect(cluster.Exact(freshCalls[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		}
 		Expect(c.Cut()).To(Succeed())
-		await("the cut-off router takes new keys", func() bool {
+		await("the cut-off router accepts new keys", func() bool {
 			call := newUnrepeatableCalls(1)[0]
 			return cluster.Exact(call, c.Do(context.Background(), 2, call))
 		})
@@ -190,9 +190,9 @@
 			assignmentBefore := c.Status(0).Assignment
 			c.Routers[killedRouter].Kill()
 			Expect(c.Routers[killedRouter].Start()).To(Succeed())
-			await("the routers are whole", c.Settled)
+			await("the routers are ready", c.Settled)
 			Expect(c.Status(0).Assignment).To(BeNumerically(">=", assignmentBefore))
-			await("a new key that two routers get at once is taken", func() bool {
+			await("a new key that two routers receive at the same time is accepted", func() bool {
 				call := newUnrepeatableCalls(1)[0]
 				pair := []cluster.Call{call, call}
 				pairOutcomes := doConcurrently(c, pair, func(i int) int { return i })
