--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -22,7 +22,7 @@
 // reported only if no runner ran or will run any attempt, and that an unrepeatable request
 // never has two attempts that may run.
 func TestReportedRunStateIsCorrect(t *testing.T) {
-	testkit.Properties(20000)
+	testkit.SetRapidDefaults(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		request := NewRequest(repeatable, DefaultLimits())
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -151,7 +151,7 @@
 // Whatever outcomes are reported, placement can pick a runner of every service for which the
 // directory lists one that accepts work.
 func TestFailuresNeverRemoveAllRunners(t *testing.T) {
-	testkit.Properties(2000)
+	testkit.SetRapidDefaults(2000)
 	rapid.Check(t, func(t *rapid.T) {
 		set := NewSet("z")
 		ids := []string{"a", "b", "c"}
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -68,7 +68,7 @@
 // TestShardMatchesModel compares the shard with a plain set of pairs under random changes,
 // restarts and removals of stale entries.
 func TestShardMatchesModel(t *testing.T) {
-	testkit.Properties(2000)
+	testkit.SetRapidDefaults(2000)
 	rapid.Check(t, func(t *rapid.T) {
 		shard := NewShard(time.Hour)
 		type pair struct {
--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -279,7 +279,7 @@
 // TestAtMostOneAttemptWins checks that at most one attempt wins each key, under random delays,
 // message loss, restarts, clock differences and concurrent changes of holders.
 func TestAtMostOneAttemptWins(t *testing.T) {
-	testkit.Properties(20000)
+	testkit.SetRapidDefaults(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
 		// Actions with several entries are chosen more often.
--- a/internal/config/store_property_test.go
+++ b/internal/config/store_property_test.go
@@ -56,7 +56,7 @@
 // a store at revision R holds exactly the platform's state at R, and that R
 // never decreases.
 func TestStoresFollowThePlatformAndNeverRevert(t *testing.T) {
-	testkit.Properties(3000)
+	testkit.SetRapidDefaults(3000)
 	rapid.Check(t, func(t *rapid.T) {
 		platform := &authority{}
 		stores := []*Store{NewStore(), NewStore(), NewStore()}
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives out addresses for processes and listeners that are
-// started later.
+// Package loopback allocates free loopback addresses for listeners that are opened later,
+// possibly by other processes.
 package loopback
 
 import (
@@ -9,61 +9,63 @@
 	"sync"
 )
 
-// The ports are below those that the kernel takes for outgoing connections
-// (32768 to 60999 by default on Linux): one of these may be in use again before
-// it is listened on.
+// The port range lies below the ephemeral ports (32768 to 60999 by default on Linux). The kernel
+// may give an ephemeral port to an outgoing connection before the caller listens on it.
 const (
-	firstPort = 12000
-	lastPort  = 30000
-	// blockPorts is how many ports one process draws from at a time. Two processes
-	// that draw from the same ones may be given the same port, as nobody listens on it
-	// until it is used.
-	blockPorts = 600
-	blocks     = (lastPort - firstPort) / blockPorts
+	minPort = 12000
+	maxPort = 30000
+	// portsPerBlock is the number of ports that a process reserves at a time. Processes that
+	// allocated from the same block could return the same port, since the port stays free until
+	// its caller listens on it.
+	portsPerBlock = 600
+	blockCount    = (maxPort - minPort) / portsPerBlock
 )
 
 // draw is where this process draws its ports from.
-var draw struct {
+var allocator struct {
 	sync.Mutex
-	// claims are held until the process ends: whoever listens on the first port of a
-	// block draws from it alone.
-	claims []net.Listener
-	next   int
-	left   int
+	// reservations listen on the first ports of the reserved blocks until the process exits. The
+	// process that listens on the first port of a block has reserved it.
+	reservations []net.Listener
+	// current is the last port that was tried, and remaining the number of untried ports in
+	// the block.
+	current   int
+	remaining int
 }
 
-// FreeAddress returns an IP:port on which nobody listens now, and which no other
-// process that asks here is given.
+// FreeAddress returns an IP:port on which no process listens. Unless every block is reserved, no
+// later call returns the same address, neither in this process nor in another one.
 func FreeAddress() string {
-	draw.Lock()
-	defer draw.Unlock()
+	allocator.Lock()
+	defer allocator.Unlock()
 	for {
-		if draw.left == 0 {
-			claimBlock()
+		if allocator.remaining == 0 {
+			reserveBlock()
 		}
-		draw.next++
-		draw.left--
-		if listener, err := net.Listen("tcp", addressOf(draw.next)); err == nil {
+		allocator.current++
+		allocator.remaining--
+		if listener, err := net.Listen("tcp", loopbackAddress(allocator.current)); err == nil {
 			listener.Close()
-			return addressOf(draw.next)
+			return loopbackAddress(allocator.current)
 		}
 	}
 }
 
-func addressOf(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
+func loopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// claimBlock takes the next block that no other process has. The block before stays
-// claimed: its ports may still be in use. If all are taken one is shared.
-func claimBlock() {
-	start := os.Getpid() % blocks
-	for i := range blocks {
-		first := firstPort + (start+i)%blocks*blockPorts
-		listener, err := net.Listen("tcp", addressOf(first))
+// reserveBlock switches to a block that no process has reserved. The previous block stays
+// reserved because its ports may still be in use. If every block is reserved, reserveBlock
+// falls back to sharing one with another process.
+func reserveBlock() {
+	start := os.Getpid() % blockCount
+	for i := range blockCount {
+		first := minPort + (start+i)%blockCount*portsPerBlock
+		listener, err := net.Listen("tcp", loopbackAddress(first))
 		if err == nil {
-			draw.claims = append(draw.claims, listener)
-			draw.next, draw.left = first, blockPorts-1
+			allocator.reservations = append(allocator.reservations, listener)
+			allocator.current, allocator.remaining = first, portsPerBlock-1
 			return
 		}
 	}
-	draw.next, draw.left = firstPort+start*blockPorts, blockPorts-1
+	allocator.current, allocator.remaining = minPort+start*portsPerBlock, portsPerBlock-1
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// An address is not one that the kernel may give to an outgoing connection.
-func TestFreeAddressesAreBelowTheEphemeralPorts(t *testing.T) {
+// Guards against returning ports that the kernel may give to outgoing connections.
+func TestFreeAddressAvoidsEphemeralPorts(t *testing.T) {
 	g := NewWithT(t)
 	for range 50 {
 		address := FreeAddress()
@@ -24,24 +24,24 @@
 	}
 }
 
-// Processes that run at the same time draw from different ports.
-func TestProcessesDrawFromBlocksOfTheirOwn(t *testing.T) {
+// Guards against two processes that run at the same time and allocate the same ports.
+func TestProcessesReserveDifferentBlocks(t *testing.T) {
 	g := NewWithT(t)
 	FreeAddress()
-	draw.Lock()
-	defer draw.Unlock()
-	first := draw.claims[0].Addr().String()
+	allocator.Lock()
+	defer allocator.Unlock()
+	first := allocator.reservations[0].Addr().String()
 	_, err := net.Listen("tcp", first)
-	g.Expect(err).To(HaveOccurred(), "the block is claimed as long as this process runs")
-	before := draw.next
-	claimBlock()
-	g.Expect((draw.next - firstPort) / blockPorts).NotTo(Equal((before - firstPort) / blockPorts))
+	g.Expect(err).To(HaveOccurred(), "the block must stay reserved until the process exits")
+	before := allocator.current
+	reserveBlock()
+	g.Expect((allocator.current - minPort) / portsPerBlock).NotTo(Equal((before - minPort) / portsPerBlock))
 }
 
-func TestNoAddressIsGivenTwice(t *testing.T) {
+func TestFreeAddressNeverRepeats(t *testing.T) {
 	g := NewWithT(t)
 	given := map[string]bool{}
-	for range blockPorts + 50 {
+	for range portsPerBlock + 50 {
 		address := FreeAddress()
 		g.Expect(given).NotTo(HaveKey(address))
 		given[address] = true
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -1,4 +1,4 @@
-// Package rules checks rules on the source tree itself.
+// Package rules tests the import rules of the source tree.
 package rules
 
 import (
@@ -9,31 +9,32 @@
 	. "github.com/onsi/gomega"
 )
 
-const module = "github.com/clovertiller/clovertiller"
+const modulePath = "github.com/clovertiller/clovertiller"
 
-// TestProductDoesNotImportTheLab keeps stand-ins and experiments out of the product.
-func TestProductDoesNotImportTheLab(t *testing.T) {
+// Guards against test servers and experiments that become part of the product binary.
+func TestProductDoesNotImportLabPackages(t *testing.T) {
 	g := NewWithT(t)
-	output, err := exec.Command("go", "list", "-deps", module+"/cmd/clovertiller").Output()
+	output, err := exec.Command("go", "list", "-deps", modulePath+"/cmd/clovertiller").Output()
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, dependency := range strings.Fields(string(output)) {
-		g.Expect(dependency).NotTo(HavePrefix(module + "/internal/lab"))
+		g.Expect(dependency).NotTo(HavePrefix(modulePath + "/internal/lab"))
 	}
 }
 
-// TestPureCoresHaveNoInputOrOutput keeps the decision logic free of sockets and clocks.
-func TestPureCoresHaveNoInputOrOutput(t *testing.T) {
-	cores := []string{"admission", "attempt", "cacheindex", "claim", "config", "control", "fleet", "lease", "membership", "placement", "prefix", "quarantine", "rendezvous", "rollout", "storerev"}
-	for _, core := range cores {
-		t.Run(core, func(t *testing.T) {
+// Guards against sockets, files, locks and clock reads in the decision packages. Their tests
+// depend on being able to set the time and all inputs.
+func TestDecisionPackagesPerformNoIO(t *testing.T) {
+	packages := []string{"admission", "attempt", "cacheindex", "claim", "config", "control", "fleet", "lease", "membership", "placement", "prefix", "quarantine", "rendezvous", "rollout", "storerev"}
+	for _, pkg := range packages {
+		t.Run(pkg, func(t *testing.T) {
 			g := NewWithT(t)
-			imports, err := exec.Command("go", "list", "-f", "{{join .Imports \" \"}}", module+"/internal/"+core).Output()
+			imports, err := exec.Command("go", "list", "-f", "{{join .Imports \" \"}}", modulePath+"/internal/"+pkg).Output()
 			g.Expect(err).NotTo(HaveOccurred())
 			for _, forbidden := range []string{"net", "net/http", "os", "sync"} {
 				g.Expect(strings.Fields(string(imports))).NotTo(ContainElement(forbidden))
 			}
-			clock, _ := exec.Command("grep", "-rlE", `time\.(Now|Sleep|After|NewTicker)\(`, "--include=*.go", "--exclude=*_test.go", "../../"+core).Output()
-			g.Expect(string(clock)).To(BeEmpty())
+			clockUsers, _ := exec.Command("grep", "-rlE", `time\.(Now|Sleep|After|NewTicker)\(`, "--include=*.go", "--exclude=*_test.go", "../../"+pkg).Output()
+			g.Expect(string(clockUsers)).To(BeEmpty())
 		})
 	}
 }
--- a/internal/lab/testkit/testkit.go
+++ b/internal/lab/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit holds what tests of several packages share.
+// Package testkit sets the defaults of the property tests of all packages.
 package testkit
 
 import (
@@ -6,21 +6,22 @@
 	"strconv"
 )
 
-// fixedSeed is the seed of property tests, so that a run has the same verdict
-// every time. Another one can be given by -rapid.seed.
+// fixedSeed is the default seed of property tests. With a fixed seed every run has the same
+// result. The flag -rapid.seed sets another one.
 const fixedSeed = "20261202"
 
-// Properties makes the property tests of this process use the fixed seed and
-// the given number of checks, unless others were given on the command line.
-func Properties(checks int) {
-	setUnlessGiven("rapid.seed", "0", fixedSeed)
-	setUnlessGiven("rapid.checks", "100", strconv.Itoa(checks))
+// SetRapidDefaults makes the property tests of this process use fixedSeed and the given number
+// of checks. Values that are set on the command line take precedence.
+func SetRapidDefaults(checks int) {
+	setIfDefault("rapid.seed", "0", fixedSeed)
+	setIfDefault("rapid.checks", "100", strconv.Itoa(checks))
 }
 
-func setUnlessGiven(name, standard, value string) {
-	given := flag.Lookup(name)
-	if given != nil && given.Value.String() == standard {
-		// Both flags take any whole number, so this cannot fail.
+// setIfDefault sets the flag if it still has its default value.
+func setIfDefault(name, defaultValue, value string) {
+	rapidFlag := flag.Lookup(name)
+	if rapidFlag != nil && rapidFlag.Value.String() == defaultValue {
+		// Set cannot fail, since both flags accept any integer.
 		_ = flag.Set(name, value)
 	}
 }
--- a/internal/lease/lease_property_test.go
+++ b/internal/lease/lease_property_test.go
@@ -204,7 +204,7 @@
 // lease, or when it assigns the numbers of former tokens again. All candidates are checked
 // at the same true time.
 func TestAtMostOneHolderAndTokensIncrease(t *testing.T) {
-	testkit.Properties(40000)
+	testkit.SetRapidDefaults(40000)
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
 		lastHolder, lastToken := -1, storerev.Revision(0)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -234,7 +234,7 @@
 // and checks that within a bounded time after they end every live node has the
 // same members in duty, and none that has ended.
 func TestViewsAgreeOnceFaultsEnd(t *testing.T) {
-	testkit.Properties(25)
+	testkit.SetRapidDefaults(25)
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(3, 4, rapid.Uint64().Draw(t, "seed"))
 		n.run(10 * time.Second)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -29,7 +29,7 @@
 
 // TestPlanRespectsLimits checks both limits on random fleets.
 func TestPlanRespectsLimits(t *testing.T) {
-	testkit.Properties(20000)
+	testkit.SetRapidDefaults(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		runners := drawRunners(t)
 		limits := Limits{MaxLoading: rapid.IntRange(1, 4).Draw(t, "max"), MinServingPercent: rapid.IntRange(0, 99).Draw(t, "percent")}
--- a/internal/storerev/storerev_test.go
+++ b/internal/storerev/storerev_test.go
@@ -18,7 +18,7 @@
 
 // Guards against comparing revisions of two eras by their numbers alone.
 func TestRevisionsOrderByEraThenNumber(t *testing.T) {
-	testkit.Properties(20000)
+	testkit.SetRapidDefaults(20000)
 	rapid.Check(t, func(t *rapid.T) {
 		era, number := drawRevision(t, "one")
 		otherEra, otherNumber := drawRevision(t, "other")
@@ -102,7 +102,7 @@
 // objects from a backup that pass for objects written since. The store may be restored any number
 // of times and from any backup.
 func TestRevisionsFollowStoreHistoryAcrossRestores(t *testing.T) {
-	testkit.Properties(5000)
+	testkit.SetRapidDefaults(5000)
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{era: storerev.FirstEra, objects: map[string]storedObject{}}
 		type read struct {
