--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -37,7 +37,7 @@
 func TestStoredObjectsAreChecked(t *testing.T) {
 	g := NewWithT(t)
 	store := storestand.New()
-	door, err := store.Open()
+	door, err := store.OpenEndpoint()
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	ports := gateway.Ports{Store: &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}, Decode: platform.Decode}
@@ -54,7 +54,7 @@
 	g.Expect(CheckStored(context.Background(), env, ports)).To(Equal(ExitInvalid))
 	g.Expect(errors.String()).To(ContainSubstring(`there is no service "s"`))
 
-	door.Set(storestand.Busy)
+	door.SetFault(storestand.Busy)
 	env, _, _ = newEnv()
 	g.Expect(CheckStored(context.Background(), env, ports)).To(Equal(ExitUnavailable))
 }
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -32,7 +32,7 @@
 // When its runner terminates, a stream whose request may run only once continues from the copy of
 // its run's state, because that is still the same run.
 func TestNonRepeatableStreamContinuesFromCopy(t *testing.T) {
-	for name, behaviour := range map[string]runnerstand.Behaviour{"runner terminates": runnerstand.Dies, "runner stops responding": runnerstand.FallsSilent} {
+	for name, behaviour := range map[string]runnerstand.Behaviour{"runner terminates": runnerstand.Terminates, "runner stops responding": runnerstand.StopsResponding} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			f.configure(1, defaultRoutes(), goodKey)
@@ -40,14 +40,14 @@
 			r := f.servingRouter("r1", enableRunCopies)
 			f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
 			runsBefore := totalRuns(runners)
-			preferredRunner(runners).BehaveOnce(behaviour)
+			preferredRunner(runners).SetBehaviourOnce(behaviour)
 			start := time.Now()
 			got := r.call("/once/x", withLongPrompt)
 			f.g.Expect(got.cut).To(BeFalse())
 			f.g.Expect(got.body).To(Equal(completeStream))
 			f.g.Expect(time.Since(start)).To(BeNumerically("<", 2*time.Second))
 			f.g.Expect(totalRuns(runners)).To(Equal(runsBefore+1), "the request ran once")
-			f.g.Expect(append(runners[0].Continued(), runners[1].Continued()...)).To(HaveLen(1))
+			f.g.Expect(append(runners[0].ContinuedRuns(), runners[1].ContinuedRuns()...)).To(HaveLen(1))
 		})
 	}
 }
@@ -62,10 +62,10 @@
 	r := f.servingRouter("r1", nil)
 	f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
 	runsBefore := totalRuns(runners)
-	preferredRunner(runners).BehaveOnce(runnerstand.Dies)
+	preferredRunner(runners).SetBehaviourOnce(runnerstand.Terminates)
 	f.g.Expect(r.call("/once/x", withLongPrompt).cut).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(runsBefore+1), "no other runner may run it")
-	f.g.Expect(append(runners[0].Continued(), runners[1].Continued()...)).To(BeEmpty())
+	f.g.Expect(append(runners[0].ContinuedRuns(), runners[1].ContinuedRuns()...)).To(BeEmpty())
 }
 
 // Without a copy, the run cannot continue and must not be repeated on another runner.
@@ -75,7 +75,7 @@
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
 	f.runners.Clear()
-	behaveOnceOnAll(runners, runnerstand.Dies)
+	behaveOnceOnAll(runners, runnerstand.Terminates)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.cut).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
@@ -92,7 +92,7 @@
 			r.logs("runner changed state")
 		},
 		"it is not listed": func(r *router, backup *runnerstand.Runner) {
-			r.fleet.store.Remove(platform.KindRunners, backup.ID)
+			r.fleet.store.Delete(platform.KindRunners, backup.ID)
 			r.logs("runner removed")
 		},
 		"it has restarted": func(r *router, backup *runnerstand.Runner) {
@@ -101,7 +101,7 @@
 			r.logs("runner started again")
 		},
 		"its weights have expired": func(r *router, _ *runnerstand.Runner) {
-			r.door.Set(storestand.Loses)
+			r.door.SetFault(storestand.LosesResponses)
 			time.Sleep(2 * shortSettleTime)
 			r.announceNewWeights()
 			time.Sleep(shortWeightDeadline)
@@ -120,8 +120,8 @@
 			if backup == preferred {
 				backup = runners[1]
 			}
-			preferred.Behave(runnerstand.Pauses)
-			runs, arrivals := len(preferred.Runs()), backup.Arrivals()
+			preferred.SetBehaviour(runnerstand.Pauses)
+			runs, arrivals := len(preferred.Runs()), backup.ArrivalCount()
 			answers := make(chan answer, 1)
 			go func() { answers <- r.call("/once/x", withLongPrompt) }()
 			f.g.Eventually(func() int { return len(preferred.Runs()) }, time.Second).Should(Equal(runs + 1))
@@ -130,10 +130,10 @@
 			makeUnusable(r, backup)
 			preferred.Close()
 			got := <-answers
-			f.g.Expect(backup.Continued()).To(BeEmpty())
+			f.g.Expect(backup.ContinuedRuns()).To(BeEmpty())
 			f.g.Expect(got.cut).To(BeTrue())
 			f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"))
-			f.g.Expect(backup.Arrivals()).To(Equal(arrivals), "no other runner may run it")
+			f.g.Expect(backup.ArrivalCount()).To(Equal(arrivals), "no other runner may run it")
 		})
 	}
 }
@@ -146,18 +146,18 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	first := f.engine("e1", 1)
-	first.Behave(runnerstand.Pauses)
-	first.DelayReports(150 * time.Millisecond)
+	first.SetBehaviour(runnerstand.Pauses)
+	first.SetReportDelay(150 * time.Millisecond)
 	r := f.servingRouter("r1", nil)
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/stream/x", nil) }()
-	f.g.Eventually(first.Reports, 2*time.Second, 5*time.Millisecond).Should(Equal(1), "the silent stream's runner is probed")
+	f.g.Eventually(first.ReportCount, 2*time.Second, 5*time.Millisecond).Should(Equal(1), "the silent stream's runner is probed")
 	second := f.engine("e2", 1)
-	second.Behave(runnerstand.Pauses)
+	second.SetBehaviour(runnerstand.Pauses)
 	f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"runner":"e2"`))
-	first.Break()
-	f.g.Eventually(second.Arrivals, time.Second, 5*time.Millisecond).Should(Equal(1))
-	f.g.Consistently(second.Reports, 1200*time.Millisecond, 20*time.Millisecond).Should(BeZero(), "the stream cannot continue on another runner")
-	second.Resume()
+	first.AbortStreams()
+	f.g.Eventually(second.ArrivalCount, time.Second, 5*time.Millisecond).Should(Equal(1))
+	f.g.Consistently(second.ReportCount, 1200*time.Millisecond, 20*time.Millisecond).Should(BeZero(), "the stream cannot continue on another runner")
+	second.ResumeStreams()
 	f.g.Expect((<-answers).body).To(Equal(completeStream))
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -56,7 +56,7 @@
 	f.servingRouter("other", f.asFollower(addresses))
 	time.Sleep(3500 * time.Millisecond) // all have settled
 	for _, seed := range seeds {
-		seed.door.Set(fault)
+		seed.door.SetFault(fault)
 	}
 	time.Sleep(200 * time.Millisecond)
 	return f, seeds
@@ -64,7 +64,7 @@
 
 func TestSeedsThatTheStoreTurnsAwayLearnFromOtherRouters(t *testing.T) {
 	const margin = 500 * time.Millisecond // for clocks in logs, which have milliseconds
-	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Silent} {
+	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Hangs} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, seeds := turnedAwayFleet(t, fault)
@@ -75,7 +75,7 @@
 			}
 			time.Sleep(time.Until(changed.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
-				seed.door.Set(storestand.Healthy)
+				seed.door.SetFault(storestand.Healthy)
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
@@ -121,7 +121,7 @@
 	former := f.servingRouter("former", asSeed)
 	follower := f.servingRouter("follower", f.asFollower(addresses))
 	time.Sleep(3500 * time.Millisecond) // it has settled
-	follower.door.Set(storestand.Silent)
+	follower.door.SetFault(storestand.Hangs)
 	former.Kill()
 	f.router("seed", func(settings *gateway.Settings) {
 		asSeed(settings)
@@ -139,7 +139,7 @@
 // holdingStore returns the address of the store behind something that holds calls for the
 // kinds back until it is told otherwise.
 func holdingStore(f *fleet, kinds ...string) (held *atomic.Bool, address string) {
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(door.Close)
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: door.Address})
@@ -167,10 +167,10 @@
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
 	const window = 5 * time.Second
-	before := r.door.Calls()
+	before := r.door.CallCount()
 	for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(350 * time.Millisecond) {
 		f.store.Put("leases", "someone", map[string]any{"at": time.Now().UnixNano()})
 	}
 	perRead := int(window/(900*time.Millisecond)) + 1
-	f.g.Expect(r.door.Calls() - before).To(BeNumerically("<=", 3*perRead+2))
+	f.g.Expect(r.door.CallCount() - before).To(BeNumerically("<=", 3*perRead+2))
 }
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -36,7 +36,7 @@
 // behaveOnceOnAll sets the behaviour of each runner for its next call.
 func behaveOnceOnAll(runners []*runnerstand.Runner, behaviour runnerstand.Behaviour) {
 	for _, runner := range runners {
-		runner.BehaveOnce(behaviour)
+		runner.SetBehaviourOnce(behaviour)
 	}
 }
 
@@ -51,7 +51,7 @@
 	f.g.Expect(got.header.Get(platform.HeaderResponseStamp)).NotTo(BeEmpty())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
-	f.g.Expect(got.body).To(Equal("answer to " + run.Request))
+	f.g.Expect(got.body).To(Equal("answer to " + run.RequestID))
 	f.g.Expect(run.Path).To(Equal("/safe/a%20b?x=1&y"))
 	f.g.Expect(run.Body).To(Equal("the body"))
 	f.g.Expect(run.Header.Get("X-Own")).To(Equal("kept"))
@@ -74,7 +74,7 @@
 
 func TestSafeCallIsRetriedOnAnotherRunner(t *testing.T) {
 	for name, behaviour := range map[string]runnerstand.Behaviour{
-		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.BreaksOff, "crossed": runnerstand.Crossed, "unstamped": runnerstand.Unstamped,
+		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.TruncatesResponse, "crossed": runnerstand.MismatchesRequestID, "unstamped": runnerstand.OmitsStamp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, r, runners := newPlainFleet(t)
@@ -86,7 +86,7 @@
 		})
 	}
 	f, r, runners := newPlainFleet(t)
-	runners[0].Behave(runnerstand.Drops)
+	runners[0].SetBehaviour(runnerstand.Drops)
 	for range 6 {
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
@@ -94,12 +94,12 @@
 
 func TestUnsafeCallRunsAtMostOnce(t *testing.T) {
 	for name, behaviour := range map[string]runnerstand.Behaviour{
-		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.BreaksOff, "crossed": runnerstand.Crossed, "unstamped": runnerstand.Unstamped,
+		"failed": runnerstand.Fails, "dropped": runnerstand.Drops, "cut": runnerstand.TruncatesResponse, "crossed": runnerstand.MismatchesRequestID, "unstamped": runnerstand.OmitsStamp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, r, runners := newPlainFleet(t)
 			for _, runner := range runners {
-				runner.Behave(behaviour)
+				runner.SetBehaviour(behaviour)
 			}
 			got := r.call("/unsafe/x", nil)
 			f.g.Expect(totalRuns(runners)).To(Equal(1))
@@ -110,12 +110,12 @@
 
 func TestRefusedCallIsSentToAnotherRunner(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
-	runners[0].Behave(runnerstand.Sheds)
+	runners[0].SetBehaviour(runnerstand.Sheds)
 	for range 4 {
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
 	}
 	f.g.Expect(runners[0].Runs()).To(BeEmpty())
-	runners[1].Behave(runnerstand.Sheds)
+	runners[1].SetBehaviour(runnerstand.Sheds)
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -125,7 +125,7 @@
 func TestTimeoutIsReportedImmediately(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Hangs)
+		runner.SetBehaviour(runnerstand.Hangs)
 	}
 	got := r.call("/brief/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusGatewayTimeout))
@@ -135,20 +135,20 @@
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Hangs)
+		runner.SetBehaviour(runnerstand.Hangs)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	f.g.Expect(r.callWithin(ctx, "/safe/x", nil).cut).To(BeTrue())
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
-	f.g.Eventually(run.Ended, 500*time.Millisecond).Should(BeClosed())
+	f.g.Eventually(run.Finished, 500*time.Millisecond).Should(BeClosed())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
 
 func TestRetriesAreLimited(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Fails)
+		runner.SetBehaviour(runnerstand.Fails)
 	}
 	const calls = 60
 	for range calls {
@@ -166,7 +166,7 @@
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
 	}
 	f.g.Expect(runners[0].Runs()).To(BeEmpty())
-	f.store.Remove(platform.KindRunners, "p2")
+	f.store.Delete(platform.KindRunners, "p2")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner removed"))
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "no runner is left")
@@ -185,7 +185,7 @@
 	if len(runners[1].Runs()) > 0 {
 		preferredIndex = 1
 	}
-	runners[preferredIndex].BehaveOnce(runnerstand.BreaksOff)
+	runners[preferredIndex].SetBehaviourOnce(runnerstand.TruncatesResponse)
 	got = r.call("/stream/x", withLongPrompt)
 	f.g.Expect(got.cut).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeBody))
@@ -200,7 +200,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
-	behaveOnceOnAll(runners, runnerstand.BreaksOff)
+	behaveOnceOnAll(runners, runnerstand.TruncatesResponse)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.cut).To(BeTrue())
 	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "only complete events are forwarded")
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -93,7 +93,7 @@
 // The call may run only once, so if another runner gets it, nothing was sent to the first one.
 func TestRunnerThatLeavesDuringDialGetsNoCalls(t *testing.T) {
 	drain := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
-	remove := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindRunners, r.ID) }
+	remove := func(f *fleet, r *runnerstand.Runner) { f.store.Delete(platform.KindRunners, r.ID) }
 	t.Run("draining", func(t *testing.T) { testRunnerLeavesDuringDial(t, drain, "runner changed state") })
 	t.Run("removed", func(t *testing.T) { testRunnerLeavesDuringDial(t, remove, "runner removed") })
 }
@@ -114,7 +114,7 @@
 	close(f.dials.released)
 	var got answer
 	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
-	f.g.Expect(leaving.Arrivals()).To(BeZero())
+	f.g.Expect(leaving.ArrivalCount()).To(BeZero())
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(totalRuns(runners)).To(Equal(1), "the second attempt must not need a retry budget")
 }
@@ -138,7 +138,7 @@
 	var got answer
 	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(runner.Arrivals()).To(Equal(1))
+	f.g.Expect(runner.ArrivalCount()).To(Equal(1))
 	f.g.Expect(runner.Runs()[0].Header.Get(platform.HeaderExpectWeightVersion)).To(Equal("2"))
 }
 
@@ -160,14 +160,14 @@
 		preferred, backup = backup, preferred
 	}
 	backupAddress.Store(backup.Address)
-	preferred.BehaveOnce(runnerstand.Dies)
+	preferred.SetBehaviourOnce(runnerstand.Terminates)
 	answers := r.callWithLongTimeout("/once/x", withLongPrompt)
 	f.g.Expect(f.awaitBlockedDial()).To(BeIdenticalTo(backup))
 	f.list(backup, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
-	f.g.Expect(backup.Arrivals()).To(BeZero())
+	f.g.Expect(backup.ArrivalCount()).To(BeZero())
 	f.g.Expect(got.cut).To(BeTrue(), "no other runner may run it")
 }
 
@@ -229,13 +229,13 @@
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain"), f.runner("p3", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 1 })
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Drops)
+		runner.SetBehaviour(runnerstand.Drops)
 	}
 	answers := r.callWithLongTimeout("/safe/x", nil)
 	leaving := f.awaitBlockedDial()
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Well)
+		runner.SetBehaviour(runnerstand.Normal)
 	}
 	f.list(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
@@ -243,6 +243,6 @@
 	var got answer
 	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(leaving.Arrivals()).To(BeZero())
+	f.g.Expect(leaving.ArrivalCount()).To(BeZero())
 	f.g.Expect(totalRuns(runners)).To(Equal(2))
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -33,19 +33,19 @@
 	r.settled(5)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was taken away")
 	f.configure(3, defaultRoutes(), goodKey)
-	f.store.Forget()
+	f.store.CompactHistory()
 	f.g.Eventually(r.log.String, 3*time.Second).Should(ContainSubstring("history of the store is gone"))
 	f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 200*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 }
 
 func TestMissedChangesAreListedAfterHistoryIsGone(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
-	r.door.Set(storestand.Reset)
+	r.door.SetFault(storestand.Reset)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("store does not answer well"))
-	f.store.Remove(platform.KindRunners, "p1")
+	f.store.Delete(platform.KindRunners, "p1")
 	f.configure(2, defaultRoutes(), "key-two")
-	f.store.Forget()
-	r.door.Set(storestand.Healthy)
+	f.store.CompactHistory()
+	r.door.SetFault(storestand.Healthy)
 	r.settled(2)
 	f.g.Eventually(r.log.String, 3*time.Second).Should(ContainSubstring("runner removed"))
 	f.g.Expect(r.call("/safe/x", func(request *http.Request) { request.Header.Set("Authorization", "Bearer key-two") }).status).To(Equal(http.StatusOK))
@@ -56,7 +56,7 @@
 // requests for longer than the lease, however the store drops it.
 func TestUnprovenConfigurationServesNoKeys(t *testing.T) {
 	for name, fault := range map[string]storestand.Fault{
-		"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Silent, "reset": storestand.Reset,
+		"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Hangs, "reset": storestand.Reset,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,7 +67,7 @@
 			r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = lease })
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 			dropped := time.Now()
-			r.door.Set(fault)
+			r.door.SetFault(fault)
 			f.configure(2, defaultRoutes(), "key-two")
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, lease).Should(Equal(http.StatusServiceUnavailable))
 			f.g.Expect(time.Since(dropped)).To(BeNumerically("<", lease))
@@ -78,7 +78,7 @@
 			f.g.Expect(runner.Runs()).To(HaveLen(ran + 1))
 			f.g.Expect(r.isReady()).To(BeFalse())
 			f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring(`"event":811`))
-			r.door.Set(storestand.Healthy)
+			r.door.SetFault(storestand.Healthy)
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 3*time.Second).Should(Equal(http.StatusUnauthorized))
 			f.g.Expect(strings.Count(r.log.String(), `"event":811`)).To(Equal(1))
 			f.g.Expect(r.log.String()).To(ContainSubstring(`"event":812`))
@@ -95,11 +95,11 @@
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = 2 * time.Second })
 	for _, silence := range []time.Duration{3500 * time.Millisecond, 6 * time.Second} {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 		time.Sleep(silence)
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 		healed := time.Now()
-		r.door.Set(storestand.Healthy)
+		r.door.SetFault(storestand.Healthy)
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 6*time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK))
 		f.g.Expect(time.Since(healed)).To(BeNumerically("<", 1200*time.Millisecond), "after a silence of %v", silence)
 	}
@@ -124,12 +124,12 @@
 	first, second := f.servingRouter("r1", nil), f.servingRouter("r2", nil)
 	name(f, 2)
 	for _, runner := range runners {
-		f.g.Eventually(runner.Version, 5*time.Second, 20*time.Millisecond).Should(Equal(uint64(2)))
+		f.g.Eventually(runner.WeightVersion, 5*time.Second, 20*time.Millisecond).Should(Equal(uint64(2)))
 	}
 	holders, tokens := map[string]bool{}, map[uint64]bool{}
 	for _, runner := range runners {
 		f.g.Expect(runner.Orders()).To(HaveLen(1))
-		holders[runner.Orders()[0].Holder], tokens[runner.Orders()[0].Fence] = true, true
+		holders[runner.Orders()[0].Holder], tokens[runner.Orders()[0].FencingToken] = true, true
 	}
 	f.g.Expect(holders).To(HaveLen(1), "one holder orders")
 	f.g.Expect(tokens).To(HaveLen(1))
@@ -144,16 +144,16 @@
 	runner := f.runner("e1", "engines")
 	routers := map[string]*router{"r1": f.servingRouter("r1", nil), "r2": f.servingRouter("r2", nil)}
 	name(f, 2)
-	f.g.Eventually(runner.Version, 5*time.Second).Should(Equal(uint64(2)))
+	f.g.Eventually(runner.WeightVersion, 5*time.Second).Should(Equal(uint64(2)))
 	last := time.Now()
 	holder := runner.Orders()[0].Holder
 	routers[holder].Kill()
 	name(f, 3)
-	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)))
+	f.g.Eventually(runner.WeightVersion, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)))
 	orders := runner.Orders()
 	next := orders[len(orders)-1]
 	f.g.Expect(next.Holder).NotTo(Equal(holder))
-	f.g.Expect(next.Fence).To(BeNumerically(">", orders[0].Fence))
+	f.g.Expect(next.FencingToken).To(BeNumerically(">", orders[0].FencingToken))
 	f.g.Expect(time.Since(last)).To(BeNumerically(">", time.Second), "the lease of the first had to run out")
 }
 
@@ -166,7 +166,7 @@
 	var runners []*runnerstand.Runner
 	for i := range 6 {
 		runner := f.runner(fmt.Sprintf("e%d", i), "engines")
-		runner.SetFence(1 << 40)
+		runner.SetFencingToken(1 << 40)
 		runners = append(runners, runner)
 	}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.LeaseGap = time.Second })
@@ -176,7 +176,7 @@
 	orders := map[uint64]int{}
 	for _, runner := range runners {
 		for _, order := range runner.Orders() {
-			orders[order.Fence]++
+			orders[order.FencingToken]++
 		}
 	}
 	f.g.Expect(orders).To(HaveLen(1), "one term while another holder may order")
@@ -194,11 +194,11 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = 800*time.Millisecond, 10*time.Millisecond
 	})
-	r.door.Set(storestand.Loses)
+	r.door.SetFault(storestand.LosesResponses)
 	name(f, 2)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("weights named"))
 	f.g.Eventually(func() int { return r.call("/stream/x", nil).status }, 2*time.Second).Should(Equal(http.StatusServiceUnavailable))
-	f.g.Expect(runner.Version()).To(Equal(uint64(1)))
+	f.g.Expect(runner.WeightVersion()).To(Equal(uint64(1)))
 	ran := len(runner.Runs())
 	got := r.call("/stream/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -209,7 +209,7 @@
 func TestPlannedStopCutsNothing(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Delays)
+		runner.SetBehaviour(runnerstand.Delays)
 	}
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/unsafe/x", nil) }()
--- a/internal/gateway/forgedheaders_test.go
+++ b/internal/gateway/forgedheaders_test.go
@@ -65,8 +65,8 @@
 	f.g.Expect(runs).To(HaveLen(8 * len(routerOnlyHeaders)))
 	for _, run := range runs {
 		for _, name := range routerOnlyHeaders {
-			f.g.Expect(run.Header).NotTo(HaveKey(http.CanonicalHeaderKey(name)), run.Request)
-			f.g.Expect(strings.ToLower(fmt.Sprint(run.Header))).NotTo(ContainSubstring(strings.ToLower(name)), run.Request)
+			f.g.Expect(run.Header).NotTo(HaveKey(http.CanonicalHeaderKey(name)), run.RequestID)
+			f.g.Expect(strings.ToLower(fmt.Sprint(run.Header))).NotTo(ContainSubstring(strings.ToLower(name)), run.RequestID)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		f.g.Expect(strings.Count(answers, "HTTP/1.1 200")).To(BeNumerically("<=", 1), variant)
 	}
 	for _, run := range runner.Runs() {
-		f.g.Expect(run.Request).NotTo(Equal("smuggled"))
+		f.g.Expect(run.RequestID).NotTo(Equal("smuggled"))
 		f.g.Expect(run.Header).NotTo(HaveKey(platform.HeaderHold))
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -94,12 +94,12 @@
 
 // engine starts a runner of the model with the version of its weights and lists it.
 func (f *fleet) engine(id string, version uint64) *runnerstand.Runner {
-	return f.startRunner(runnerstand.Config{ID: id, Service: "engines", Model: modelName, Version: version, Events: 4})
+	return f.startRunner(runnerstand.Config{ID: id, Service: "engines", Model: modelName, Version: version, EventCount: 4})
 }
 
 func (f *fleet) startRunner(settings runnerstand.Config) *runnerstand.Runner {
-	settings.Zone, settings.Delay = "z", 400*time.Millisecond
-	settings.Peer = func(address string) *runnerstand.Runner {
+	settings.Zone, settings.ResponseDelay = "z", 400*time.Millisecond
+	settings.FindPeer = func(address string) *runnerstand.Runner {
 		return f.runnerAt(address)
 	}
 	runner, err := runnerstand.Start(settings)
@@ -131,14 +131,14 @@
 }
 
 func (f *fleet) list(runner *runnerstand.Runner, state string) {
-	f.store.Put(platform.KindRunners, runner.ID, runner.Entry(state))
+	f.store.Put(platform.KindRunners, runner.ID, runner.DirectoryEntry(state))
 }
 
 // router is one gateway with its own door to the store.
 type router struct {
 	*gateway.Gateway
 	fleet   *fleet
-	door    *storestand.Door
+	door    *storestand.Endpoint
 	address string
 	ready   string
 	seeds   []string
@@ -190,9 +190,9 @@
 
 // routerAt starts a gateway whose door to the store has the fault.
 func (f *fleet) routerAt(name string, adjust func(*gateway.Settings), fault storestand.Fault) *router {
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	door.Set(fault)
+	door.SetFault(fault)
 	f.t.Cleanup(door.Close)
 	settings := gateway.Settings{
 		Node: name, Zone: "z", CallerAddress: loopback.FreeAddress(), ReadyAddress: loopback.FreeAddress(), StoreAddress: door.Address,
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -46,7 +46,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	path, err := faultproxy.Start(door.Address)
@@ -55,7 +55,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = path.Address })
 	for range 3 {
 		time.Sleep(time.Second)
-		path.Set(faultproxy.Mute)
+		path.SetMode(faultproxy.MuteExisting)
 	}
 	f.changeBoth()
 	f.g.Eventually(r.log.String, newsBound, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
@@ -76,12 +76,12 @@
 			})
 			follower := f.servingRouter("follower", f.asFollower(addresses))
 			time.Sleep(300 * time.Millisecond)
-			seed.door.LoseWatches(kind)
+			seed.door.AbandonWatches(kind)
 			f.changeBoth()
 			for _, r := range []*router{seed, follower} {
 				f.g.Eventually(r.log.String, newsBound, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
 			}
-			f.g.Expect(follower.door.Calls()).To(BeZero())
+			f.g.Expect(follower.door.CallCount()).To(BeZero())
 		})
 	}
 }
@@ -96,11 +96,11 @@
 		f.configure(1, defaultRoutes(), goodKey)
 		runner := f.runner("e1", "engines")
 		r := start(f)
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 		name(f, 2)
 		named := time.Now()
 		time.Sleep(silence)
-		r.door.Set(storestand.Loses) // nobody can order the runner
+		r.door.SetFault(storestand.LosesResponses) // nobody can order the runner
 		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineNamed))
 		time.Sleep(time.Until(named.Add(deadline)))
 		ran := len(runner.Runs())
@@ -117,7 +117,7 @@
 		late(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", brief) })
 	})
 	t.Run("started", func(t *testing.T) {
-		late(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", brief, storestand.Silent) })
+		late(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", brief, storestand.Hangs) })
 	})
 }
 
@@ -136,13 +136,13 @@
 		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, figuresAt
 	})
 	time.Sleep(time.Second)
-	r.door.AnswerAt(past, platform.KindConfig, platform.KindWeightVersions)
+	r.door.SetReplicaRevision(past, platform.KindConfig, platform.KindWeightVersions)
 	f.changeBoth()
 	named := time.Now()
 	r.logs(lineDraining)
 	time.Sleep(time.Until(named.Add(behind)))
 	f.g.Expect(f.fetchStatus(figuresAt).ProofAgeMillis).To(BeNumerically(">", (behind - time.Second).Milliseconds()))
-	calls := r.door.Calls()
+	calls := r.door.CallCount()
 	r.door.CatchUp()
 	f.g.Expect(calls).To(BeNumerically("<", 40), "the store is asked with pauses")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -32,8 +32,8 @@
 // first one to whose answer it added that it leaves: no router can know of it before.
 func arrivedAfterDrain(runner *runnerstand.Runner, announced time.Time) int {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(announced) {
-			return arrivedAfter(runner, arrival.At.Add(drainTime))
+		if arrival.ReceivedAt.After(announced) {
+			return arrivedAfter(runner, arrival.ReceivedAt.Add(drainTime))
 		}
 	}
 	return 0
@@ -68,12 +68,12 @@
 	leaving := f.busiest(1)
 	announced := leaves(leaving...)
 	for _, r := range f.routers {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	f.load(f.routers, drainTime)
 	f.list(leaving[0], "ready")
 	for _, r := range f.routers {
-		r.door.Set(storestand.Healthy)
+		r.door.SetFault(storestand.Healthy)
 	}
 	f.load(f.routers, 3*time.Second)
 	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
@@ -90,26 +90,26 @@
 	r := f.servingRouter("r", nil)
 	r.logs(`"runner":"p2"`)
 	leaves(other, leaving)
-	other.Announce()
+	other.SetResponseHeaders()
 	ask := func(times int) {
 		for range times {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
 	ask(10)
-	f.store.Remove(platform.KindRunners, leaving.ID)
+	f.store.Delete(platform.KindRunners, leaving.ID)
 	r.logs("runner removed")
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
-	before := leaving.Arrivals()
+	before := leaving.ArrivalCount()
 	ask(20)
-	f.g.Expect(leaving.Arrivals()).To(Equal(before), "the same start")
-	leaving.Announce()
+	f.g.Expect(leaving.ArrivalCount()).To(Equal(before), "the same start")
+	leaving.SetResponseHeaders()
 	leaving.Restart()
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	ask(20)
-	f.g.Expect(leaving.Arrivals()).To(BeNumerically(">", before), "another start")
+	f.g.Expect(leaving.ArrivalCount()).To(BeNumerically(">", before), "another start")
 }
 
 // A router that was told keeps to it without any other router, and over a suspension.
@@ -121,7 +121,7 @@
 	announced := leaves(leaving...)
 	f.load(f.routers, time.Second)
 	f.routers[0].Kill()
-	f.routers[1].door.Set(storestand.Silent)
+	f.routers[1].door.SetFault(storestand.Hangs)
 	f.routers[1].clock.suspend(time.Second)
 	f.load(f.routers[1:], drainTime+time.Second)
 	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -77,7 +77,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	failing, well := f.runner("p1", "plain"), f.runner("p2", "plain")
 	f.runner("e1", "engines")
-	failing.Behave(runnerstand.Fails)
+	failing.SetBehaviour(runnerstand.Fails)
 	address := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.MetricsAddress, settings.RetryReserve, settings.ConfigLease = address, 20, 2*time.Second
@@ -109,7 +109,7 @@
 	f.g.Expect(got["clovertiller_config_version"]).To(Equal(1.0))
 	f.g.Expect(got["clovertiller_config_proof_age_seconds"]).To(BeNumerically("<", 2))
 
-	r.door.Set(storestand.Reset)
+	r.door.SetFault(storestand.Reset)
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 2*time.Second).Should(Equal(http.StatusServiceUnavailable))
 	got = figures(f.g, address)
 	f.g.Expect(got[`clovertiller_store_failures_total{kind="configuration"}`]).To(BeNumerically(">", 0))
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -51,7 +51,7 @@
 	for _, r := range routers {
 		r.settled(2)
 	}
-	runners[0].Behave(runnerstand.Delays)
+	runners[0].SetBehaviour(runnerstand.Delays)
 	entryRouter := routers[1]
 	f.g.Expect(entryRouter.call("/urgent/x", nil).status).To(Equal(http.StatusOK)) // lets the router learn how long a call occupies a slot
 	stopBulk := entryRouter.startCallers("/bulk/x", 12)
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -21,7 +21,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	path, seedAt := f.pathTo(door.Address), []string{loopback.FreeAddress()}
@@ -32,9 +32,9 @@
 		f.asFollower(seedAt)(settings)
 		settings.StoreAddress = path.Address
 	})
-	path.Set(faultproxy.Silence)
+	path.SetMode(faultproxy.Blackhole)
 	time.Sleep(outage)
-	path.Set(faultproxy.Mute) // what was opened until now says nothing more; new connections work
+	path.SetMode(faultproxy.MuteExisting) // what was opened until now says nothing more; new connections work
 	for version := 2; version <= 4; version++ {
 		f.configure(version, defaultRoutes(), goodKey)
 		changed := time.Now()
@@ -53,7 +53,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.engine("e1", 1)
-	runner.LeaveOrders()
+	runner.IgnoreOrders()
 	seeds := []string{loopback.FreeAddress(), loopback.FreeAddress()}
 	start := func(incarnation string) (started []*router) {
 		for i, address := range seeds {
@@ -81,5 +81,5 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	f.g.Expect(runner.Runs()).To(HaveLen(ran))
-	f.g.Expect(runner.Version()).To(Equal(uint64(1)), "nobody could order it")
+	f.g.Expect(runner.WeightVersion()).To(Equal(uint64(1)), "nobody could order it")
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -75,10 +75,10 @@
 	defer p.mutex.Unlock()
 	config := runnerstand.Config{
 		ID: fmt.Sprintf("e%d", len(p.started)), Service: p.service,
-		Poison: runnerstand.Poison{Prefix: poisonBody, After: 60 * time.Millisecond, Silent: p.silent, Ended: p.ended},
+		Poison: runnerstand.Poison{Prefix: poisonBody, CrashDelay: 60 * time.Millisecond, NoResponse: p.silent, OnCrash: p.ended},
 	}
 	if p.service == "engines" {
-		config.Model, config.Version, config.Events, config.EventTime = modelName, 1, 4, 40*time.Millisecond
+		config.Model, config.Version, config.EventCount, config.EventInterval = modelName, 1, 4, 40*time.Millisecond
 	}
 	p.started = append(p.started, p.startRunner(config))
 }
@@ -94,7 +94,7 @@
 		case <-p.t.Context().Done():
 			return
 		}
-		p.store.Remove(platform.KindRunners, runner.ID)
+		p.store.Delete(platform.KindRunners, runner.ID)
 		p.start()
 	})
 }
@@ -124,7 +124,7 @@
 	defer p.mutex.Unlock()
 	for _, runner := range p.started {
 		for _, run := range runner.Runs() {
-			if run.Body == poisonBody && run.Began.After(moment) {
+			if run.Body == poisonBody && run.StartedAt.After(moment) {
 				sent++
 			}
 		}
@@ -263,11 +263,11 @@
 	p := newPoisonedFleet(t, 1, false)
 	p.route(1)
 	slow := p.started[0]
-	slow.Queue(3 * time.Second)
-	slow.Behave(runnerstand.Queues)
+	slow.SetQueueTime(3 * time.Second)
+	slow.SetBehaviour(runnerstand.Queues)
 	waiting := make(chan answer, 1)
 	go func() { waiting <- p.routers[1].call("/once/x", asking(poisonBody)) }()
-	p.g.Eventually(slow.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
+	p.g.Eventually(slow.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.list(slow, "draining")
 	for range 6 {
 		p.start()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -112,7 +112,7 @@
 	p.routers[0].Kill()
 	next := p.routerAt("r2", nil, storestand.Busy)
 	time.Sleep(300 * time.Millisecond)
-	next.door.Set(storestand.Healthy)
+	next.door.SetFault(storestand.Healthy)
 	next.logs("configuration in force")
 	p.g.Eventually(next.log.String, 3*time.Second, 5*time.Millisecond).Should(ContainSubstring("content is not sent any more"))
 	p.g.Expect(next.call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
@@ -145,14 +145,14 @@
 	p := newPoisonedFleet(t, 8, false)
 	p.routers = []*router{p.servingRouter("r1", nil)}
 	survivor := p.engine("survivor", 1)
-	survivor.Behave(runnerstand.Pauses)
+	survivor.SetBehaviour(runnerstand.Pauses)
 	for _, runner := range p.started {
 		p.list(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
 	whole := make(chan answer, 1)
 	go func() { whole <- p.routers[0].call("/once/x", asking(poisonBody)) }()
-	p.g.Eventually(survivor.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
+	p.g.Eventually(survivor.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.list(survivor, "draining")
 	for _, runner := range p.started {
 		p.list(runner, "ready")
@@ -160,7 +160,7 @@
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":false`) }, time.Second).Should(BeNumerically(">=", 16))
 	p.endRunners(3)
 	p.keeps(3)
-	survivor.Resume()
+	survivor.ResumeStreams()
 	p.g.Expect((<-whole).status).To(Equal(http.StatusOK))
 	p.routers[0].logs("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
@@ -175,7 +175,7 @@
 		ended := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
 		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: ended.Add(-time.Millisecond), DetectedAt: ended})
 	}
-	door, err := p.store.Open()
+	door, err := p.store.OpenEndpoint()
 	p.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	client := &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -54,7 +54,7 @@
 	}
 	time.Sleep(1200 * time.Millisecond) // two pulls
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Fails)
+		runner.SetBehaviour(runnerstand.Fails)
 	}
 	ran := 0
 	for _, r := range routers {
@@ -78,7 +78,7 @@
 func TestFollowerLearnsFromSeedsWithoutTheStore(t *testing.T) {
 	f, _, follower := relayedFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Consistently(follower.door.Calls, 600*time.Millisecond).Should(Equal(0), "seeds read the store for it")
+	f.g.Consistently(follower.door.CallCount, 600*time.Millisecond).Should(Equal(0), "seeds read the store for it")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
@@ -92,15 +92,15 @@
 	f, seeds, follower := relayedFleet(t)
 	runner := f.runner("e1", "engines")
 	name(f, 2)
-	f.g.Eventually(runner.Version, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
+	f.g.Eventually(runner.WeightVersion, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Eventually(func() int { return follower.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
-	f.g.Expect(follower.door.Calls()).To(Equal(0))
+	f.g.Expect(follower.door.CallCount()).To(Equal(0))
 
 	for _, seed := range seeds {
 		seed.Kill()
 	}
 	name(f, 3)
-	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "with the seeds gone it orders itself")
+	f.g.Eventually(runner.WeightVersion, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "with the seeds gone it orders itself")
 }
 
 func TestFollowerGoesToAnotherSeedAndThenToTheStore(t *testing.T) {
@@ -111,16 +111,16 @@
 		follower.settled(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(follower.door.Calls()).To(BeNumerically(">", 0), "with all seeds gone it reads the store")
+	f.g.Expect(follower.door.CallCount()).To(BeNumerically(">", 0), "with all seeds gone it reads the store")
 }
 
 // A seed that the store drops while it serves others must not keep its
 // followers, or itself, on an old configuration.
 func TestSeedThatTheStoreDropsIsNotReliedOn(t *testing.T) {
-	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Silent} {
+	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Hangs} {
 		t.Run(name, func(t *testing.T) {
 			f, seeds, follower := relayedFleet(t)
-			seeds[0].door.Set(fault)
+			seeds[0].door.SetFault(fault)
 			dropped := time.Now()
 			f.configure(2, defaultRoutes(), "key-two")
 			for _, r := range []*router{follower, seeds[0], seeds[1]} {
@@ -135,7 +135,7 @@
 func TestRestartWithTheStoreDownIsServedByPeers(t *testing.T) {
 	f, seeds, _ := relayedFleet(t)
 	addresses := seeds[0].seeds
-	restarted := f.routerAt("restarted", f.asFollower(addresses), storestand.Silent)
+	restarted := f.routerAt("restarted", f.asFollower(addresses), storestand.Hangs)
 	f.g.Eventually(restarted.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(restarted.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
@@ -144,7 +144,7 @@
 func TestPeersDoNotProveToEachOtherWhatNobodyProves(t *testing.T) {
 	f, seeds, follower := relayedFleet(t)
 	for _, r := range append(seeds, follower) {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	f.g.Eventually(func() bool {
 		ready := false
@@ -163,16 +163,16 @@
 	seed := f.routerAt("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = addresses[0], addresses
 	}, storestand.Busy)
-	first := f.routerAt("first", f.asFollower(addresses), storestand.Silent)
+	first := f.routerAt("first", f.asFollower(addresses), storestand.Hangs)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	seed.door.Set(storestand.Healthy)
+	seed.door.SetFault(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "not seconds later")
 	f.configure(2, defaultRoutes(), "key-two")
 	seed.settled(2)
-	second := f.routerAt("second", f.asFollower(addresses), storestand.Silent)
+	second := f.routerAt("second", f.asFollower(addresses), storestand.Hangs)
 	f.g.Eventually(second.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(second.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized))
 }
@@ -199,7 +199,7 @@
 	for i := range 6 {
 		r := f.router(fmt.Sprint("r", i), f.asFollower(seeds))
 		f.g.Eventually(r.isReady, 150*time.Millisecond, 2*time.Millisecond).Should(BeTrue())
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.door.CallCount()).To(BeZero())
 	}
 }
 
@@ -220,7 +220,7 @@
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(got.after).To(BeNumerically("<", patient))
 
-	alone := f.routerAt("alone", f.asFollower(seeds), storestand.Silent)
+	alone := f.routerAt("alone", f.asFollower(seeds), storestand.Hangs)
 	for range 2 {
 		got = alone.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -23,7 +23,7 @@
 func (f *fleet) startedRunner(id, service string) *runnerstand.Runner {
 	settings := runnerstand.Config{ID: id, Service: service, Incarnation: firstIncarnation}
 	if service == "engines" {
-		settings.Model, settings.Version, settings.Events = modelName, 1, 4
+		settings.Model, settings.Version, settings.EventCount = modelName, 1, 4
 	}
 	return f.startRunner(settings)
 }
@@ -38,11 +38,11 @@
 	},
 	"list": func(f *fleet, change func()) *router {
 		r := f.servingRouter("r1", nil)
-		r.door.Set(storestand.Busy)
+		r.door.SetFault(storestand.Busy)
 		r.logs("store does not answer well")
 		change()
-		f.store.Forget()
-		r.door.Set(storestand.Healthy)
+		f.store.CompactHistory()
+		r.door.SetFault(storestand.Healthy)
 		return r
 	},
 	"relay": func(f *fleet, change func()) *router {
@@ -50,7 +50,7 @@
 		f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seed[0], seed })
 		follower := f.servingRouter("follower", f.asFollower(seed))
 		change()
-		f.t.Cleanup(func() { f.g.Expect(follower.door.Calls()).To(BeZero(), "it knows from the seed alone") })
+		f.t.Cleanup(func() { f.g.Expect(follower.door.CallCount()).To(BeZero(), "it knows from the seed alone") })
 		return follower
 	},
 }
@@ -86,12 +86,12 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	bad, good := f.startedRunner("p1", "plain"), f.startedRunner("p2", "plain")
 	r := f.servingRouter("r1", nil)
-	bad.Behave(runnerstand.Fails)
+	bad.SetBehaviour(runnerstand.Fails)
 	for range 30 {
 		r.call("/safe/x", nil)
 	}
 	f.g.Expect(len(good.Runs())).To(BeNumerically(">", 2*len(bad.Runs())), "it is avoided")
-	bad.Behave(runnerstand.Well)
+	bad.SetBehaviour(runnerstand.Normal)
 	bad.Restart()
 	f.list(bad, "ready")
 	r.logs("runner started again")
@@ -120,9 +120,9 @@
 	r.logs("runner started again")
 	f.list(runner, "draining")
 	r.logs("runner changed state")
-	r.door.AnswerAt(listed.Metadata.Revision, platform.KindRunners)
+	r.door.SetReplicaRevision(listed.Metadata.Revision, platform.KindRunners)
 	time.Sleep(300 * time.Millisecond)
-	f.store.Put(platform.KindRunners, "p9", runner.Entry("draining"))
+	f.store.Put(platform.KindRunners, "p9", runner.DirectoryEntry("draining"))
 	f.g.Consistently(r.log.String, time.Second, 50*time.Millisecond).ShouldNot(ContainSubstring(fmt.Sprintf(`"incarnation":%d`, firstIncarnation)))
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "it still leaves")
 }
@@ -136,15 +136,15 @@
 	runner := f.startedRunner("e1", "engines")
 	f.servingRouter("r1", nil)
 	name(f, 2)
-	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
-	runner.LeaveOrders()
+	f.g.Eventually(runner.WeightVersion, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
+	runner.IgnoreOrders()
 	name(f, 3)
 	f.g.Eventually(runner.Orders, 2*time.Second, 5*time.Millisecond).Should(HaveLen(2))
-	f.g.Expect(runner.Orders()[1].Expected).To(Equal(uint64(1)))
+	f.g.Expect(runner.Orders()[1].ExpectedRevision).To(Equal(uint64(1)))
 	runner.Restart()
-	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(3)))
+	f.g.Eventually(runner.WeightVersion, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(3)))
 	orders := runner.Orders()
-	f.g.Expect(orders[len(orders)-1].Expected).To(BeZero(), "its count starts anew")
+	f.g.Expect(orders[len(orders)-1].ExpectedRevision).To(BeZero(), "its count starts anew")
 }
 
 // movedParts stands in for what runners keep, by the addresses that they are read at.
@@ -178,7 +178,7 @@
 	f.servingRouter("r1", nil)
 	f.g.Eventually(func() bool { return kept.readAt(runner.Address) }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
 	runner.Restart()
-	entry := runner.Entry("ready")
+	entry := runner.DirectoryEntry("ready")
 	entry["address"] = "127.0.0.1:1"
 	f.store.Put(platform.KindRunners, "e1", entry)
 	f.g.Eventually(func() bool { return kept.readAt("127.0.0.1:1") }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
@@ -197,29 +197,29 @@
 				"odd-state": {"state": "resting"}, "odd-service": {"service": 7}, "odd-slots": {"slots": "many"},
 				"odd-start": {"born": "1785310070397"}, "p1": {"zone": nil},
 			} {
-				entry := known.Entry("ready")
+				entry := known.DirectoryEntry("ready")
 				for field, value := range change {
 					entry[field] = value
 				}
 				f.store.Put(platform.KindRunners, name, entry)
 			}
-			stranger := known.Entry("ready")
+			stranger := known.DirectoryEntry("ready")
 			stranger["service"] = "nobody's"
 			f.store.Put(platform.KindRunners, "stranger", stranger)
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(MatchRegexp(`"cause":"entry cannot be read".*"runner":"p1"`))
 		f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"stranger"`))
-		before := known.Arrivals()
+		before := known.ArrivalCount()
 		for range 20 {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
-		f.g.Expect(known.Arrivals()).To(Equal(before))
+		f.g.Expect(known.ArrivalCount()).To(Equal(before))
 		f.g.Expect(sound.Runs()).NotTo(BeEmpty())
 		// The runner's own entry comes again.
 		f.list(known, "ready")
 		f.g.Eventually(func() int {
 			r.call("/safe/x", nil)
-			return known.Arrivals()
+			return known.ArrivalCount()
 		}, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", before))
 	})
 }
@@ -231,7 +231,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.startedRunner("p1", "plain")
 	r := f.servingRouter("r1", nil)
-	entry := runner.Entry("ready")
+	entry := runner.DirectoryEntry("ready")
 	delete(entry, "born")
 	f.store.Put(platform.KindRunners, "p1", entry)
 	r.logs("entry cannot be read")
@@ -245,12 +245,12 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.startedRunner("e1", "engines")
 	stranger := f.startedRunner("e2", "engines")
-	entry := stranger.Entry("ready")
+	entry := stranger.DirectoryEntry("ready")
 	entry["service"] = "nobody's"
 	f.store.Put(platform.KindRunners, "e2", entry)
 	f.servingRouter("r1", nil)
 	name(f, 2)
-	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
+	f.g.Eventually(runner.WeightVersion, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Consistently(stranger.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
 }
 
@@ -262,7 +262,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.startedRunner("p1", "plain")
 	r := f.servingRouter("r1", nil)
-	entry := runner.Entry("ready")
+	entry := runner.DirectoryEntry("ready")
 	delete(entry, "born")
 	f.store.Put(platform.KindRunners, "p1", entry)
 	r.logs("entry cannot be read")
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -34,7 +34,7 @@
 func shed(runners []*runnerstand.Runner) {
 	announce(runners, platform.HeaderRetryAfter, restSeconds)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Sheds)
+		runner.SetBehaviour(runnerstand.Sheds)
 	}
 }
 
@@ -57,9 +57,9 @@
 func mostInRest(runner *runnerstand.Runner, since time.Time) (most int) {
 	byRouter := map[string][]time.Time{}
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(since) {
+		if arrival.ReceivedAt.After(since) {
 			router := arrival.Path[strings.LastIndex(arrival.Path, "/"):]
-			byRouter[router] = append(byRouter[router], arrival.At)
+			byRouter[router] = append(byRouter[router], arrival.ReceivedAt)
 		}
 	}
 	for _, times := range byRouter {
@@ -99,7 +99,7 @@
 				f.g.Expect(got.whole).To(Equal(got.sent), "other runners serve them")
 			}
 			for _, runner := range resting {
-				runner.Behave(runnerstand.Well)
+				runner.SetBehaviour(runnerstand.Normal)
 			}
 			time.Sleep(restTime)
 			got = f.loadNamed(2 * time.Second)
@@ -131,7 +131,7 @@
 	for _, value := range []string{"-3", "NaN", "soon", "1e999"} {
 		announce(f.engines, platform.HeaderRetryAfter, value)
 		for _, engine := range f.engines {
-			engine.BehaveOnce(runnerstand.Sheds)
+			engine.SetBehaviourOnce(runnerstand.Sheds)
 		}
 		f.load(f.routers, time.Second)
 		got := f.load(f.routers, time.Second)
--- a/internal/gateway/restoredlease_test.go
+++ b/internal/gateway/restoredlease_test.go
@@ -31,7 +31,7 @@
 			settings.PeerAddress, settings.Seeds, settings.LeaseGap = address, seeds, gap
 		}))
 	}
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	for version := uint64(2); version <= 4; version++ {
 		name(f.fleet, version)
 		f.g.Eventually(f.orders, weightsTime, time.Millisecond).Should(BeNumerically(">=", int(version-1)*4))
@@ -45,8 +45,8 @@
 		if i == 0 || order.Holder == orders[i-1].Holder {
 			continue
 		}
-		f.g.Expect(order.At.Sub(orders[i-1].At)).To(BeNumerically(">=", gap), "between %s and %s", orders[i-1].Holder, order.Holder)
-		f.g.Expect(order.Fence).To(BeNumerically(">", orders[i-1].Fence))
+		f.g.Expect(order.ReceivedAt.Sub(orders[i-1].ReceivedAt)).To(BeNumerically(">=", gap), "between %s and %s", orders[i-1].Holder, order.Holder)
+		f.g.Expect(order.FencingToken).To(BeNumerically(">", orders[i-1].FencingToken))
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestLeaseThatACopyOfTheStoreLacksIsTakenAgain(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	name(f.fleet, 2)
 	f.haveWeights(2)
 	time.Sleep(2 * storeAway)
@@ -71,7 +71,7 @@
 func TestRoutersThatMissedTheReturnOfTheStoreCatchUp(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 6, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.grow(lostWrites)
 	time.Sleep(seenTime)
 	cutOff := f.routers[3:]
@@ -80,7 +80,7 @@
 		f.grow(lostWrites + 5)
 	})
 	for _, r := range cutOff {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	cutOff[0].clock.suspend(3 * time.Second)
 	changed := time.Now()
@@ -88,7 +88,7 @@
 	name(f.fleet, 2)
 	f.inForce(changed, "/fresh/x", "key-two")
 	f.haveWeights(2)
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	f.configure(3, added("fresh", "more"), goodKey, "key-two")
 	for _, r := range f.routers {
 		f.g.Eventually(func() int { return r.call("/more/x", withKey("key-two")).status }, inForceTime, 5*time.Millisecond).Should(Equal(http.StatusOK))
@@ -108,6 +108,6 @@
 	for _, engine := range engines {
 		orders = append(orders, engine.Orders()...)
 	}
-	slices.SortFunc(orders, func(a, b runnerstand.Order) int { return a.At.Compare(b.At) })
+	slices.SortFunc(orders, func(a, b runnerstand.Order) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	return orders
 }
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -21,8 +21,8 @@
 func withLostRunner(t *testing.T) (*restorable, *runnerstand.Runner) {
 	f := newRestorable(t, 3, nil)
 	f.plain.Close()
-	f.store.Remove(platform.KindRunners, f.plain.ID)
-	kept := f.store.Copy()
+	f.store.Delete(platform.KindRunners, f.plain.ID)
+	kept := f.store.Backup()
 	joined := f.runner("joined", "plain")
 	f.grow(lostWrites)
 	f.serves()
@@ -74,9 +74,9 @@
 		r.logs(`"runner":"leaving"`)
 		r.logs(`"runner":"gone"`)
 	}
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.list(leaving, "draining")
-	f.store.Remove(platform.KindRunners, gone.ID)
+	f.store.Delete(platform.KindRunners, gone.ID)
 	f.grow(lostWrites)
 	for _, r := range f.routers {
 		r.logs(`"draining":true`)
@@ -92,7 +92,7 @@
 		f.g.Expect([]int{len(leaving.Runs()), len(gone.Runs())}).To(Equal(ran))
 	}
 
-	f.store.Put(platform.KindRunners, gone.ID, gone.Entry("ready"))
+	f.store.Put(platform.KindRunners, gone.ID, gone.DirectoryEntry("ready"))
 	f.g.Eventually(func() int {
 		f.routers[0].call("/safe/x", nil)
 		return len(gone.Runs())
@@ -104,7 +104,7 @@
 func TestRunningWorkGoesOnWhileTheStoreComesBackFromACopy(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	name(f.fleet, 2)
 	f.haveWeights(2)
 	for _, engine := range f.engines {
@@ -146,23 +146,23 @@
 	proxies := []*faultproxy.Proxy{f.proxyTo(seed.seeds[0]), f.proxyTo(bound)}
 	cut := func(mode faultproxy.Mode) {
 		for _, proxy := range proxies {
-			proxy.Set(mode)
+			proxy.SetMode(mode)
 		}
 	}
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.Seeds, settings.PeerAddress, settings.PeerBindAddress = []string{proxies[0].Address}, proxies[1].Address, bound
 	})
 	follower.logs(`"runner":"gone"`)
-	follower.door.Set(storestand.Reset)
+	follower.door.SetFault(storestand.Reset)
 	cut(faultproxy.Reset)
-	f.store.Remove(platform.KindRunners, gone.ID)
+	f.store.Delete(platform.KindRunners, gone.ID)
 	seed.logs("runner removed")
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	seed.logs(`"event":829`)
 	time.Sleep(listedTime)
-	seed.door.Set(storestand.Throttled)
+	seed.door.SetFault(storestand.Throttled)
 	f.grow(3)
-	follower.door.Set(storestand.Healthy)
+	follower.door.SetFault(storestand.Healthy)
 	follower.logs(`"missing":1`)
 	cut(faultproxy.Pass)
 
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -36,8 +36,8 @@
 		count++
 	})
 	f.plain.Close()
-	f.store.Remove(platform.KindRunners, f.plain.ID)
-	kept := f.store.Copy()
+	f.store.Delete(platform.KindRunners, f.plain.ID)
+	kept := f.store.Backup()
 	f.runner("joined", "plain")
 	f.configure(2, added("fresh"), goodKey)
 	name(f.fleet, 2)
@@ -92,13 +92,13 @@
 	var seeds []string
 	for _, seed := range f.seeds {
 		proxy := f.proxyTo(seed)
-		proxy.Set(faultproxy.Reset)
+		proxy.SetMode(faultproxy.Reset)
 		proxies, seeds = append(proxies, proxy), append(seeds, proxy.Address)
 	}
 	again := f.start(loopback.FreeAddress(), seeds)
 	f.g.Eventually(again.isReady, learnedTime, 5*time.Millisecond).Should(BeTrue(), "it serves by what the store has")
 	for _, proxy := range proxies {
-		proxy.Set(faultproxy.Pass)
+		proxy.SetMode(faultproxy.Pass)
 	}
 	f.learns(again)
 }
@@ -127,7 +127,7 @@
 	f := &restorable{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
 	f.plain = f.runner("p1", "plain")
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	seed := loopback.FreeAddress()
 	proxy := f.proxyTo(seed)
 	// Nobody knows more than the store, so that both ask for a transfer for as long as they may.
@@ -139,8 +139,8 @@
 	found := func() int { return strings.Count(follower.log.String(), `"store":false`) }
 	for range 4 {
 		before := found()
-		proxy.Set(faultproxy.Mute)
-		proxy.Set(faultproxy.Pass)
+		proxy.SetMode(faultproxy.MuteExisting)
+		proxy.SetMode(faultproxy.Pass)
 		f.g.Eventually(found, seenTime, 5*time.Millisecond).Should(BeNumerically(">", before), "its seed is found again")
 	}
 }
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -66,13 +66,13 @@
 // setDoors changes how the store treats the calls of all routers.
 func (f *restorable) setDoors(fault storestand.Fault) {
 	for _, r := range f.routers {
-		r.door.Set(fault)
+		r.door.SetFault(fault)
 	}
 }
 
 // restore has the store go away for the time and come back from the copy; between both the
 // function may write.
-func (f *restorable) restore(kept storestand.Copy, away time.Duration, between func()) {
+func (f *restorable) restore(kept storestand.Backup, away time.Duration, between func()) {
 	f.setDoors(storestand.Reset)
 	time.Sleep(away)
 	f.store.Restore(kept)
@@ -113,7 +113,7 @@
 func (f *restorable) haveWeights(version uint64) {
 	f.t.Helper()
 	for _, engine := range f.engines {
-		f.g.Eventually(engine.Version, weightsTime, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
+		f.g.Eventually(engine.WeightVersion, weightsTime, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
 	}
 }
 
@@ -169,7 +169,7 @@
 			t.Run(fmt.Sprintf("%s, %d routers", how, routers), func(t *testing.T) {
 				t.Parallel()
 				f := newRestorable(t, routers, nil)
-				kept := f.store.Copy()
+				kept := f.store.Backup()
 				name(f.fleet, 2)
 				f.haveWeights(2)
 				f.grow(lostWrites)
@@ -195,7 +195,7 @@
 		t.Run(fmt.Sprintf("%d routers", routers), func(t *testing.T) {
 			t.Parallel()
 			f := newRestorable(t, routers, nil)
-			kept := f.store.Copy()
+			kept := f.store.Backup()
 			f.grow(lostWrites)
 			time.Sleep(seenTime)
 			var changed time.Time
@@ -211,7 +211,7 @@
 			f.inForce(changed, "/fresh/x", "key-two")
 			f.haveWeights(2)
 			f.plain.Close()
-			f.store.Remove(platform.KindRunners, f.plain.ID)
+			f.store.Delete(platform.KindRunners, f.plain.ID)
 			f.serves()
 			f.g.Expect(joined.Runs()).NotTo(BeEmpty(), "the runner that joined is known")
 		})
@@ -223,7 +223,7 @@
 func TestCallersAreServedWhileTheStoreComesBackFromACopy(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.configure(2, added("fresh"), goodKey)
 	name(f.fleet, 2)
 	f.haveWeights(2)
@@ -266,7 +266,7 @@
 	f.g.Expect(refused.Load()).To(BeZero())
 	f.g.Expect(denied.Load()).To(BeZero(), "calls with the key that was taken away")
 	for _, engine := range f.engines {
-		f.g.Expect(engine.Version()).To(Equal(uint64(2)))
+		f.g.Expect(engine.WeightVersion()).To(Equal(uint64(2)))
 	}
 }
 
@@ -274,7 +274,7 @@
 func TestChangesAreInForceAfterTwoReturnsInARow(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.grow(lostWrites)
 	time.Sleep(seenTime)
 	for range 2 {
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -28,11 +28,11 @@
 	at := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
 	asked := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
-	runner.Behave(runnerstand.BreaksOff)
+	runner.SetBehaviour(runnerstand.TruncatesResponse)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
 	f.counts(at, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
 	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+asked), Not(ContainSubstring("runner ended with requests at work"))))
-	runner.Behave(runnerstand.Dies)
+	runner.SetBehaviour(runnerstand.Terminates)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
 	r.logs("runner ended with requests at work")
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + asked + `"]`))
@@ -52,15 +52,15 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
-	runner.Behave(runnerstand.Pauses)
+	runner.SetBehaviour(runnerstand.Pauses)
 	if byAnswer {
-		runner.Announce(platform.HeaderServerLeaving, "1")
+		runner.SetResponseHeaders(platform.HeaderServerLeaving, "1")
 	}
 	at := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
 	done := make(chan answer)
 	go func() { done <- r.call("/once/x", nil) }()
-	f.g.Eventually(runner.Arrivals).Should(Equal(1))
+	f.g.Eventually(runner.ArrivalCount).Should(Equal(1))
 	if byAnswer {
 		r.logs(`"leaving":true`)
 	} else {
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -82,14 +82,14 @@
 
 // busiest returns the runners that have got the most requests.
 func (f *signalFleet) busiest(count int) []*runnerstand.Runner {
-	order := slices.SortedFunc(slices.Values(f.engines), func(a, b *runnerstand.Runner) int { return cmp.Compare(b.Arrivals(), a.Arrivals()) })
+	order := slices.SortedFunc(slices.Values(f.engines), func(a, b *runnerstand.Runner) int { return cmp.Compare(b.ArrivalCount(), a.ArrivalCount()) })
 	return order[:count]
 }
 
 // announce has the runners bear the headers in all their answers.
 func announce(runners []*runnerstand.Runner, headers ...string) {
 	for _, runner := range runners {
-		runner.Announce(headers...)
+		runner.SetResponseHeaders(headers...)
 	}
 }
 
@@ -110,8 +110,8 @@
 func mostInWindow(runner *runnerstand.Runner, after time.Time) (most int) {
 	var times []time.Time
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(after) {
-			times = append(times, arrival.At)
+		if arrival.ReceivedAt.After(after) {
+			times = append(times, arrival.ReceivedAt)
 		}
 	}
 	first := 0
@@ -127,7 +127,7 @@
 // arrivedAfter counts the requests that reached the runner after the moment.
 func arrivedAfter(runner *runnerstand.Runner, moment time.Time) (count int) {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(moment) {
+		if arrival.ReceivedAt.After(moment) {
 			count++
 		}
 	}
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -33,7 +33,7 @@
 	runner, path := f.runnerBehindProxy("p1")
 	r := f.servingRouter("r1", nil)
 	f.keepConnections(r, runner, kept)
-	path.Set(faultproxy.Mute)
+	path.SetMode(faultproxy.MuteExisting)
 	answers := callAtOnce(r, 3*kept, interval)
 	f.g.Expect(answers[int(noticed/interval):]).To(HaveEach(http.StatusOK), "%v", answers)
 }
@@ -64,8 +64,8 @@
 	for round := 0; round < rounds && !warned(); round++ {
 		time.Sleep(5 * time.Second) // a younger connection tells of a slow router
 		f.keepConnections(r, runner, kept)
-		toSeed.Set(faultproxy.Mute)
-		toRunner.Set(faultproxy.Mute)
+		toSeed.SetMode(faultproxy.MuteExisting)
+		toRunner.SetMode(faultproxy.MuteExisting)
 		for muted := time.Now(); time.Since(muted) < time.Second && !warned(); {
 			time.Sleep(time.Millisecond)
 		}
@@ -80,7 +80,7 @@
 	path, err := faultproxy.Start(runner.Address)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(path.Close)
-	entry := runner.Entry("ready")
+	entry := runner.DirectoryEntry("ready")
 	entry["address"] = path.Address
 	f.store.Put(platform.KindRunners, id, entry)
 	return runner, path
@@ -88,9 +88,9 @@
 
 // keepConnections leaves the router so many idle connections to the runner.
 func (f *fleet) keepConnections(r *router, runner *runnerstand.Runner, count int) {
-	runner.Behave(runnerstand.Delays)
+	runner.SetBehaviour(runnerstand.Delays)
 	f.g.Expect(callAtOnce(r, count, 0)).To(HaveEach(http.StatusOK))
-	runner.Behave(runnerstand.Well)
+	runner.SetBehaviour(runnerstand.Normal)
 }
 
 // callAtOnce makes so many calls with pauses between their beginnings and returns how they
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -87,7 +87,7 @@
 	placed := func() float64 { return figures(f.g, figuresAt[0])["clovertiller_placed_requests"] }
 	chosen := func() float64 { return figures(f.g, figuresAt[1])[chosenByScheduler] }
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Delays)
+		runner.SetBehaviour(runnerstand.Delays)
 	}
 	rounds := 0
 	for played := 0; rounds < 3; played++ {
@@ -127,7 +127,7 @@
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK))
 	f.g.Expect(figures(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 1))
 	for _, r := range routers {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	time.Sleep(4 * time.Second) // its proof is no longer good
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are served on")
@@ -138,7 +138,7 @@
 func TestSchedulerIsProvedByTheRoutersThatAskIt(t *testing.T) {
 	t.Parallel()
 	f, routers, _, figuresAt := scheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.Set(storestand.Silent)
+	routers[0].door.SetFault(storestand.Hangs)
 	f.list(f.runnerOf("p1"), "draining")
 	time.Sleep(4 * time.Second)
 	before := figures(f.g, figuresAt[1])[chosenByScheduler]
@@ -152,21 +152,21 @@
 func TestChoiceOfALeavingRunnerIsNotTaken(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, _ := scheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.Set(storestand.Silent)
+	routers[0].door.SetFault(storestand.Hangs)
 	f.list(runners[0], "draining")
 	f.g.Eventually(routers[1].log.String, 4*time.Second, 20*time.Millisecond).Should(ContainSubstring("runner changed state"))
-	before := runners[0].Arrivals()
+	before := runners[0].ArrivalCount()
 	for range 10 {
 		f.g.Expect(routers[1].call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(runners[0].Arrivals()).To(Equal(before))
+	f.g.Expect(runners[0].ArrivalCount()).To(Equal(before))
 }
 
 func TestSecondAttemptIsPlacedElsewhereByTheScheduler(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, figuresAt := scheduledFleet(t, 1, 1, "p1", "p2")
-	runners[0].Behave(runnerstand.Drops)
-	runners[1].Behave(runnerstand.Drops)
+	runners[0].SetBehaviour(runnerstand.Drops)
+	runners[1].SetBehaviour(runnerstand.Drops)
 	routers[1].call("/safe/x", nil)
 	f.g.Expect(len(runners[0].Runs())).To(Equal(1))
 	f.g.Expect(len(runners[1].Runs())).To(Equal(1))
@@ -179,7 +179,7 @@
 func TestWhatWouldQueueTooLongIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, _ := scheduledFleet(t, 1, 1, "p1")
-	runners[0].Behave(runnerstand.Delays)
+	runners[0].SetBehaviour(runnerstand.Delays)
 	routers[1].call("/unsafe/x", nil) // shows how long a slot is held
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
--- a/internal/gateway/silentholder_test.go
+++ b/internal/gateway/silentholder_test.go
@@ -16,7 +16,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
-	runner.LeaveOrders()
+	runner.IgnoreOrders()
 	gap := func(settings *gateway.Settings) { settings.LeaseGap = 3 * time.Second }
 	routers := map[string]*router{"r1": f.servingRouter("r1", gap), "r2": f.servingRouter("r2", gap)}
 	name(f, 2)
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -39,7 +39,7 @@
 	f.store.Put("leases", "someone", map[string]any{}) // has the watch of weights made anew
 	time.Sleep(2 * time.Second)
 	named := f.nameTwo()
-	f.store.Forget()
+	f.store.CompactHistory()
 	held.Store(false)
 	f.expiresInTime(r, named)
 }
@@ -56,7 +56,7 @@
 	f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = seedAt, []string{seedAt}
 	})
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	toSeed, toStore := f.pathTo(seedAt), f.pathTo(door.Address)
@@ -65,11 +65,11 @@
 		settings.StoreAddress = toStore.Address
 	})
 	time.Sleep(3500 * time.Millisecond) // it has settled
-	toSeed.Set(faultproxy.Silence)
-	toStore.Set(faultproxy.Silence)
+	toSeed.SetMode(faultproxy.Blackhole)
+	toStore.SetMode(faultproxy.Blackhole)
 	time.Sleep(2300 * time.Millisecond) // the seed pushes nothing any more
 	named := f.nameTwo()
-	toSeed.Set(faultproxy.Pass)
+	toSeed.SetMode(faultproxy.Pass)
 	f.expiresInTime(follower, named)
 }
 
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -26,15 +26,15 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			f := newRestorable(t, 1, func(settings *gateway.Settings) { settings.ConfigLease = 3 * time.Second })
-			f.restore(f.store.Copy(), storeAway/8, nil)
+			f.restore(f.store.Backup(), storeAway/8, nil)
 			f.inNewEra()
 			f.serves()
-			f.store.WriteEra(write)
+			f.store.SetEraFormat(write)
 			f.configure(2, defaultRoutes(), goodKey)
 			r := f.routers[0]
 			f.g.Eventually(func() int { return r.call("/safe/x", withKey("key-two")).status }, 3*time.Second, 10*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
 			f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 500*time.Millisecond, 10*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
-			f.store.WriteEra(func(era uint64) string { return strconv.FormatUint(era, 10) })
+			f.store.SetEraFormat(func(era uint64) string { return strconv.FormatUint(era, 10) })
 			f.serves()
 			f.g.Expect(r.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized))
 		})
@@ -45,7 +45,7 @@
 func TestStoresThatTellNoEraAreReadAsBefore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.store.WriteEra(func(uint64) string { return "" })
+	f.store.SetEraFormat(func(uint64) string { return "" })
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
@@ -60,7 +60,7 @@
 	t.Parallel()
 	const routers = 12
 	f := newRestorable(t, routers, nil)
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.configure(2, added("fresh"), goodKey)
 	f.grow(lostWrites)
 	time.Sleep(seenTime)
@@ -79,7 +79,7 @@
 	t.Parallel()
 	metricsAt := loopback.FreeAddress()
 	f := newRestorable(t, 1, func(settings *gateway.Settings) { settings.MetricsAddress = metricsAt })
-	kept := f.store.Copy()
+	kept := f.store.Backup()
 	f.configure(2, added("fresh"), goodKey)
 	f.runner("joined", "plain")
 	f.grow(lostWrites)
@@ -103,7 +103,7 @@
 // calls counts the calls to the store of all routers.
 func (f *restorable) calls() (count int) {
 	for _, r := range f.routers {
-		count += r.door.Calls()
+		count += r.door.CallCount()
 	}
 	return count
 }
@@ -114,18 +114,18 @@
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
 	p.route(3)
-	kept := p.store.Copy()
+	kept := p.store.Backup()
 	p.endRunners(3)
 	p.keeps(3)
 	for _, r := range p.routers {
-		r.door.Set(storestand.Reset)
+		r.door.SetFault(storestand.Reset)
 	}
 	p.store.Restore(kept)
 	p.g.Expect(p.store.Specs(platform.KindQuarantines)).To(BeEmpty())
 	for _, r := range p.routers {
-		r.door.Set(storestand.Healthy)
+		r.door.SetFault(storestand.Healthy)
 	}
 	p.keeps(3)
 	time.Sleep(time.Second)
-	p.g.Expect(p.store.Writes(platform.KindQuarantines)).To(BeNumerically("<=", 2), "not by all routers")
+	p.g.Expect(p.store.WriteCount(platform.KindQuarantines)).To(BeNumerically("<=", 2), "not by all routers")
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -28,7 +28,7 @@
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	r.door.Set(storestand.Silent)
+	r.door.SetFault(storestand.Hangs)
 	f.configure(2, defaultRoutes(), "another key")
 	r.clock.suspend(suspension)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
@@ -41,13 +41,13 @@
 	t.Parallel()
 	f, seeds, _ := relayedFleet(t)
 	for _, seed := range seeds {
-		seed.door.Set(storestand.Silent)
+		seed.door.SetFault(storestand.Hangs)
 	}
 	f.configure(2, defaultRoutes(), "another key")
 	for _, seed := range seeds {
 		seed.clock.suspend(suspension)
 	}
-	follower := f.routerAt("started since", f.asFollower(seeds[0].seeds), storestand.Silent)
+	follower := f.routerAt("started since", f.asFollower(seeds[0].seeds), storestand.Hangs)
 	// 503 while nothing proves a configuration, 401 once the third router has read the store.
 	f.g.Consistently(func() int { return follower.call("/safe/x", nil).status }, time.Second, 50*time.Millisecond).Should(Or(Equal(http.StatusServiceUnavailable), Equal(http.StatusUnauthorized)))
 }
@@ -57,7 +57,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
-	runner.LeaveOrders()
+	runner.IgnoreOrders()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = suspension, 10*time.Millisecond
 	})
@@ -74,13 +74,13 @@
 	t.Parallel()
 	f, runners := engines(t)
 	for _, runner := range runners {
-		runner.DelayReports(100 * time.Millisecond)
+		runner.SetReportDelay(100 * time.Millisecond)
 	}
 	r := f.servingRouter("r1", nil)
 	name(f, 2)
 	f.g.Eventually(func() int { return ordered(runners) }, 4*time.Second, time.Millisecond).Should(Equal(1))
 	// It cannot renew the lease, nor learn that another router has it.
-	r.door.Set(storestand.Busy)
+	r.door.SetFault(storestand.Busy)
 	r.clock.suspend(suspension)
 	f.g.Consistently(func() int { return ordered(runners) }, 1500*time.Millisecond, 10*time.Millisecond).Should(Equal(1))
 }
--- a/internal/gateway/unansweredorders_test.go
+++ b/internal/gateway/unansweredorders_test.go
@@ -38,11 +38,11 @@
 func TestUnansweredOrderHoldsNobodyUp(t *testing.T) {
 	t.Parallel()
 	f, runners := engines(t)
-	runners[0].LeaveOrders()
+	runners[0].IgnoreOrders()
 	f.servingRouter("r1", nil)
 	name(f, 2)
 	for _, runner := range runners[1:] {
-		f.g.Eventually(runner.Version, 4*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
+		f.g.Eventually(runner.WeightVersion, 4*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	}
 	f.g.Expect(runners[0].Orders()).NotTo(BeEmpty(), "it was the first to be ordered")
 }
@@ -53,7 +53,7 @@
 	t.Parallel()
 	f, runners := engines(t)
 	for _, runner := range runners {
-		runner.LeaveOrders()
+		runner.IgnoreOrders()
 	}
 	f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = 5*time.Second, 10*time.Millisecond
--- a/internal/gateway/unreadcalls_test.go
+++ b/internal/gateway/unreadcalls_test.go
@@ -39,10 +39,10 @@
 		r.sendAndDisconnect("/safe/x")
 	}
 	time.Sleep(200 * time.Millisecond)
-	r.door.Set(storestand.Healthy)
+	r.door.SetFault(storestand.Healthy)
 	f.g.Eventually(func() int { return r.call("/public/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(200))
 	time.Sleep(200 * time.Millisecond)
-	f.g.Expect(runner.Arrivals()).To(Equal(1), "the callers of all other calls have disconnected")
+	f.g.Expect(runner.ArrivalCount()).To(Equal(1), "the callers of all other calls have disconnected")
 }
 
 // A caller that closes only its sending side must not get an empty response that looks complete.
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -34,12 +34,12 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.engine("e1", 1)
-	runner.Queue(longQueueTime)
-	runner.SetFence(1 << 40)
+	runner.SetQueueTime(longQueueTime)
+	runner.SetFencingToken(1 << 40)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
-	r.door.Set(storestand.Loses)
+	r.door.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	return f, r, runner
 }
@@ -57,14 +57,14 @@
 func (r *router) startQueuedCall(path string, runner *runnerstand.Runner) <-chan answer {
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call(path, nil) }()
-	r.fleet.g.Eventually(runner.Arrivals, time.Second, 5*time.Millisecond).Should(Equal(1), r.log.String)
+	r.fleet.g.Eventually(runner.ArrivalCount, time.Second, 5*time.Millisecond).Should(Equal(1), r.log.String)
 	return answers
 }
 
 // expectNoLateStarts checks that no request started on the runner after the deadline of its weights.
 func (f *fleet) expectNoLateStarts(runner *runnerstand.Runner, announcedAt time.Time) {
 	for _, run := range runner.Runs() {
-		f.g.Expect(run.Began.Sub(announcedAt)).To(BeNumerically("<=", shortWeightDeadline), "a request started too late on weights %d", run.Version)
+		f.g.Expect(run.StartedAt.Sub(announcedAt)).To(BeNumerically("<=", shortWeightDeadline), "a request started too late on weights %d", run.Version)
 	}
 }
 
@@ -74,14 +74,14 @@
 		sendBeforeAnnouncement bool
 	}{
 		"waits for the headers":                     {runnerstand.Queues, false},
-		"waits for the first event":                 {runnerstand.QueuesAfterHead, false},
+		"waits for the first event":                 {runnerstand.QueuesAfterHeaders, false},
 		"sent before the announcement":              {runnerstand.Queues, true},
-		"first event, sent before the announcement": {runnerstand.QueuesAfterHead, true},
+		"first event, sent before the announcement": {runnerstand.QueuesAfterHeaders, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, r, oldRunner := newFleetWithOldWeights(t)
-			oldRunner.Behave(test.behaviour)
+			oldRunner.SetBehaviour(test.behaviour)
 			sentAt := time.Now()
 			var announcedAt time.Time
 			var answers <-chan answer
@@ -117,7 +117,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, r, oldRunner := newFleetWithOldWeights(t)
-			oldRunner.Behave(runnerstand.Queues)
+			oldRunner.SetBehaviour(runnerstand.Queues)
 			announcedAt := r.announceNewWeights()
 			answers := r.startQueuedCall(test.path, oldRunner)
 			runners := []*runnerstand.Runner{oldRunner}
@@ -135,34 +135,34 @@
 func TestStartedStreamSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
 	f, r, oldRunner := newFleetWithOldWeights(t)
-	oldRunner.Behave(runnerstand.Pauses)
+	oldRunner.SetBehaviour(runnerstand.Pauses)
 	answers := r.startQueuedCall("/stream/x", oldRunner)
 	announcedAt := r.announceNewWeights()
 	updatedRunner := f.engine("e2", 2)
 	time.Sleep(time.Until(announcedAt.Add(shortWeightDeadline + 200*time.Millisecond)))
-	oldRunner.Resume()
+	oldRunner.ResumeStreams()
 	got := <-answers
 	f.g.Expect(got.cut).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeStream))
-	f.g.Expect(updatedRunner.Arrivals()).To(BeZero())
+	f.g.Expect(updatedRunner.ArrivalCount()).To(BeZero())
 }
 
 func TestRequestStaysOnRunnerThatLoadedNewWeights(t *testing.T) {
 	for name, behaviour := range map[string]runnerstand.Behaviour{
-		"waits for the headers": runnerstand.Queues, "waits for the first event": runnerstand.QueuesAfterHead,
+		"waits for the headers": runnerstand.Queues, "waits for the first event": runnerstand.QueuesAfterHeaders,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, r, runner := newFleetWithOldWeights(t)
-			runner.Behave(behaviour)
+			runner.SetBehaviour(behaviour)
 			r.announceNewWeights()
 			answers := r.startQueuedCall("/once/x", runner)
-			runner.SetVersion(2)
+			runner.SetWeightVersion(2)
 			f.list(runner, "ready")
 			got := <-answers
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
 			f.g.Expect(got.body).To(Equal(completeStream))
-			f.g.Expect(runner.Arrivals()).To(Equal(1))
+			f.g.Expect(runner.ArrivalCount()).To(Equal(1))
 		})
 	}
 }
@@ -183,15 +183,15 @@
 		backup = runners[1]
 	}
 	for _, runner := range runners {
-		runner.SetFence(1 << 40)
+		runner.SetFencingToken(1 << 40)
 	}
-	preferred.Behave(runnerstand.Dies)
-	backup.Behave(runnerstand.Queues)
-	backup.Queue(longQueueTime)
+	preferred.SetBehaviour(runnerstand.Terminates)
+	backup.SetBehaviour(runnerstand.Queues)
+	backup.SetQueueTime(longQueueTime)
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/once/x", withLongPrompt) }()
-	f.g.Eventually(backup.Continued, time.Second, 5*time.Millisecond).Should(HaveLen(1))
-	r.door.Set(storestand.Loses)
+	f.g.Eventually(backup.ContinuedRuns, time.Second, 5*time.Millisecond).Should(HaveLen(1))
+	r.door.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
 	got := <-answers
@@ -208,14 +208,14 @@
 	f := newFleet(t)
 	f.configure(1, append(defaultRoutes(), route("whole", "/whole/", "unsafe", "engines", map[string]any{"sticky": true})), goodKey)
 	runner := f.engine("e1", 1)
-	runner.SetFence(1 << 40)
-	runner.Delay = longQueueTime
-	runner.Behave(runnerstand.Delays)
+	runner.SetFencingToken(1 << 40)
+	runner.ResponseDelay = longQueueTime
+	runner.SetBehaviour(runnerstand.Delays)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
 	answers := r.startQueuedCall("/whole/x", runner)
-	r.door.Set(storestand.Loses)
+	r.door.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
 	got := <-answers
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -64,7 +64,7 @@
 	f.configure(2, defaultRoutes(), "key-two")
 	for _, r := range others {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.door.CallCount()).To(BeZero())
 	}
 	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "changes are pushed on")
 }
@@ -80,7 +80,7 @@
 	lost := time.Now()
 	for _, r := range others[1:] {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.door.CallCount()).To(BeZero())
 	}
 	f.g.Expect(time.Since(lost)).To(BeNumerically("<", time.Second))
 }
@@ -97,7 +97,7 @@
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 	}
 	for _, r := range others[1:] {
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.door.CallCount()).To(BeZero())
 	}
 }
 
@@ -128,8 +128,8 @@
 	r := f.router("first", f.asFollower([]string{silentPeer(f)}))
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Eventually(r.door.StaleLists, time.Second, 5*time.Millisecond).Should(Equal(4), "one a kind: configuration, runners, weights and quarantines")
-	f.g.Expect(r.door.Calls()-r.door.StaleLists()).To(BeNumerically("<=", 5), "one watch a kind, and the next of the configuration")
+	f.g.Eventually(r.door.StaleListCount, time.Second, 5*time.Millisecond).Should(Equal(4), "one a kind: configuration, runners, weights and quarantines")
+	f.g.Expect(r.door.CallCount()-r.door.StaleListCount()).To(BeNumerically("<=", 5), "one watch a kind, and the next of the configuration")
 }
 
 // A store whose history is gone since the stale list is listed in full.
@@ -139,7 +139,7 @@
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	r := f.routerAt("first", f.asFollower([]string{silentPeer(f)}), storestand.Healthy)
-	f.store.Forget()
+	f.store.CompactHistory()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 }
@@ -153,14 +153,14 @@
 	f.router("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address[0], address })
 	r := f.router("r1", f.asFollower(address))
 	time.Sleep(1500 * time.Millisecond)
-	f.g.Expect(r.door.Calls()).To(BeZero())
+	f.g.Expect(r.door.CallCount()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
 	f.store.Put(platform.KindRunners, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
 	f.configure(1, defaultRoutes(), goodKey)
 	configured := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(time.Since(configured)).To(BeNumerically("<", 500*time.Millisecond))
-	f.g.Expect(r.door.Calls()).To(BeZero())
+	f.g.Expect(r.door.CallCount()).To(BeZero())
 }
 
 // A relay that comes back without knowing anything is left for the next one.
@@ -176,7 +176,7 @@
 	others[0].Kill()
 	f.routerAt("again", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = relay, []string{silentPeer(f)}
-	}, storestand.Silent)
+	}, storestand.Hangs)
 	onNextRelay := func() bool {
 		counts := sources(others[1:])
 		return counts[seed.seeds[0]] == 1 && counts[relay] == 0
--- a/internal/lab/faultproxy/accept_test.go
+++ b/internal/lab/faultproxy/accept_test.go
@@ -10,13 +10,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// exhausted is a listener that cannot take the first connection for want of open files.
-type exhausted struct {
+// emfileListener is a listener whose first Accept fails because the process has too many open
+// files.
+type emfileListener struct {
 	net.Listener
 	failed bool
 }
 
-func (l *exhausted) Accept() (net.Conn, error) {
+func (l *emfileListener) Accept() (net.Conn, error) {
 	if !l.failed {
 		l.failed = true
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
@@ -24,9 +25,9 @@
 	return l.Listener.Accept()
 }
 
-// A soak of 140 gateways ran short of open files for a moment, and three runners could not be
-// reached from then on.
-func TestProxyTakesConnectionsAfterOneThatItCouldNotTake(t *testing.T) {
+// Guards against a proxy that stops accepting after the first failed Accept. A soak of 140
+// gateways ran out of open files for a moment, and three runners stayed unreachable afterwards.
+func TestProxyKeepsAcceptingAfterAcceptError(t *testing.T) {
 	g := NewWithT(t)
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -39,14 +40,14 @@
 	}()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	p := &Proxy{server: server.Addr().String(), listener: &exhausted{Listener: listener}, open: map[*link]bool{}}
-	go p.accept()
+	p := &Proxy{server: server.Addr().String(), listener: &emfileListener{Listener: listener}, links: map[*link]bool{}}
+	go p.acceptLoop()
 	defer p.Close()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	g.Expect(conn.SetReadDeadline(time.Now().Add(2 * time.Second))).To(Succeed())
-	one := make([]byte, 1)
-	_, err = io.ReadFull(conn, one)
-	g.Expect(err).NotTo(HaveOccurred(), "the proxy takes no connections any more")
+	buffer := make([]byte, 1)
+	_, err = io.ReadFull(conn, buffer)
+	g.Expect(err).NotTo(HaveOccurred(), "the proxy must accept connections after a failed Accept")
 }
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a loopback TCP proxy that harms the connections through
-// it as told: delayed, reset, cut one way or silenced.
+// Package faultproxy provides a loopback TCP proxy that injects network faults: it can delay,
+// reset, drop or mute the connections that it forwards.
 package faultproxy
 
 import (
@@ -10,136 +10,139 @@
 	"time"
 )
 
-// Mode is what happens to connections.
+// Mode is how a Proxy treats the connections that it forwards.
 type Mode uint8
 
-// The modes.
+// Modes of a Proxy.
 const (
-	// Pass forwards both ways.
+	// Pass forwards both directions unchanged.
 	Pass Mode = iota
-	// Delay forwards each piece after a pause.
+	// Delay forwards what each read returns after forwardDelay.
 	Delay
-	// Reset resets open connections and each new one.
+	// Reset resets all open connections and every new one.
 	Reset
-	// CutBack forwards to the server and drops what comes back.
-	CutBack
-	// Silence takes connections and forwards nothing.
-	Silence
-	// Mute forwards nothing more on the connections that are open now, neither data
-	// nor their end, whatever the later modes; new ones pass. Both sides still get
-	// their packets acknowledged, so that TCP by itself notices nothing.
-	Mute
+	// DropResponses forwards to the server and drops what the server sends.
+	DropResponses
+	// Blackhole accepts connections and forwards nothing.
+	Blackhole
+	// MuteExisting permanently mutes the connections that are open when it is set: neither
+	// data nor the close is forwarded on them, whatever mode follows. New connections pass.
+	// Packets of both sides are still acknowledged, so TCP does not detect the fault.
+	MuteExisting
 )
 
-// String returns the mode's name.
+// String returns the name of the mode in logs.
 func (m Mode) String() string {
 	return [...]string{"pass", "delay", "reset", "cut back", "silence", "mute"}[m]
 }
 
 const (
-	// delayTime is the pause of Delay.
-	delayTime = 150 * time.Millisecond
-	// acceptPause follows a connection that could not be taken; net/http waits 5 ms at first.
-	acceptPause = 10 * time.Millisecond
+	// forwardDelay is the delay of Delay in each direction.
+	forwardDelay = 150 * time.Millisecond
+	// acceptRetryDelay is the wait after a failed Accept. The first wait of net/http is 5 ms.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Proxy forwards connections to one server.
+// Proxy forwards connections to one server and injects the fault of its mode. It is safe for
+// concurrent use.
 type Proxy struct {
 	Address  string
 	server   string
 	listener net.Listener
 	mutex    sync.Mutex
 	mode     Mode
-	open     map[*link]bool
+	links    map[*link]bool
 }
 
-// link is a client's connection and the one to the server that it is forwarded on.
-// Its fields are guarded by the proxy's mutex.
+// link is a client connection with the server connection to which it is forwarded. Its fields
+// are guarded by the mutex of the proxy.
 type link struct {
 	client, server net.Conn
 	muted          bool
 }
 
-// Start forwards a free loopback address to the server.
+// Start starts a proxy on a free loopback address that forwards to the server, an IP:port.
 func Start(server string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Address: listener.Addr().String(), server: server, listener: listener, open: map[*link]bool{}}
-	go p.accept()
+	p := &Proxy{Address: listener.Addr().String(), server: server, listener: listener, links: map[*link]bool{}}
+	go p.acceptLoop()
 	return p, nil
 }
 
-// Set changes the mode, for open connections too unless they are muted.
-func (p *Proxy) Set(mode Mode) {
+// SetMode sets the mode of new connections and of open connections that are not muted.
+func (p *Proxy) SetMode(mode Mode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	before := p.mode
+	previous := p.mode
 	p.mode = mode
-	// What was dropped is missing for good, so such connections end with the fault.
-	resets := mode == Reset || (mode == Pass && (before == CutBack || before == Silence))
-	for l := range p.open {
+	// The bytes that DropResponses and Blackhole dropped are lost, so the connections are
+	// reset when the fault ends.
+	resetsLinks := mode == Reset || (mode == Pass && (previous == DropResponses || previous == Blackhole))
+	for l := range p.links {
 		switch {
-		case mode == Mute:
+		case mode == MuteExisting:
 			l.muted = true
-		case resets && !l.muted:
-			l.each(reset)
+		case resetsLinks && !l.muted:
+			l.forEachConn(resetConn)
 		}
 	}
 }
 
-// Close ends the proxy and all connections.
+// Close stops the proxy and closes all connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for l := range p.open {
-		l.each(func(conn net.Conn) { conn.Close() })
+	for l := range p.links {
+		l.forEachConn(func(conn net.Conn) { conn.Close() })
 	}
 }
 
-// modeOf returns what happens to the link now.
-func (p *Proxy) modeOf(l *link) Mode {
+// effectiveMode returns the mode that currently applies to the link.
+func (p *Proxy) effectiveMode(l *link) Mode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
 	case l.muted:
-		return Mute
-	case p.mode == Mute:
+		return MuteExisting
+	case p.mode == MuteExisting:
 		return Pass
 	}
 	return p.mode
 }
 
-func (p *Proxy) accept() {
+func (p *Proxy) acceptLoop() {
 	for {
 		client, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// The process has no open files left, for one; what waits is taken later.
-			time.Sleep(acceptPause)
+			// The process may be out of file descriptors. Pending connections stay in the
+			// backlog until the next Accept.
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		l := &link{client: client}
 		p.mutex.Lock()
-		p.open[l] = true
+		p.links[l] = true
 		p.mutex.Unlock()
 		go p.serve(l)
 	}
 }
 
 func (p *Proxy) serve(l *link) {
-	defer p.end(l)
-	if p.modeOf(l) == Reset {
-		reset(l.client)
+	defer p.closeLink(l)
+	if p.effectiveMode(l) == Reset {
+		resetConn(l.client)
 		return
 	}
 	server, err := net.Dial("tcp", p.server)
 	if err != nil {
-		reset(l.client)
+		resetConn(l.client)
 		return
 	}
 	p.mutex.Lock()
@@ -149,54 +152,55 @@
 	go p.forward(l, server, l.client, false, done)
 	go p.forward(l, l.client, server, true, done)
 	<-done
-	if p.modeOf(l) == Mute {
-		// The end of one side is not to reach the other.
+	if p.effectiveMode(l) == MuteExisting {
+		// The close of one side must not reach the other.
 		<-done
 	}
 }
 
-func (p *Proxy) end(l *link) {
+func (p *Proxy) closeLink(l *link) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.open, l)
-	l.each(func(conn net.Conn) { conn.Close() })
+	delete(p.links, l)
+	l.forEachConn(func(conn net.Conn) { conn.Close() })
 }
 
-// forward copies from source to target until either ends.
-func (p *Proxy) forward(l *link, target, source net.Conn, back bool, done chan<- struct{}) {
+// forward copies from source to target until either is closed, and then sends on done.
+// isResponse is set for the direction from the server to the client.
+func (p *Proxy) forward(l *link, target, source net.Conn, isResponse bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := source.Read(buffer)
-		if p.modeOf(l) == Delay {
-			time.Sleep(delayTime)
+		if p.effectiveMode(l) == Delay {
+			time.Sleep(forwardDelay)
 		}
-		mode := p.modeOf(l)
-		dropped := mode == Mute || mode == Silence || (mode == CutBack && back)
+		mode := p.effectiveMode(l)
+		dropped := mode == MuteExisting || mode == Blackhole || (mode == DropResponses && isResponse)
 		if n > 0 && !dropped {
-			if _, failed := target.Write(buffer[:n]); failed != nil {
+			if _, writeErr := target.Write(buffer[:n]); writeErr != nil {
 				return
 			}
 		}
 		if err == io.EOF && !dropped {
-			if half, ok := target.(*net.TCPConn); ok {
-				// The other direction may go on.
-				_ = half.CloseWrite()
+			if tcp, ok := target.(*net.TCPConn); ok {
+				// The other direction may still be in use.
+				_ = tcp.CloseWrite()
 			}
 			return
 		}
 		if err != nil {
-			if mode != Mute {
-				reset(target)
+			if mode != MuteExisting {
+				resetConn(target)
 			}
 			return
 		}
 	}
 }
 
-// each calls the function with the connections that there are. The proxy's mutex
-// is held.
-func (l *link) each(do func(net.Conn)) {
+// forEachConn calls do with each connection of the link that exists. The mutex of the proxy must
+// be held.
+func (l *link) forEachConn(do func(net.Conn)) {
 	for _, conn := range []net.Conn{l.client, l.server} {
 		if conn != nil {
 			do(conn)
@@ -204,7 +208,8 @@
 	}
 }
 
-func reset(conn net.Conn) {
+// resetConn closes the connection with a TCP reset.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -11,7 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-func echo(g *WithT) string {
+// startEchoServer starts a TCP server that echoes what it receives and returns its address.
+func startEchoServer(g *WithT) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	go func() {
@@ -28,10 +29,10 @@
 
 func TestModes(t *testing.T) {
 	g := NewWithT(t)
-	proxy, err := Start(echo(g))
+	proxy, err := Start(startEchoServer(g))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer proxy.Close()
-	ask := func() error {
+	roundTrip := func() error {
 		conn, err := net.Dial("tcp", proxy.Address)
 		if err != nil {
 			return err
@@ -44,27 +45,27 @@
 		_, err = io.ReadFull(conn, make([]byte, 1))
 		return err
 	}
-	for mode, works := range map[Mode]bool{Pass: true, Delay: true, Reset: false, CutBack: false, Silence: false} {
-		proxy.Set(mode)
-		began := time.Now()
-		if works {
-			g.Expect(ask()).To(Succeed(), mode.String())
+	for mode, succeeds := range map[Mode]bool{Pass: true, Delay: true, Reset: false, DropResponses: false, Blackhole: false} {
+		proxy.SetMode(mode)
+		start := time.Now()
+		if succeeds {
+			g.Expect(roundTrip()).To(Succeed(), mode.String())
 		} else {
-			g.Expect(ask()).NotTo(Succeed(), mode.String())
+			g.Expect(roundTrip()).NotTo(Succeed(), mode.String())
 		}
 		if mode == Delay {
-			g.Expect(time.Since(began)).To(BeNumerically(">=", 2*delayTime))
+			g.Expect(time.Since(start)).To(BeNumerically(">=", 2*forwardDelay))
 		}
-		proxy.Set(Pass)
-		g.Expect(ask()).To(Succeed())
+		proxy.SetMode(Pass)
+		g.Expect(roundTrip()).To(Succeed())
 	}
 }
 
-// Muted connections stay silent whatever mode follows, and neither side learns
-// that the other has closed.
-func TestMuteSilencesOpenConnectionsForGood(t *testing.T) {
+// Guards against muted connections that forward data or are closed after a later change of the
+// mode.
+func TestMuteExistingIsPermanent(t *testing.T) {
 	g := NewWithT(t)
-	proxy, err := Start(echo(g))
+	proxy, err := Start(startEchoServer(g))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer proxy.Close()
 	dial := func() net.Conn {
@@ -73,8 +74,9 @@
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
-	// silent is true if nothing at all came, neither data nor the connection's end.
-	ask := func(conn net.Conn) (answered, silent bool) {
+	// roundTrip reports whether the byte was echoed. silent is set if the read timed out, that
+	// is, if neither data nor the end of the connection arrived.
+	roundTrip := func(conn net.Conn) (answered, silent bool) {
 		conn.SetDeadline(time.Now().Add(200 * time.Millisecond))
 		if _, err := conn.Write([]byte("x")); err != nil {
 			return false, false
@@ -84,23 +86,24 @@
 	}
 	first, second := dial(), dial()
 	for _, conn := range []net.Conn{first, second} {
-		answered, _ := ask(conn)
+		answered, _ := roundTrip(conn)
 		g.Expect(answered).To(BeTrue())
 	}
-	for _, mode := range []Mode{Mute, Pass, Silence, Pass, Mute} {
-		proxy.Set(mode)
+	for _, mode := range []Mode{MuteExisting, Pass, Blackhole, Pass, MuteExisting} {
+		proxy.SetMode(mode)
 		for _, conn := range []net.Conn{first, second} {
-			_, silent := ask(conn)
+			_, silent := roundTrip(conn)
 			g.Expect(silent).To(BeTrue(), "muted, then %v", mode)
 		}
-		if mode != Silence {
-			answered, _ := ask(dial())
+		if mode != Blackhole {
+			answered, _ := roundTrip(dial())
 			g.Expect(answered).To(BeTrue(), "a new connection in %v", mode)
 		}
 	}
 }
 
-func TestMuteHidesTheEndOfAConnection(t *testing.T) {
+// Guards against the server of a muted connection noticing that the client has closed it.
+func TestMuteExistingHidesConnectionClose(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -113,7 +116,7 @@
 	server, err := listener.Accept()
 	g.Expect(err).NotTo(HaveOccurred())
 	defer server.Close()
-	proxy.Set(Mute)
+	proxy.SetMode(MuteExisting)
 	client.Close()
 	server.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err = server.Read(make([]byte, 1))
--- a/internal/lab/runnerstand/headers.go
+++ b/internal/lab/runnerstand/headers.go
@@ -9,27 +9,29 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Announce has all answers to calls bear the headers from now on, as name and value in turn.
-func (r *Runner) Announce(headers ...string) {
-	announced := http.Header{}
+// SetResponseHeaders replaces the extra headers of all later responses to calls. The arguments
+// are pairs of name and value.
+func (r *Runner) SetResponseHeaders(headers ...string) {
+	responseHeaders := http.Header{}
 	for i := 0; i+1 < len(headers); i += 2 {
-		announced.Set(headers[i], headers[i+1])
+		responseHeaders.Set(headers[i], headers[i+1])
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.announced = announced
+	r.responseHeaders = responseHeaders
 }
 
-// announce adds the headers to those of an answer.
-func (r *Runner) announce(header http.Header) {
+// addResponseHeaders adds the extra headers to those of a response.
+func (r *Runner) addResponseHeaders(header http.Header) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	maps.Copy(header, r.announced)
+	maps.Copy(header, r.responseHeaders)
 }
 
-// rest is the rest that refusals ask for, 0 for none. The mutex is held.
-func (r *Runner) rest() time.Duration {
-	seconds, err := strconv.ParseFloat(r.announced.Get(platform.HeaderRetryAfter), 64)
+// retryAfter returns the duration in the Retry-After header of responses, 0 for none. The mutex
+// must be held.
+func (r *Runner) retryAfter() time.Duration {
+	seconds, err := strconv.ParseFloat(r.responseHeaders.Get(platform.HeaderRetryAfter), 64)
 	if err != nil {
 		return 0
 	}
--- a/internal/lab/runnerstand/poison.go
+++ b/internal/lab/runnerstand/poison.go
@@ -10,38 +10,40 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Poison is what ends each runner that runs it.
+// Poison configures which calls crash the runner that processes them, and how.
 type Poison struct {
-	// Prefix is what such bodies begin with, empty for none.
+	// Prefix is the prefix of the bodies of calls that crash the runner. If it is empty, no
+	// call does.
 	Prefix string
-	// After is how long the runner works on it before it ends.
-	After time.Duration
-	// Silent ends the runner without the head of an answer; otherwise it ends after the
-	// first event.
-	Silent bool
-	// Ended is called when the runner has ended under a run; nil tells nobody.
-	Ended func(*Runner, Run)
+	// CrashDelay is how long the runner processes the call before it crashes.
+	CrashDelay time.Duration
+	// NoResponse makes the runner crash before it sends response headers. Otherwise it crashes
+	// after the first event.
+	NoResponse bool
+	// OnCrash is called after the runner crashed during a run. It may be nil.
+	OnCrash func(*Runner, Run)
 }
 
-func (p Poison) isIn(body []byte) bool {
+// matches reports whether a call with the body crashes the runner.
+func (p Poison) matches(body []byte) bool {
 	return p.Prefix != "" && strings.HasPrefix(string(body), p.Prefix)
 }
 
-// endUnder ends the whole runner under the run.
-func (r *Runner) endUnder(writer http.ResponseWriter, run Run) {
-	time.Sleep(r.Poison.After)
-	if !r.Poison.Silent {
+// crash closes the runner while it processes the run, and panics to break the connection.
+func (r *Runner) crash(writer http.ResponseWriter, run Run) {
+	time.Sleep(r.Poison.CrashDelay)
+	if !r.Poison.NoResponse {
 		header := writer.Header()
-		header.Set(platform.HeaderRequestID, run.Request)
-		header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.Version(), 10))
-		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.Request)
-		fmt.Fprint(writer, eventText(1))
-		// The end of the runner follows in any case.
+		header.Set(platform.HeaderRequestID, run.RequestID)
+		header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.WeightVersion(), 10))
+		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.RequestID)
+		fmt.Fprint(writer, formatEvent(1))
+		// The runner crashes whether or not the caller received the event.
 		_ = http.NewResponseController(writer).Flush()
 	}
 	r.Close()
-	if r.Poison.Ended != nil {
-		r.Poison.Ended(r, run)
+	if r.Poison.OnCrash != nil {
+		r.Poison.OnCrash(r, run)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/lab/runnerstand/records.go
+++ b/internal/lab/runnerstand/records.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// Run is one call that the runner ran.
+// Run is a call that the runner processed.
 type Run struct {
-	Request string
-	Header  http.Header
-	Path    string
-	Body    string
-	// Version is that of the weights at the moment at which it began.
+	RequestID string
+	Header    http.Header
+	Path      string
+	Body      string
+	// Version is the weight version when processing started.
 	Version uint64
-	// Began is when the runner began to work on it.
-	Began time.Time
-	// Ended is closed when the runner stopped working on it.
-	Ended chan struct{}
+	// StartedAt is when the runner started to process the call.
+	StartedAt time.Time
+	// Finished is closed when the runner stops processing the call.
+	Finished chan struct{}
 }
 
-// Arrival is one call that reached the runner, run or not.
+// Arrival is a call that reached the runner, whether or not it was processed.
 type Arrival struct {
-	Request string
-	Path    string
-	At      time.Time
-	// Rest is the rest that the runner asked for when it turned the call away, 0 for none.
-	Rest time.Duration
+	RequestID  string
+	Path       string
+	ReceivedAt time.Time
+	// RetryAfter is the wait that the runner asked for when it refused the call, 0 for none.
+	RetryAfter time.Duration
 }
 
-// Order is an order that the runner saw.
+// Order is a weight order that the runner received.
 type Order struct {
-	Op       string `json:"op"`
-	Model    string `json:"model"`
-	Version  uint64 `json:"version"`
-	Mode     string `json:"mode"`
-	Holder   string `json:"holder"`
-	Fence    uint64 `json:"fence"`
-	Expected uint64 `json:"expected_rev"`
-	// Status is what the runner answered, and At when.
-	Status int       `json:"-"`
-	At     time.Time `json:"-"`
+	Op               string `json:"op"`
+	Model            string `json:"model"`
+	Version          uint64 `json:"version"`
+	Mode             string `json:"mode"`
+	Holder           string `json:"holder"`
+	FencingToken     uint64 `json:"fence"`
+	ExpectedRevision uint64 `json:"expected_rev"`
+	// Status is the HTTP status of the runner's answer, 0 if it ignored the order. ReceivedAt is
+	// when the order arrived.
+	Status     int       `json:"-"`
+	ReceivedAt time.Time `json:"-"`
 }
 
-// Runs returns the calls that were run.
+// Runs returns the calls that the runner processed, in the order in which it started them.
 func (r *Runner) Runs() []Run {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Run(nil), r.runs...)
 }
 
-// Arrivals returns how many calls arrived, run or not.
-func (r *Runner) Arrivals() int {
+// ArrivalCount returns the number of calls that reached the runner, processed or not.
+func (r *Runner) ArrivalCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.arrivals)
 }
 
-// ArrivalLog returns the calls that arrived, run or not.
+// ArrivalLog returns the calls that reached the runner, processed or not.
 func (r *Runner) ArrivalLog() []Arrival {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.arrivals)
 }
 
-// Continued returns the runs that went on here from a copy.
-func (r *Runner) Continued() []string {
+// ContinuedRuns returns the request IDs of the runs that the runner continued from a KV copy.
+func (r *Runner) ContinuedRuns() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]string(nil), r.continued...)
+	return append([]string(nil), r.continuedRuns...)
 }
 
-// Orders returns the orders seen.
+// Orders returns the orders that the runner received.
 func (r *Runner) Orders() []Order {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/runnerstand/responses.go
+++ b/internal/lab/runnerstand/responses.go
@@ -10,10 +10,12 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-func (r *Runner) whole(writer http.ResponseWriter, behaviour Behaviour, run Run) {
-	text := "answer to " + run.Request
+// writeBody writes a response that is not a stream. TruncatesResponse breaks the connection after
+// the first bytes of it.
+func (r *Runner) writeBody(writer http.ResponseWriter, behaviour Behaviour, run Run) {
+	text := "answer to " + run.RequestID
 	writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if behaviour == BreaksOff {
+	if behaviour == TruncatesResponse {
 		fmt.Fprint(writer, text[:4])
 		_ = http.NewResponseController(writer).Flush()
 		panic(http.ErrAbortHandler)
@@ -21,42 +23,43 @@
 	fmt.Fprint(writer, text)
 }
 
-func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
+// formatEvent returns the server-sent event with the id.
+func formatEvent(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// stream sends events after the one that the caller has; BreaksOff ends it in
-// the middle of the second event it sends.
-func (r *Runner) stream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
-	if backup := request.Header.Get(platform.HeaderKVBackup); backup != "" && r.Peer != nil {
-		if peer := r.Peer(backup); peer != nil {
-			peer.holdCopy(request.Header.Get(platform.HeaderRequestID))
+// writeStream sends the events after the last one that the caller received. TruncatesResponse
+// breaks the connection in the middle of the second event that is sent.
+func (r *Runner) writeStream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
+	if backup := request.Header.Get(platform.HeaderKVBackup); backup != "" && r.FindPeer != nil {
+		if peer := r.FindPeer(backup); peer != nil {
+			peer.storeKVCopy(request.Header.Get(platform.HeaderRequestID))
 		}
 	}
 	first, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
 	writer.Header().Set("Content-Type", "text/event-stream")
-	control := http.NewResponseController(writer)
-	for id := first + 1; id <= r.Events; id++ {
-		time.Sleep(r.EventTime)
-		event := eventText(id)
-		if behaviour == BreaksOff && id == first+2 {
+	controller := http.NewResponseController(writer)
+	for id := first + 1; id <= r.EventCount; id++ {
+		time.Sleep(r.EventInterval)
+		event := formatEvent(id)
+		if behaviour == TruncatesResponse && id == first+2 {
 			fmt.Fprint(writer, strings.TrimSuffix(event, "iece "+strconv.Itoa(id)+"\n\n"))
-			_ = control.Flush()
+			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprint(writer, event)
-		if control.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 		switch behaviour {
-		case Dies:
+		case Terminates:
 			r.Close()
 			panic(http.ErrAbortHandler)
-		case FallsSilent:
+		case StopsResponding:
 			r.listener.Close()
 			<-request.Context().Done()
 			return
 		case Pauses:
 			if id == first+1 {
-				r.pause(request)
+				r.pauseStream(request)
 			}
 		}
 	}
--- a/internal/lab/runnerstand/runner.go
+++ b/internal/lab/runnerstand/runner.go
@@ -1,5 +1,5 @@
-// Package runnerstand is a stand-in of the platform's runners: it runs calls,
-// streams events, takes orders for weights, and misbehaves as told.
+// Package runnerstand provides a fake of the platform's runners for tests. It processes calls,
+// streams events, accepts weight orders, and can be set to misbehave.
 package runnerstand
 
 import (
@@ -15,49 +15,49 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Behaviour is what a runner does with a call.
+// Behaviour is how a runner treats calls.
 type Behaviour uint8
 
-// The behaviours.
+// Behaviours of a runner.
 const (
-	// Well answers as it should.
-	Well Behaviour = iota
-	// Fails answers 500 after running it.
+	// Normal answers correctly.
+	Normal Behaviour = iota
+	// Fails answers with status 500 after processing the call.
 	Fails
-	// Sheds refuses without running it.
+	// Sheds refuses the call with status 503 without processing it.
 	Sheds
-	// Drops runs it and breaks the connection without an answer.
+	// Drops processes the call and closes the connection without a response.
 	Drops
-	// BreaksOff breaks the connection in the middle of the answer.
-	BreaksOff
-	// Hangs runs it and never answers.
+	// TruncatesResponse closes the connection in the middle of the response.
+	TruncatesResponse
+	// Hangs processes the call and never responds.
 	Hangs
-	// Crossed answers with another request's id.
-	Crossed
-	// Unstamped answers without its stamp.
-	Unstamped
-	// Delays answers after Config.Delay.
+	// MismatchesRequestID responds with the ID of another request.
+	MismatchesRequestID
+	// OmitsStamp responds without the response stamp.
+	OmitsStamp
+	// Delays responds after Config.ResponseDelay.
 	Delays
-	// Dies ends the whole runner after the first event of a stream.
-	Dies
-	// FallsSilent stops in the middle of a stream and takes no connections any
-	// more, as a machine without power does.
-	FallsSilent
-	// Queues runs the call only after it has queued for the time set with Queue; a
-	// call whose connection ends before is not run.
+	// Terminates closes the whole runner after the first event of a stream.
+	Terminates
+	// StopsResponding stops in the middle of a stream and accepts no more connections, like a
+	// machine that lost power.
+	StopsResponding
+	// Queues processes the call only after the queue time (see SetQueueTime). A call whose
+	// connection is closed before that is not processed.
 	Queues
-	// QueuesAfterHead queues in the same way, but sends the head of its answer first.
-	QueuesAfterHead
-	// Pauses stops after the first event of a stream until Resume or Break.
+	// QueuesAfterHeaders is like Queues, but sends the response headers before queueing.
+	QueuesAfterHeaders
+	// Pauses stops after the first event of a stream until ResumeStreams or AbortStreams.
 	Pauses
 )
 
-// String returns the behaviour's name.
+// String returns the name of the behaviour in logs.
 func (b Behaviour) String() string {
 	return [...]string{"well", "fails", "sheds", "drops", "breaks off", "hangs", "crossed", "unstamped", "delays", "dies", "falls silent", "queues", "queues after head", "pauses"}[b]
 }
 
-// Config is what a runner is started with.
+// Config is the configuration of a runner.
 type Config struct {
 	ID      string
 	Service string
@@ -65,144 +65,148 @@
 	// Model is empty for a runner without a language model.
 	Model   string
 	Version uint64
-	// Incarnation is told by entry and reports, unless it is 0.
+	// Incarnation is part of the directory entry and of reports, unless it is 0.
 	Incarnation uint64
-	// Events is the length of its streams.
-	Events int
-	Delay  time.Duration
-	// EventTime is how long the runner takes for each event.
-	EventTime time.Duration
-	// Poison is what ends the runner.
+	// EventCount is the number of events in a stream. If it is 0, responses are not streams.
+	EventCount    int
+	ResponseDelay time.Duration
+	// EventInterval is the wait before each event of a stream.
+	EventInterval time.Duration
+	// Poison selects the calls that crash the runner.
 	Poison Poison
-	// Peer finds the runner at an address, to which copies of runs are sent.
-	Peer func(address string) *Runner
+	// FindPeer returns the runner at an address, nil if there is none. The runner sends KV
+	// copies of its streams there.
+	FindPeer func(address string) *Runner
 }
 
-// Runner is the stand-in.
+// Runner is a fake runner. It is safe for concurrent use.
 type Runner struct {
 	Config
 	Address string
 	server  *http.Server
-	// listener is closed alone when the runner falls silent.
+	// listener is closed without the server when the runner stops responding.
 	listener net.Listener
 
-	mutex     sync.Mutex
-	behaviour Behaviour
-	once      bool
-	runs      []Run
-	arrivals  []Arrival
-	orders    []Order
-	version   uint64
-	seq       uint64
-	fence     uint64
-	// deaf is whether orders are neither answered nor carried out.
-	deaf bool
-	// copies holds the runs of other runners that this one has a copy of.
-	copies map[string]bool
-	// continued lists the runs that went on here from a copy.
-	continued []string
-	// queueing is how long calls queue, and resume lets paused streams go on, which
-	// broken breaks off.
-	queueing time.Duration
-	resume   chan struct{}
-	broken   chan struct{}
-	// announced are headers of all its answers.
-	announced http.Header
-	// reports counts the questions for a report, which are answered after reportTime.
-	reports    int
-	reportTime time.Duration
+	mutex         sync.Mutex
+	behaviour     Behaviour
+	behaviourOnce bool
+	runs          []Run
+	arrivals      []Arrival
+	orders        []Order
+	weightVersion uint64
+	// weightRevision counts the applied orders. An order must name the current value.
+	weightRevision uint64
+	fencingToken   uint64
+	// ignoresOrders is set if orders are neither answered nor applied.
+	ignoresOrders bool
+	// kvCopies holds the request IDs of runs at other runners of which this one has a KV copy.
+	kvCopies map[string]bool
+	// continuedRuns lists the request IDs of runs that were continued here from a KV copy.
+	continuedRuns []string
+	// queueTime is how long calls are queued. Paused streams continue when resumed is closed
+	// and are aborted when aborted is closed.
+	queueTime time.Duration
+	resumed   chan struct{}
+	aborted   chan struct{}
+	// responseHeaders are extra headers of all responses to calls.
+	responseHeaders http.Header
+	// reportCount counts the requests for a report. They are answered after reportDelay.
+	reportCount int
+	reportDelay time.Duration
 }
 
-// Start serves a runner at a free loopback address.
+// Start starts a runner on a free loopback address.
 func Start(config Config) (*Runner, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Runner{Config: config, Address: listener.Addr().String(), listener: listener, version: config.Version, copies: map[string]bool{}, resume: make(chan struct{}), broken: make(chan struct{})}
+	r := &Runner{Config: config, Address: listener.Addr().String(), listener: listener, weightVersion: config.Version, kvCopies: map[string]bool{}, resumed: make(chan struct{}), aborted: make(chan struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.server.Serve(listener)
 	return r, nil
 }
 
-// SetFence makes the runner refuse orders with lower fencing tokens, as if a
-// holder with this one had ordered it.
-func (r *Runner) SetFence(token uint64) {
+// SetFencingToken makes the runner refuse orders with a lower fencing token, as if it had
+// applied an order with this one.
+func (r *Runner) SetFencingToken(token uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.fence = token
+	r.fencingToken = token
 }
 
-// LeaveOrders makes the runner leave orders without an answer, and not carry them out.
-func (r *Runner) LeaveOrders() {
+// IgnoreOrders makes the runner neither answer nor apply orders.
+func (r *Runner) IgnoreOrders() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.deaf = true
+	r.ignoresOrders = true
 }
 
-// Restart makes the runner start again under its id and address with the weights that it
-// has. It holds and knows nothing of before; its connections stay.
+// Restart simulates a restart with the same ID, address and weights: the incarnation increases,
+// fencing token, weight revision and KV copies are lost, and orders are no longer ignored.
+// Connections stay open.
 func (r *Runner) Restart() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.Incarnation++
-	r.seq, r.fence, r.deaf = 0, 0, false
-	clear(r.copies)
+	r.weightRevision, r.fencingToken, r.ignoresOrders = 0, 0, false
+	clear(r.kvCopies)
 }
 
-// Close ends the runner at once.
+// Close stops the runner immediately.
 func (r *Runner) Close() { r.server.Close() }
 
-// Entry is the runner's directory entry.
-func (r *Runner) Entry(state string) map[string]any {
+// DirectoryEntry returns the directory entry of the runner with the state.
+func (r *Runner) DirectoryEntry(state string) map[string]any {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	models := []map[string]any{}
 	if r.Model != "" {
-		models = append(models, map[string]any{"name": r.Model, "version": r.version, "adapters": []string{}})
+		models = append(models, map[string]any{"name": r.Model, "version": r.weightVersion, "adapters": []string{}})
 	}
-	entry := map[string]any{"service": r.Service, "address": r.Address, "zone": r.Zone, "version": "v1", "slots": 8, "state": state, "models": models, "cold_remaining_ms": 0, "seq": r.seq}
-	r.tellIncarnation(entry)
+	entry := map[string]any{"service": r.Service, "address": r.Address, "zone": r.Zone, "version": "v1", "slots": 8, "state": state, "models": models, "cold_remaining_ms": 0, "seq": r.weightRevision}
+	r.addIncarnation(entry)
 	return entry
 }
 
-// tellIncarnation adds the incarnation to what the runner says of itself. The mutex is held.
-func (r *Runner) tellIncarnation(said map[string]any) {
+// addIncarnation adds the incarnation to a directory entry or report. The mutex must be held.
+func (r *Runner) addIncarnation(fields map[string]any) {
 	if r.Incarnation > 0 {
-		said["born"] = r.Incarnation
+		fields["born"] = r.Incarnation
 	}
 }
 
-// Behave sets what the runner does from now on.
-func (r *Runner) Behave(behaviour Behaviour) { r.set(behaviour, false) }
+// SetBehaviour sets the behaviour for all later calls.
+func (r *Runner) SetBehaviour(behaviour Behaviour) { r.setBehaviour(behaviour, false) }
 
-// BehaveOnce sets what the runner does with the next call only.
-func (r *Runner) BehaveOnce(behaviour Behaviour) { r.set(behaviour, true) }
+// SetBehaviourOnce sets the behaviour for the next call. Later calls get Normal.
+func (r *Runner) SetBehaviourOnce(behaviour Behaviour) { r.setBehaviour(behaviour, true) }
 
-func (r *Runner) set(behaviour Behaviour, once bool) {
+func (r *Runner) setBehaviour(behaviour Behaviour, once bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.behaviour, r.once = behaviour, once
+	r.behaviour, r.behaviourOnce = behaviour, once
 }
 
-func (r *Runner) holdCopy(request string) {
+// storeKVCopy stores a KV copy of the run, from which the run can be continued.
+func (r *Runner) storeKVCopy(requestID string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.copies[request] = true
+	r.kvCopies[requestID] = true
 }
 
-// Version returns the version of the weights.
-func (r *Runner) Version() uint64 {
+// WeightVersion returns the version of the loaded weights.
+func (r *Runner) WeightVersion() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.version
+	return r.weightVersion
 }
 
-// SetVersion replaces the weights without an order.
-func (r *Runner) SetVersion(version uint64) {
+// SetWeightVersion replaces the loaded weights without an order.
+func (r *Runner) SetWeightVersion(version uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.version = version
+	r.weightVersion = version
 }
 
 func (r *Runner) serve(writer http.ResponseWriter, request *http.Request) {
@@ -213,33 +217,33 @@
 	}
 	switch request.URL.Path {
 	case platform.PathReport:
-		r.report(writer)
+		r.handleReport(writer)
 	case platform.PathOrder:
-		r.order(writer, request)
+		r.handleOrder(writer, request)
 	case platform.PathCacheEvents, platform.PathCacheList:
-		// The stand-in has no cache that could be listed.
+		// The fake has no prompt cache to list.
 		writer.WriteHeader(http.StatusNotFound)
 	default:
-		r.call(writer, request)
+		r.handleCall(writer, request)
 	}
 }
 
-func (r *Runner) report(writer http.ResponseWriter) {
-	time.Sleep(r.noteReport())
+func (r *Runner) handleReport(writer http.ResponseWriter) {
+	time.Sleep(r.countReport())
 	r.mutex.Lock()
-	body := map[string]any{"stage": "both", "models": []map[string]any{{"name": r.Model, "version": r.version}}, "busy": false, "seq": r.seq}
-	r.tellIncarnation(body)
+	body := map[string]any{"stage": "both", "models": []map[string]any{{"name": r.Model, "version": r.weightVersion}}, "busy": false, "seq": r.weightRevision}
+	r.addIncarnation(body)
 	r.mutex.Unlock()
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func (r *Runner) order(writer http.ResponseWriter, request *http.Request) {
+func (r *Runner) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var order Order
 	if json.NewDecoder(request.Body).Decode(&order) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, answered := r.takeOrder(order)
+	status, answered := r.recordOrder(order)
 	if !answered {
 		<-request.Context().Done()
 		return
@@ -247,94 +251,96 @@
 	writer.WriteHeader(status)
 }
 
-// takeOrder notes an order and returns its status, or that it gets no answer.
-func (r *Runner) takeOrder(order Order) (status int, answered bool) {
+// recordOrder records the order and applies it unless orders are ignored. It returns the HTTP
+// status, and false if the order gets no answer.
+func (r *Runner) recordOrder(order Order) (status int, answered bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	order.At = time.Now()
-	if !r.deaf {
-		order.Status = r.judge(order)
+	order.ReceivedAt = time.Now()
+	if !r.ignoresOrders {
+		order.Status = r.applyOrder(order)
 	}
 	r.orders = append(r.orders, order)
-	return order.Status, !r.deaf
+	return order.Status, !r.ignoresOrders
 }
 
-// judge carries an order out, if it may be. The mutex is held.
-func (r *Runner) judge(order Order) int {
+// applyOrder applies the order if it is valid, and returns the HTTP status. The mutex must be held.
+func (r *Runner) applyOrder(order Order) int {
 	switch {
-	case order.Holder == "" || order.Fence == 0:
+	case order.Holder == "" || order.FencingToken == 0:
 		return http.StatusBadRequest
-	case order.Fence < r.fence:
+	case order.FencingToken < r.fencingToken:
 		return http.StatusPreconditionFailed
-	case order.Expected != r.seq:
+	case order.ExpectedRevision != r.weightRevision:
 		return http.StatusConflict
-	case order.Version == r.version:
+	case order.Version == r.weightVersion:
 		return http.StatusOK
 	}
-	r.fence, r.version = order.Fence, order.Version
-	r.seq++
+	r.fencingToken, r.weightVersion = order.FencingToken, order.Version
+	r.weightRevision++
 	return http.StatusAccepted
 }
 
-// take notes a call and returns what to do with it.
-func (r *Runner) take(request *http.Request, body []byte, arrived time.Time) (Behaviour, Run) {
+// recordArrival records the arrival of a call and returns the behaviour for it.
+func (r *Runner) recordArrival(request *http.Request, body []byte, receivedAt time.Time) (Behaviour, Run) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	behaviour, run := r.judgeCall(request, body)
-	arrival := Arrival{Request: run.Request, Path: run.Path, At: arrived}
+	behaviour, run := r.decideBehaviour(request, body)
+	arrival := Arrival{RequestID: run.RequestID, Path: run.Path, ReceivedAt: receivedAt}
 	if behaviour == Sheds {
-		arrival.Rest = r.rest()
+		arrival.RetryAfter = r.retryAfter()
 	}
 	r.arrivals = append(r.arrivals, arrival)
 	return behaviour, run
 }
 
-// judgeCall decides what to do with a call. The mutex is held.
-func (r *Runner) judgeCall(request *http.Request, body []byte) (Behaviour, Run) {
+// decideBehaviour returns the behaviour for a call, and records the run if it starts now. The mutex
+// must be held.
+func (r *Runner) decideBehaviour(request *http.Request, body []byte) (Behaviour, Run) {
 	behaviour := r.behaviour
-	if r.once {
-		r.behaviour, r.once = Well, false
+	if r.behaviourOnce {
+		r.behaviour, r.behaviourOnce = Normal, false
 	}
 	run := Run{
-		Request: request.Header.Get(platform.HeaderRequestID), Header: request.Header.Clone(), Path: request.RequestURI,
-		Body: string(body), Version: r.version, Began: time.Now(), Ended: make(chan struct{}),
+		RequestID: request.Header.Get(platform.HeaderRequestID), Header: request.Header.Clone(), Path: request.RequestURI,
+		Body: string(body), Version: r.weightVersion, StartedAt: time.Now(), Finished: make(chan struct{}),
 	}
 	expected := request.Header.Get(platform.HeaderExpectWeightVersion)
-	if expected != "" && expected != strconv.FormatUint(r.version, 10) {
+	if expected != "" && expected != strconv.FormatUint(r.weightVersion, 10) {
 		return Sheds, run
 	}
 	if from := request.Header.Get(platform.HeaderKVFrom); from != "" {
-		if from != r.Address+"/"+run.Request || !r.copies[run.Request] {
+		if from != r.Address+"/"+run.RequestID || !r.kvCopies[run.RequestID] {
 			return Sheds, run
 		}
-		delete(r.copies, run.Request)
-		r.continued = append(r.continued, run.Request)
+		delete(r.kvCopies, run.RequestID)
+		r.continuedRuns = append(r.continuedRuns, run.RequestID)
 		return behaviour, run
 	}
-	if behaviour != Sheds && !behaviour.queues() {
+	if behaviour != Sheds && !behaviour.isQueueing() {
 		r.runs = append(r.runs, run)
 	}
 	return behaviour, run
 }
 
-func (r *Runner) call(writer http.ResponseWriter, request *http.Request) {
-	arrived := time.Now()
+func (r *Runner) handleCall(writer http.ResponseWriter, request *http.Request) {
+	receivedAt := time.Now()
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	behaviour, run := r.take(request, body, arrived)
-	defer close(run.Ended)
-	if behaviour == Queues && !r.begin(request, run) {
+	behaviour, run := r.recordArrival(request, body, receivedAt)
+	defer close(run.Finished)
+	if behaviour == Queues && !r.startAfterQueue(request, run) {
 		return
 	}
-	if r.Poison.isIn(body) {
-		r.endUnder(writer, run)
+	if r.Poison.matches(body) {
+		r.crash(writer, run)
 	}
 	header := writer.Header()
-	r.announce(header)
-	header.Set(platform.HeaderRequestID, run.Request)
-	header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.Version(), 10))
+	r.addResponseHeaders(header)
+	header.Set(platform.HeaderRequestID, run.RequestID)
+	header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.WeightVersion(), 10))
 	switch behaviour {
 	case Sheds:
 		header.Set(platform.HeaderNotExecuted, "1")
@@ -346,25 +352,25 @@
 		<-request.Context().Done()
 		return
 	case Delays:
-		time.Sleep(r.Delay)
-	case Crossed:
+		time.Sleep(r.ResponseDelay)
+	case MismatchesRequestID:
 		header.Set(platform.HeaderRequestID, "another")
 		header.Set("Connection", "close")
 	}
-	if behaviour != Unstamped {
-		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.Request)
+	if behaviour != OmitsStamp {
+		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.RequestID)
 	}
 	if behaviour == Fails {
 		writer.WriteHeader(http.StatusInternalServerError)
 		fmt.Fprint(writer, "failed")
 		return
 	}
-	if behaviour == QueuesAfterHead && (http.NewResponseController(writer).Flush() != nil || !r.begin(request, run)) {
+	if behaviour == QueuesAfterHeaders && (http.NewResponseController(writer).Flush() != nil || !r.startAfterQueue(request, run)) {
 		return
 	}
-	if r.Events > 0 {
-		r.stream(writer, request, behaviour)
+	if r.EventCount > 0 {
+		r.writeStream(writer, request, behaviour)
 		return
 	}
-	r.whole(writer, behaviour, run)
+	r.writeBody(writer, behaviour, run)
 }
--- a/internal/lab/runnerstand/timing.go
+++ b/internal/lab/runnerstand/timing.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Queue sets how long calls queue under the behaviours that queue.
-func (r *Runner) Queue(wait time.Duration) {
+// SetQueueTime sets how long calls wait under Queues and QueuesAfterHeaders.
+func (r *Runner) SetQueueTime(duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.queueing = wait
+	r.queueTime = duration
 }
 
-func (b Behaviour) queues() bool { return b == Queues || b == QueuesAfterHead }
+func (b Behaviour) isQueueing() bool { return b == Queues || b == QueuesAfterHeaders }
 
-// begin runs a call after its time in the queue, with the weights held then. It
-// returns false for a call whose connection ended before.
-func (r *Runner) begin(request *http.Request, run Run) bool {
+// startAfterQueue waits for the queue time and then records the run with the current weight version.
+// It returns false if the connection was closed before.
+func (r *Runner) startAfterQueue(request *http.Request, run Run) bool {
 	r.mutex.Lock()
-	timer := time.NewTimer(r.queueing)
+	timer := time.NewTimer(r.queueTime)
 	r.mutex.Unlock()
 	defer timer.Stop()
 	select {
@@ -28,44 +28,46 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	run.Version, run.Began = r.version, time.Now()
+	run.Version, run.StartedAt = r.weightVersion, time.Now()
 	r.runs = append(r.runs, run)
 	return true
 }
 
-// Resume lets the streams go on that pause now or will.
-func (r *Runner) Resume() { close(r.resume) }
+// ResumeStreams lets all streams continue that are paused now or later.
+func (r *Runner) ResumeStreams() { close(r.resumed) }
 
-// Break breaks the streams off that pause now or will.
-func (r *Runner) Break() { close(r.broken) }
+// AbortStreams closes the connections of all streams that are paused now or later.
+func (r *Runner) AbortStreams() { close(r.aborted) }
 
-// pause stops a stream.
-func (r *Runner) pause(request *http.Request) {
+// pauseStream blocks until the stream is resumed, or its request ends. It panics to break the
+// connection if streams are aborted.
+func (r *Runner) pauseStream(request *http.Request) {
 	select {
-	case <-r.resume:
-	case <-r.broken:
+	case <-r.resumed:
+	case <-r.aborted:
 		panic(http.ErrAbortHandler)
 	case <-request.Context().Done():
 	}
 }
 
-// DelayReports sets how long the runner takes to answer a question for its report.
-func (r *Runner) DelayReports(delay time.Duration) {
+// SetReportDelay sets how long the runner takes to answer a request for its report.
+func (r *Runner) SetReportDelay(delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reportTime = delay
+	r.reportDelay = delay
 }
 
-// Reports returns how many questions for a report arrived.
-func (r *Runner) Reports() int {
+// ReportCount returns the number of requests for a report.
+func (r *Runner) ReportCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.reports
+	return r.reportCount
 }
 
-func (r *Runner) noteReport() time.Duration {
+// countReport counts a request for a report and returns the delay of its answer.
+func (r *Runner) countReport() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reports++
-	return r.reportTime
+	r.reportCount++
+	return r.reportDelay
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -79,13 +79,13 @@
 // heal undoes what may be left.
 func (s *Soak) heal() {
 	for _, p := range s.processes {
-		p.door.Set(storestand.Healthy)
-		p.proxy.Set(faultproxy.Pass)
+		p.door.SetFault(storestand.Healthy)
+		p.proxy.SetMode(faultproxy.Pass)
 		p.signal(syscall.SIGCONT)
 	}
 	for _, runner := range s.runners.living() {
-		runner.Behave(runnerstand.Well)
-		s.runners.proxy(runner.ID).Set(faultproxy.Pass)
+		runner.SetBehaviour(runnerstand.Normal)
+		s.runners.proxy(runner.ID).SetMode(faultproxy.Pass)
 		s.runners.list(runner)
 	}
 }
@@ -160,7 +160,7 @@
 }
 
 func (s *Soak) storeFault() storestand.Fault {
-	faults := []storestand.Fault{storestand.Busy, storestand.Throttled, storestand.Silent, storestand.Reset, storestand.Loses}
+	faults := []storestand.Fault{storestand.Busy, storestand.Throttled, storestand.Hangs, storestand.Reset, storestand.LosesResponses}
 	return faults[s.random.IntN(len(faults))]
 }
 
@@ -168,11 +168,11 @@
 	fault := s.storeFault()
 	calm := s.disturbances.begin(storeForEach)
 	for _, p := range s.processes {
-		p.door.Set(fault)
+		p.door.SetFault(fault)
 	}
 	return "store " + fault.String() + " for all", func() {
 		for _, p := range s.processes {
-			p.door.Set(storestand.Healthy)
+			p.door.SetFault(storestand.Healthy)
 		}
 		calm()
 	}
@@ -181,38 +181,38 @@
 func (s *Soak) storeForOne(time.Duration) (string, func()) {
 	p, fault := s.anyProcess(), s.storeFault()
 	calm := s.disturbances.begin(storeOf(p.name))
-	p.door.Set(fault)
-	return "store " + fault.String() + " for " + p.name, func() { p.door.Set(storestand.Healthy); calm() }
+	p.door.SetFault(fault)
+	return "store " + fault.String() + " for " + p.name, func() { p.door.SetFault(storestand.Healthy); calm() }
 }
 
 func (s *Soak) pathMode() faultproxy.Mode {
-	modes := []faultproxy.Mode{faultproxy.Delay, faultproxy.Reset, faultproxy.CutBack, faultproxy.Silence}
+	modes := []faultproxy.Mode{faultproxy.Delay, faultproxy.Reset, faultproxy.DropResponses, faultproxy.Blackhole}
 	return modes[s.random.IntN(len(modes))]
 }
 
 func (s *Soak) storePath(time.Duration) (string, func()) {
 	p, mode := s.anyProcess(), s.pathMode()
 	calm := s.disturbances.begin(storeOf(p.name))
-	p.proxy.Set(mode)
-	return "path to the store of " + p.name + ": " + mode.String(), func() { p.proxy.Set(faultproxy.Pass); calm() }
+	p.proxy.SetMode(mode)
+	return "path to the store of " + p.name + ": " + mode.String(), func() { p.proxy.SetMode(faultproxy.Pass); calm() }
 }
 
 func (s *Soak) runnerPath(time.Duration) (string, func()) {
 	runner, mode := s.anyRunner(), s.pathMode()
 	proxy := s.runners.proxy(runner.ID)
 	calm := s.disturbances.begin(pathTo(runner.ID))
-	proxy.Set(mode)
-	return "path to runner " + runner.ID + ": " + mode.String(), func() { proxy.Set(faultproxy.Pass); calm() }
+	proxy.SetMode(mode)
+	return "path to runner " + runner.ID + ": " + mode.String(), func() { proxy.SetMode(faultproxy.Pass); calm() }
 }
 
 func (s *Soak) runnerFault(time.Duration) (string, func()) {
 	behaviours := []runnerstand.Behaviour{
-		runnerstand.Fails, runnerstand.Sheds, runnerstand.Drops, runnerstand.BreaksOff, runnerstand.Hangs,
-		runnerstand.Crossed, runnerstand.Unstamped, runnerstand.Delays, runnerstand.Queues, runnerstand.QueuesAfterHead,
+		runnerstand.Fails, runnerstand.Sheds, runnerstand.Drops, runnerstand.TruncatesResponse, runnerstand.Hangs,
+		runnerstand.MismatchesRequestID, runnerstand.OmitsStamp, runnerstand.Delays, runnerstand.Queues, runnerstand.QueuesAfterHeaders,
 	}
 	runner, behaviour := s.anyRunner(), behaviours[s.random.IntN(len(behaviours))]
-	runner.Behave(behaviour)
-	return "runner " + runner.ID + " " + behaviour.String(), func() { runner.Behave(runnerstand.Well) }
+	runner.SetBehaviour(behaviour)
+	return "runner " + runner.ID + " " + behaviour.String(), func() { runner.SetBehaviour(runnerstand.Normal) }
 }
 
 func (s *Soak) drain(time.Duration) (string, func()) {
@@ -225,7 +225,7 @@
 }
 
 func (s *Soak) forget(time.Duration) (string, func()) {
-	s.store.Forget()
+	s.store.CompactHistory()
 	return "store forgets its history", func() {}
 }
 
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -39,15 +39,15 @@
 
 // add starts a runner with the version of the weights, which the poison ends.
 func (f *fleet) add(id, service string, version uint64, poison runnerstand.Poison) error {
-	config := runnerstand.Config{ID: id, Service: service, Zone: "z", Delay: 300 * time.Millisecond, Peer: f.at, Poison: poison, Incarnation: 1}
+	config := runnerstand.Config{ID: id, Service: service, Zone: "z", ResponseDelay: 300 * time.Millisecond, FindPeer: f.at, Poison: poison, Incarnation: 1}
 	if service == "engines" {
-		config.Model, config.Version, config.Events = modelName, version, streamEvents
+		config.Model, config.Version, config.EventCount = modelName, version, streamEvents
 	}
 	runner, err := runnerstand.Start(config)
 	if err != nil {
 		return err
 	}
-	runner.Queue(queueTime)
+	runner.SetQueueTime(queueTime)
 	proxy, err := faultproxy.Start(runner.Address)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	defer f.listing.Unlock()
 	for _, runner := range f.all() {
 		if f.hasEnded(runner.ID) {
-			f.store.Remove(platform.KindRunners, runner.ID)
+			f.store.Delete(platform.KindRunners, runner.ID)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	if f.isLeaving(runner.ID) {
 		state = "draining"
 	}
-	entry := runner.Entry(state)
+	entry := runner.DirectoryEntry(state)
 	entry["address"] = f.proxy(runner.ID).Address
 	f.store.Put(platform.KindRunners, runner.ID, entry)
 }
@@ -216,7 +216,7 @@
 	for _, runner := range f.all() {
 		orders = append(orders, runner.Orders()...)
 	}
-	slices.SortFunc(orders, func(a, b runnerstand.Order) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	slices.SortFunc(orders, func(a, b runnerstand.Order) int { return cmp.Compare(a.ReceivedAt.UnixNano(), b.ReceivedAt.UnixNano()) })
 	return orders
 }
 
--- a/internal/lab/soak/news.go
+++ b/internal/lab/soak/news.go
@@ -60,14 +60,14 @@
 // checkArrival tells whether the runner had been leaving for longer than the bound while
 // the gateway, its path to the runner and the store were sound and it could learn of that.
 func (s *Soak) checkArrival(runner string, arrival runnerstand.Arrival) (lateness, bool) {
-	call, known := s.calls.find(arrival.Request)
-	since, leaving := s.runners.leavingSince(runner, arrival.At)
+	call, known := s.calls.find(arrival.RequestID)
+	since, leaving := s.runners.leavingSince(runner, arrival.ReceivedAt)
 	if !known || !leaving {
 		return lateness{}, false
 	}
 	late := lateness{
-		what: "leaving", gateway: call.process, runner: runner, request: call.id, at: arrival.At, news: arrival.At.Sub(since),
-		calm: min(s.calm(arrival.At, storeForEach, call.process, pathTo(runner)), s.informed(arrival.At, call.process)),
+		what: "leaving", gateway: call.process, runner: runner, request: call.id, at: arrival.ReceivedAt, news: arrival.ReceivedAt.Sub(since),
+		calm: min(s.calm(arrival.ReceivedAt, storeForEach, call.process, pathTo(runner)), s.informed(arrival.ReceivedAt, call.process)),
 	}
 	return late, late.news > drainTime && late.calm > contactTime
 }
@@ -75,16 +75,16 @@
 // checkBegin tells whether the weights on which the run began had been replaced for longer
 // than the deadline. That counts while the gateway can learn what the store holds.
 func (s *Soak) checkBegin(runner string, run runnerstand.Run) (lateness, bool) {
-	call, known := s.calls.find(run.Request)
+	call, known := s.calls.find(run.RequestID)
 	named, replaced := s.config.replacedAt(run.Version)
 	if !known || !replaced {
 		return lateness{}, false
 	}
 	late := lateness{
-		what: "older weights", gateway: call.process, runner: runner, request: call.id, at: run.Began, news: run.Began.Sub(named),
-		calm: s.calm(run.Began, call.process, pathTo(runner)),
+		what: "older weights", gateway: call.process, runner: runner, request: call.id, at: run.StartedAt, news: run.StartedAt.Sub(named),
+		calm: s.calm(run.StartedAt, call.process, pathTo(runner)),
 	}
-	counted := min(late.news, s.calm(run.Began, storeForEach), s.informed(run.Began, call.process))
+	counted := min(late.news, s.calm(run.StartedAt, storeForEach), s.informed(run.StartedAt, call.process))
 	return late, counted > versionTime && late.calm > contactTime
 }
 
--- a/internal/lab/soak/news_test.go
+++ b/internal/lab/soak/news_test.go
@@ -77,7 +77,7 @@
 			s, runner := checked(t)
 			s.runners.leave(runner)
 			send(t, runner)
-			arrived := runner.ArrivalLog()[0].At
+			arrived := runner.ArrivalLog()[0].ReceivedAt
 			s.runners.leaves[runner.ID][0].from = arrived.Add(-test.news)
 			s.disturbances.past(arrived, test.subject, test.calm)
 			s.checkNews()
@@ -103,7 +103,7 @@
 			s, runner := checked(t)
 			s.config.bump()
 			send(t, runner)
-			began := runner.Runs()[0].Began
+			began := runner.Runs()[0].StartedAt
 			s.config.namedAt[0] = began.Add(-test.news)
 			s.disturbances.past(began, test.subject, test.calm)
 			s.checkNews()
@@ -132,7 +132,7 @@
 			s.processes = []*process{{name: testGateway}, {name: "gateway-1"}, {name: "gateway-2"}}
 			s.runners.leave(runner)
 			send(t, runner)
-			arrived := runner.ArrivalLog()[0].At
+			arrived := runner.ArrivalLog()[0].ReceivedAt
 			s.runners.leaves[runner.ID][0].from = arrived.Add(-2 * drainTime)
 			for _, subject := range test.disturbed {
 				s.disturbances.past(arrived, subject, contactTime-100*time.Millisecond)
--- a/internal/lab/soak/peers.go
+++ b/internal/lab/soak/peers.go
@@ -93,10 +93,10 @@
 	runners := s.runners.living()
 	next := s.leaving(runners[f.random.IntN(len(runners))])
 	calm := s.disturbances.begin(storeOf(p.name))
-	p.proxy.Set(faultproxy.Silence)
+	p.proxy.SetMode(faultproxy.Blackhole)
 	mutePeers(s.processes)
 	f.later(f.upTo(cutOffNews), next.do)
-	f.later(cutOffTime, func() { p.proxy.Set(faultproxy.Pass); calm() })
+	f.later(cutOffTime, func() { p.proxy.SetMode(faultproxy.Pass); calm() })
 	s.say("fault: %s is cut off the store and all open connections between gateways fall silent, %s", p.name, next.name)
 }
 
@@ -108,7 +108,7 @@
 // disturbance: others replace such connections within a fraction of a second.
 func mutePeers(processes []*process) {
 	for _, p := range processes {
-		p.peerProxy.Set(faultproxy.Mute)
+		p.peerProxy.SetMode(faultproxy.MuteExisting)
 	}
 }
 
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -56,7 +56,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return runnerstand.Poison{
-		Prefix: poisonPrefix, After: time.Duration(p.random.Int64N(int64(poisonAfter))), Silent: p.random.IntN(2) == 0, Ended: p.ended,
+		Prefix: poisonPrefix, CrashDelay: time.Duration(p.random.Int64N(int64(poisonAfter))), NoResponse: p.random.IntN(2) == 0, OnCrash: p.ended,
 	}
 }
 
@@ -78,7 +78,7 @@
 	id, pause := fmt.Sprintf("%s-%d", runner.Service, p.started), reviveLeast+time.Duration(p.random.Int64N(int64(reviveMost-reviveLeast)))
 	p.group.Go(func() {
 		time.Sleep(pause)
-		s.store.Remove(platform.KindRunners, runner.ID)
+		s.store.Delete(platform.KindRunners, runner.ID)
 		if err := s.runners.add(id, runner.Service, s.config.weights(), p.of()); err != nil {
 			s.fail("start of a runner: %v", err)
 		}
@@ -131,7 +131,7 @@
 	sent := map[string]int{}
 	for _, runner := range s.runners.all() {
 		for _, arrival := range runner.ArrivalLog() {
-			if call, known := s.calls.find(arrival.Request); known && call.poison && p.counts(call, arrival.At) {
+			if call, known := s.calls.find(arrival.RequestID); known && call.poison && p.counts(call, arrival.ReceivedAt) {
 				sent[call.body]++
 			}
 		}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -40,7 +40,7 @@
 	folder    string
 	addresses processAddresses
 	seeds     []string
-	door      *storestand.Door
+	door      *storestand.Endpoint
 	// proxy is before the store, and peerProxy before the gateway's address for others.
 	proxy     *faultproxy.Proxy
 	peerProxy *faultproxy.Proxy
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -38,7 +38,7 @@
 // storeCopy is what the store held at the moment.
 type storeCopy struct {
 	at   time.Time
-	held storestand.Copy
+	held storestand.Backup
 }
 
 // restores has the store come back from copies. It draws from a random source of its own, so
@@ -79,7 +79,7 @@
 // was written again.
 func (f *restores) copyFor(duration time.Duration) {
 	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(copyInterval) {
-		f.copies = append(f.copies, storeCopy{at: time.Now(), held: f.soak.store.Copy()})
+		f.copies = append(f.copies, storeCopy{at: time.Now(), held: f.soak.store.Backup()})
 	}
 }
 
@@ -99,12 +99,12 @@
 	s.say("fault: the store goes away for %v and comes back from a copy that is %v old then", away.Round(time.Millisecond), (time.Since(from.at) + away).Round(time.Millisecond))
 	defer s.disturbances.begin(storeForEach)()
 	for _, p := range s.processes {
-		p.door.Set(storestand.Reset)
+		p.door.SetFault(storestand.Reset)
 	}
 	time.Sleep(away)
 	s.store.Restore(from.held)
 	for _, p := range s.processes {
-		p.door.Set(storestand.Healthy)
+		p.door.SetFault(storestand.Healthy)
 	}
 	f.group.Go(func() { time.Sleep(lapseTime); s.runners.lapse() })
 	time.Sleep(f.upTo(againMost))
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -132,22 +132,22 @@
 
 func (f *signals) limit(runner *runnerstand.Runner, rate float64, duration time.Duration) {
 	f.soak.say("signal: %s takes %v requests a second for %v", runner.ID, rate, duration.Round(time.Millisecond))
-	runner.Announce(platform.HeaderServerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
+	runner.SetResponseHeaders(platform.HeaderServerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	time.Sleep(duration)
-	runner.Announce()
+	runner.SetResponseHeaders()
 }
 
 // leave has the runner leave, which its entry says later or not at all, and start again.
 func (f *signals) leave(runner *runnerstand.Runner, listedAfter, duration time.Duration) {
 	f.soak.say("signal: %s leaves for %v, by its entry after %v", runner.ID, duration.Round(time.Millisecond), listedAfter.Round(time.Millisecond))
-	runner.Announce(platform.HeaderServerLeaving, "1")
+	runner.SetResponseHeaders(platform.HeaderServerLeaving, "1")
 	comeBack := func() {}
 	time.Sleep(min(listedAfter, duration))
 	if listedAfter < duration {
 		comeBack = f.soak.runners.leave(runner)
 		time.Sleep(duration - listedAfter)
 	}
-	runner.Announce()
+	runner.SetResponseHeaders()
 	runner.Restart()
 	comeBack()
 	f.soak.runners.list(runner)
@@ -155,11 +155,11 @@
 
 func (f *signals) rest(runner *runnerstand.Runner, rest, duration time.Duration) {
 	f.soak.say("signal: %s turns all away for %v and asks for %v of rest", runner.ID, duration.Round(time.Millisecond), rest.Round(time.Millisecond))
-	runner.Announce(platform.HeaderRetryAfter, fmt.Sprintf("%.3f", rest.Seconds()))
-	runner.Behave(runnerstand.Sheds)
+	runner.SetResponseHeaders(platform.HeaderRetryAfter, fmt.Sprintf("%.3f", rest.Seconds()))
+	runner.SetBehaviour(runnerstand.Sheds)
 	time.Sleep(duration)
-	runner.Behave(runnerstand.Well)
-	runner.Announce()
+	runner.SetBehaviour(runnerstand.Normal)
+	runner.SetResponseHeaders()
 }
 
 // hear notes what an answer said that the gateway passed on.
@@ -208,11 +208,11 @@
 // arrivals returns the requests of gateways of this version that reached the runner, in order.
 func (f *signals) arrivals(runner *runnerstand.Runner) (arrivals []sent) {
 	for _, arrival := range runner.ArrivalLog() {
-		if call, known := f.soak.calls.find(arrival.Request); known && !f.soak.older[call.process] {
+		if call, known := f.soak.calls.find(arrival.RequestID); known && !f.soak.older[call.process] {
 			arrivals = append(arrivals, sent{arrival, call.process, call.sent})
 		}
 	}
-	slices.SortFunc(arrivals, func(a, b sent) int { return a.At.Compare(b.At) })
+	slices.SortFunc(arrivals, func(a, b sent) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	return arrivals
 }
 
@@ -237,9 +237,9 @@
 // after the gateway had passed on that it leaves.
 func (f *signals) checkLeaving(runner string, spoken *signalSpan, arrivals []sent) {
 	for _, arrival := range arrivals {
-		at, known := f.toldAt(saysLeaving, spoken, told{arrival.gateway, runner}, arrival.At)
-		if known && spoken.within(arrival.At) && arrival.asked.Sub(at) > drainTime {
-			f.soak.fail("leaving: %s reached %s at %s, %v after %s had passed on that it leaves", arrival.Request, runner, clockTime(arrival.At), arrival.asked.Sub(at), arrival.gateway)
+		at, known := f.toldAt(saysLeaving, spoken, told{arrival.gateway, runner}, arrival.ReceivedAt)
+		if known && spoken.within(arrival.ReceivedAt) && arrival.asked.Sub(at) > drainTime {
+			f.soak.fail("leaving: %s reached %s at %s, %v after %s had passed on that it leaves", arrival.RequestID, runner, clockTime(arrival.ReceivedAt), arrival.asked.Sub(at), arrival.gateway)
 			return
 		}
 	}
@@ -250,19 +250,19 @@
 	allowed := int(limitShare*spoken.rate*limitWindow.Seconds() + limitSlack)
 	var counted []time.Time
 	for _, arrival := range arrivals {
-		if !spoken.within(arrival.At) || arrival.At.Sub(spoken.from) < contactTime {
+		if !spoken.within(arrival.ReceivedAt) || arrival.ReceivedAt.Sub(spoken.from) < contactTime {
 			continue
 		}
-		at, known := f.toldAt(saysLimit, spoken, told{arrival.gateway, runner}, arrival.At)
-		if !known || arrival.At.Sub(at) < heardTime {
+		at, known := f.toldAt(saysLimit, spoken, told{arrival.gateway, runner}, arrival.ReceivedAt)
+		if !known || arrival.ReceivedAt.Sub(at) < heardTime {
 			continue
 		}
-		counted = append(counted, arrival.At)
-		for arrival.At.Sub(counted[0]) >= limitWindow {
+		counted = append(counted, arrival.ReceivedAt)
+		for arrival.ReceivedAt.Sub(counted[0]) >= limitWindow {
 			counted = counted[1:]
 		}
 		if len(counted) > allowed {
-			f.soak.fail("limit: %s, which takes %v a second, got %d requests in %v up to %s", runner, spoken.rate, len(counted), limitWindow, clockTime(arrival.At))
+			f.soak.fail("limit: %s, which takes %v a second, got %d requests in %v up to %s", runner, spoken.rate, len(counted), limitWindow, clockTime(arrival.ReceivedAt))
 			return
 		}
 	}
@@ -272,18 +272,18 @@
 // that it may not have got, over a path that was disturbed, binds it to nothing.
 func (f *signals) checkRests(runner string, arrivals []sent) {
 	for i, asked := range arrivals {
-		if asked.Rest == 0 || f.soak.calm(asked.At.Add(heardTime), asked.gateway, pathTo(runner)) <= heardTime {
+		if asked.RetryAfter == 0 || f.soak.calm(asked.ReceivedAt.Add(heardTime), asked.gateway, pathTo(runner)) <= heardTime {
 			continue
 		}
 		count := 0
 		for _, arrival := range arrivals[i+1:] {
-			after := arrival.At.Sub(asked.At)
-			if arrival.gateway == asked.gateway && after >= heardTime && after < asked.Rest && f.soak.calm(arrival.At, asked.gateway) > after {
+			after := arrival.ReceivedAt.Sub(asked.ReceivedAt)
+			if arrival.gateway == asked.gateway && after >= heardTime && after < asked.RetryAfter && f.soak.calm(arrival.ReceivedAt, asked.gateway) > after {
 				count++
 			}
 		}
 		if count > restBorne {
-			f.soak.fail("rest: %s had asked %s for %v of rest at %s and got %d requests from it", runner, asked.gateway, asked.Rest, clockTime(asked.At), count)
+			f.soak.fail("rest: %s had asked %s for %v of rest at %s and got %d requests from it", runner, asked.gateway, asked.RetryAfter, clockTime(asked.ReceivedAt), count)
 			return
 		}
 	}
--- a/internal/lab/soak/silences.go
+++ b/internal/lab/soak/silences.go
@@ -86,19 +86,19 @@
 func (s *Soak) muteStore(processes ...*process) {
 	defer s.disturbances.begin(storeForEach)()
 	for _, p := range processes {
-		p.proxy.Set(faultproxy.Mute)
+		p.proxy.SetMode(faultproxy.MuteExisting)
 	}
 }
 
 func (s *Soak) muteRunner(id string) {
 	defer s.disturbances.begin(pathTo(id))()
-	s.runners.proxy(id).Set(faultproxy.Mute)
+	s.runners.proxy(id).SetMode(faultproxy.MuteExisting)
 }
 
 // loseWatches has the store not answer watches that wait, which disturbs the store.
 func (s *Soak) loseWatches(kind string, processes ...*process) {
 	defer s.disturbances.begin(storeForEach)()
 	for _, p := range processes {
-		p.door.LoseWatches(kind)
+		p.door.AbandonWatches(kind)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -199,7 +199,7 @@
 			program = []string{s.settings.Older}
 			s.older[gatewayName(i)] = true
 		}
-		door, err := s.store.Open()
+		door, err := s.store.OpenEndpoint()
 		if err != nil {
 			return err
 		}
@@ -243,11 +243,11 @@
 		}
 	}
 	for _, engine := range s.runners.ofService("engines") {
-		for engine.Version() < s.config.weights() && time.Now().Before(deadline) && ctx.Err() == nil {
+		for engine.WeightVersion() < s.config.weights() && time.Now().Before(deadline) && ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
 		}
-		if engine.Version() < s.config.weights() {
-			s.fail("weights: %s has version %d of %d after the last fault", engine.ID, engine.Version(), s.config.weights())
+		if engine.WeightVersion() < s.config.weights() {
+			s.fail("weights: %s has version %d of %d after the last fault", engine.ID, engine.WeightVersion(), s.config.weights())
 		}
 	}
 	if ctx.Err() == nil {
@@ -260,7 +260,7 @@
 	runs := map[string]int{}
 	for _, runner := range s.runners.all() {
 		for _, run := range runner.Runs() {
-			runs[run.Request]++
+			runs[run.RequestID]++
 			s.checkRun(run)
 		}
 	}
@@ -279,16 +279,16 @@
 }
 
 func (s *Soak) checkRun(run runnerstand.Run) {
-	call, known := s.calls.find(run.Request)
+	call, known := s.calls.find(run.RequestID)
 	if !known {
-		s.fail("unasked: %s (%s) ran and nobody sent it", run.Request, run.Path)
+		s.fail("unasked: %s (%s) ran and nobody sent it", run.RequestID, run.Path)
 		return
 	}
 	if run.Path != call.path || run.Body != call.body {
-		s.fail("unasked: %s ran with another path or body", run.Request)
+		s.fail("unasked: %s ran with another path or body", run.RequestID)
 	}
 	if tenant := run.Header.Get(platform.HeaderTenant); tenant != call.tenant {
-		s.fail("tenants: %s ran for %q instead of %q", run.Request, tenant, call.tenant)
+		s.fail("tenants: %s ran for %q instead of %q", run.RequestID, tenant, call.tenant)
 	}
 }
 
@@ -301,10 +301,10 @@
 	}
 	var last given
 	for _, order := range s.runners.ordersInTime() {
-		if last.holder != "" && order.Holder != last.holder && order.At.Sub(last.at) < leaseTime {
-			s.fail("one holder: %s ordered %v after %s", order.Holder, order.At.Sub(last.at), last.holder)
+		if last.holder != "" && order.Holder != last.holder && order.ReceivedAt.Sub(last.at) < leaseTime {
+			s.fail("one holder: %s ordered %v after %s", order.Holder, order.ReceivedAt.Sub(last.at), last.holder)
 		}
-		last = given{order.Holder, order.At}
+		last = given{order.Holder, order.ReceivedAt}
 	}
 }
 
--- a/internal/lab/storestand/endpoint.go
+++ b/internal/lab/storestand/endpoint.go
@@ -14,185 +14,190 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Fault is how the store treats the calls of one door.
+// Fault is how the store treats the calls at one endpoint.
 type Fault uint8
 
-// The faults.
+// Faults of an endpoint.
 const (
-	// Healthy serves.
+	// Healthy answers calls.
 	Healthy Fault = iota
-	// Busy refuses all calls with 503.
+	// Busy refuses all calls with status 503.
 	Busy
-	// Throttled refuses all calls with 429.
+	// Throttled refuses all calls with status 429.
 	Throttled
-	// Silent answers nothing.
-	Silent
-	// Reset breaks the connection.
+	// Hangs leaves all calls without an answer.
+	Hangs
+	// Reset closes the connections of all calls without an answer.
 	Reset
-	// Loses does writes but breaks the connection in place of the answer.
-	Loses
+	// LosesResponses applies writes but closes the connection instead of answering them.
+	LosesResponses
 )
 
-// String returns the fault's name.
+// String returns the name of the fault in logs.
 func (f Fault) String() string {
 	return [...]string{"healthy", "busy", "throttled", "silent", "reset", "loses answers"}[f]
 }
 
-// pageSize is how many objects a list returns at once.
+// pageSize is the maximum number of objects in a page of a list.
 const pageSize = 3
 
-// Door is one address of the store, with its own faults.
-type Door struct {
-	Address string
-	store   *Store
-	server  *http.Server
-	mutex   sync.Mutex
-	fault   Fault
-	calls   int
-	// stale counts the lists among them that may be old.
-	stale int
-	// lost holds, for each kind, what ends the watches that wait now without an answer.
-	lost map[string]chan struct{}
-	// past holds, for each kind whose watches are answered from the past, the revision
-	// that they are answered at.
-	past map[string]uint64
+// Endpoint is an address at which the store is served. Each endpoint has its own fault. It is
+// safe for concurrent use.
+type Endpoint struct {
+	Address   string
+	store     *Store
+	server    *http.Server
+	mutex     sync.Mutex
+	fault     Fault
+	callCount int
+	// staleListCount counts the calls that accept stale lists.
+	staleListCount int
+	// abandoned holds, for each kind, a channel that is closed to leave the pending watches
+	// without an answer.
+	abandoned map[string]chan struct{}
+	// replicaRevisions holds the revision at which watches are answered, by kind. Watches of
+	// other kinds are answered at the latest revision.
+	replicaRevisions map[string]uint64
 }
 
-// Open serves the store at a free loopback address.
-func (s *Store) Open() (*Door, error) {
+// OpenEndpoint serves the store at a free loopback address.
+func (s *Store) OpenEndpoint() (*Endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	door := &Door{Address: listener.Addr().String(), store: s, lost: map[string]chan struct{}{}, past: map[string]uint64{}}
-	door.server = &http.Server{Handler: http.HandlerFunc(door.serve)}
-	go door.server.Serve(listener)
-	return door, nil
+	endpoint := &Endpoint{Address: listener.Addr().String(), store: s, abandoned: map[string]chan struct{}{}, replicaRevisions: map[string]uint64{}}
+	endpoint.server = &http.Server{Handler: http.HandlerFunc(endpoint.serve)}
+	go endpoint.server.Serve(listener)
+	return endpoint, nil
 }
 
-// Calls returns how many calls came to the door.
-func (d *Door) Calls() int {
+// CallCount returns the number of calls that reached the endpoint.
+func (d *Endpoint) CallCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.calls
+	return d.callCount
 }
 
-// StaleLists returns how many of the calls were lists that may be old.
-func (d *Door) StaleLists() int {
+// StaleListCount returns the number of calls that accept stale lists.
+func (d *Endpoint) StaleListCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.stale
+	return d.staleListCount
 }
 
-// Close ends the door.
-func (d *Door) Close() { d.server.Close() }
+// Close stops the endpoint immediately.
+func (d *Endpoint) Close() { d.server.Close() }
 
-// Set changes how calls are treated, waiting ones included.
-func (d *Door) Set(fault Fault) {
+// SetFault sets the fault for new calls and pending watches.
+func (d *Endpoint) SetFault(fault Fault) {
 	d.mutex.Lock()
 	d.fault = fault
 	d.mutex.Unlock()
 	d.store.mutex.Lock()
-	d.store.wake()
+	d.store.notifyWatchers()
 	d.store.mutex.Unlock()
 }
 
-// LoseWatches leaves the watches of the kind that wait now without any answer; new ones
-// are answered.
-func (d *Door) LoseWatches(kind string) {
+// AbandonWatches leaves the pending watches of the kind without an answer. New watches are
+// answered.
+func (d *Endpoint) AbandonWatches(kind string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if lost := d.lost[kind]; lost != nil {
-		close(lost)
-		delete(d.lost, kind)
+	if abandoned := d.abandoned[kind]; abandoned != nil {
+		close(abandoned)
+		delete(d.abandoned, kind)
 	}
 }
 
-// lostWatches is closed when watches of the kind that wait now are lost.
-func (d *Door) lostWatches(kind string) <-chan struct{} {
+// watchesAbandoned returns a channel that is closed when the pending watches of the kind are
+// abandoned.
+func (d *Endpoint) watchesAbandoned(kind string) <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.lost[kind] == nil {
-		d.lost[kind] = make(chan struct{})
+	if d.abandoned[kind] == nil {
+		d.abandoned[kind] = make(chan struct{})
 	}
-	return d.lost[kind]
+	return d.abandoned[kind]
 }
 
-// AnswerAt has watches of the kinds answered as a replica would that stands at the revision.
-func (d *Door) AnswerAt(revision uint64, kinds ...string) {
+// SetReplicaRevision makes watches of the kinds answer like a replica that has not received
+// changes after the revision.
+func (d *Endpoint) SetReplicaRevision(revision uint64, kinds ...string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, kind := range kinds {
-		d.past[kind] = revision
+		d.replicaRevisions[kind] = revision
 	}
 }
 
-// CatchUp has all watches answered with what is newest again.
-func (d *Door) CatchUp() {
+// CatchUp makes all watches answer at the latest revision again.
+func (d *Endpoint) CatchUp() {
 	d.mutex.Lock()
-	clear(d.past)
+	clear(d.replicaRevisions)
 	d.mutex.Unlock()
 	d.store.mutex.Lock()
-	d.store.wake()
+	d.store.notifyWatchers()
 	d.store.mutex.Unlock()
 }
 
-// since returns what a watch of the kind is answered with now.
-func (d *Door) since(kind string, from uint64) (events []Event, at uint64, gone bool, changed chan struct{}) {
+// eventsSince is like Store.eventsSince, but without changes that the replica has not received.
+func (d *Endpoint) eventsSince(kind string, fromRevision uint64) (events []Event, atRevision uint64, compacted bool, changed chan struct{}) {
 	d.mutex.Lock()
-	past, behind := d.past[kind]
+	replicaRevision, isReplica := d.replicaRevisions[kind]
 	d.mutex.Unlock()
-	events, at, gone, changed = d.store.since(kind, from)
-	if behind {
-		at = min(at, past)
-		events = slices.DeleteFunc(events, func(event Event) bool { return event.Object.Metadata.Revision > past })
+	events, atRevision, compacted, changed = d.store.eventsSince(kind, fromRevision)
+	if isReplica {
+		atRevision = min(atRevision, replicaRevision)
+		events = slices.DeleteFunc(events, func(event Event) bool { return event.Object.Metadata.Revision > replicaRevision })
 	}
-	return events, at, gone, changed
+	return events, atRevision, compacted, changed
 }
 
-func (d *Door) current() Fault {
+func (d *Endpoint) currentFault() Fault {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.fault
 }
 
-func (d *Door) serve(writer http.ResponseWriter, request *http.Request) {
+func (d *Endpoint) serve(writer http.ResponseWriter, request *http.Request) {
 	d.mutex.Lock()
-	d.calls++
+	d.callCount++
 	if request.URL.Query().Has("stale") {
-		d.stale++
+		d.staleListCount++
 	}
 	d.mutex.Unlock()
-	writer = d.store.inOneEra(writer)
-	if d.refuse(writer, request) {
+	writer = d.store.bindToEra(writer)
+	if d.applyFault(writer, request) {
 		return
 	}
 	kind, name, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, platform.PathObjects), "/")
 	switch {
 	case request.Method == http.MethodGet && request.URL.Query().Has("watch"):
-		d.watch(writer, request, kind)
+		d.handleWatch(writer, request, kind)
 	case request.Method == http.MethodGet && name == "":
-		d.store.list(writer, kind, request.URL.Query().Get("after"))
+		d.store.writeList(writer, kind, request.URL.Query().Get("after"))
 	case request.Method == http.MethodGet:
 		object, found := d.store.Get(kind, name)
 		if !found {
 			writer.WriteHeader(http.StatusNotFound)
 			return
 		}
-		answer(writer, http.StatusOK, object)
+		writeJSON(writer, http.StatusOK, object)
 	default:
-		d.change(writer, request, kind, name)
+		d.handleChange(writer, request, kind, name)
 	}
 }
 
-// refuse treats the call as the fault says and tells whether it is done.
-func (d *Door) refuse(writer http.ResponseWriter, request *http.Request) bool {
-	switch d.current() {
+// applyFault applies the current fault to the call. It returns true if the call must not be
+// processed further.
+func (d *Endpoint) applyFault(writer http.ResponseWriter, request *http.Request) bool {
+	switch d.currentFault() {
 	case Busy:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case Throttled:
 		writer.WriteHeader(http.StatusTooManyRequests)
-	case Silent:
+	case Hangs:
 		<-request.Context().Done()
 	case Reset:
 		panic(http.ErrAbortHandler)
@@ -202,7 +207,8 @@
 	return true
 }
 
-func (s *Store) list(writer http.ResponseWriter, kind, after string) {
+// writeList writes a page of the objects of the kind, ordered by name, whose names follow after.
+func (s *Store) writeList(writer http.ResponseWriter, kind, after string) {
 	s.mutex.Lock()
 	var names []string
 	for name := range s.objects[kind] {
@@ -217,61 +223,63 @@
 	for _, name := range names {
 		items = append(items, s.objects[kind][name])
 	}
-	at := s.revision
+	listRevision := s.revision
 	s.mutex.Unlock()
-	answer(writer, http.StatusOK, map[string]any{"items": items, "more": more, "at": at})
+	writeJSON(writer, http.StatusOK, map[string]any{"items": items, "more": more, "at": listRevision})
 }
 
-func (d *Door) watch(writer http.ResponseWriter, request *http.Request, kind string) {
+// handleWatch answers as soon as there are changes after the watched revision, or without any
+// at the end of the requested wait.
+func (d *Endpoint) handleWatch(writer http.ResponseWriter, request *http.Request, kind string) {
 	query := request.URL.Query()
-	from, _ := strconv.ParseUint(query.Get("watch"), 10, 64)
+	fromRevision, _ := strconv.ParseUint(query.Get("watch"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer deadline.Stop()
-	lost := d.lostWatches(kind)
-	for over := false; ; {
-		events, at, gone, changed := d.since(kind, from)
-		if gone {
+	abandoned := d.watchesAbandoned(kind)
+	for expired := false; ; {
+		events, atRevision, compacted, changed := d.eventsSince(kind, fromRevision)
+		if compacted {
 			writer.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 || over {
-			answer(writer, http.StatusOK, map[string]any{"events": events, "at": at})
+		if len(events) > 0 || expired {
+			writeJSON(writer, http.StatusOK, map[string]any{"events": events, "at": atRevision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			over = true
-		case <-lost:
+			expired = true
+		case <-abandoned:
 			<-request.Context().Done()
 			return
 		case <-request.Context().Done():
 			return
 		}
-		if d.refuse(writer, request) {
+		if d.applyFault(writer, request) {
 			return
 		}
-		checkEra(writer)
+		abortCallIfRestored(writer)
 	}
 }
 
-func (d *Door) change(writer http.ResponseWriter, request *http.Request, kind, name string) {
+func (d *Endpoint) handleChange(writer http.ResponseWriter, request *http.Request, kind, name string) {
 	var body Object
 	if request.Method != http.MethodDelete && json.NewDecoder(request.Body).Decode(&body) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, object := d.store.apply(request.Method, kind, name, body)
-	if d.current() == Loses {
+	status, object := d.store.applyRequest(request.Method, kind, name, body)
+	if d.currentFault() == LosesResponses {
 		panic(http.ErrAbortHandler)
 	}
-	answer(writer, status, object)
+	writeJSON(writer, status, object)
 }
 
-func answer(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// A caller that has gone needs no answer.
+	// Encode fails only if the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(body)
 }
--- a/internal/lab/storestand/restore.go
+++ b/internal/lab/storestand/restore.go
@@ -9,74 +9,77 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Copy is what the store held at one moment.
-type Copy struct {
-	revision  uint64
-	forgotten uint64
-	objects   map[string]map[string]Object
-	history   map[string][]Event
+// Backup is the state of the store at one point in time.
+type Backup struct {
+	revision          uint64
+	compactedRevision uint64
+	objects           map[string]map[string]Object
+	history           map[string][]Event
 }
 
-// Copy returns what the store holds now.
-func (s *Store) Copy() Copy {
+// Backup returns a backup of the current state.
+func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Copy{revision: s.revision, forgotten: s.forgotten, objects: cloneObjects(s.objects), history: cloneHistory(s.history)}
+	return Backup{revision: s.revision, compactedRevision: s.compactedRevision, objects: cloneObjects(s.objects), history: cloneHistory(s.history)}
 }
 
-// Restore has the store come back from the copy, in the next era: what was written since is
-// lost, its revisions are given out again, and watches that wait end without an answer.
-func (s *Store) Restore(from Copy) {
+// Restore restores the store from the backup and starts the next era. Changes since the backup
+// are lost, their revisions are used again, and the connections of pending watches are closed.
+func (s *Store) Restore(backup Backup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era++
-	s.revision, s.forgotten = from.revision, from.forgotten
-	s.objects, s.history = cloneObjects(from.objects), cloneHistory(from.history)
-	s.wake()
+	s.revision, s.compactedRevision = backup.revision, backup.compactedRevision
+	s.objects, s.history = cloneObjects(backup.objects), cloneHistory(backup.history)
+	s.notifyWatchers()
 }
 
-// Era counts how often the store came back from a copy, from 1 on.
+// Era returns the current era: 1 plus the number of restores.
 func (s *Store) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.era
 }
 
-// Revision returns the newest revision.
+// Revision returns the revision of the latest change.
 func (s *Store) Revision() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.revision
 }
 
-// WriteEra has the era written by the function in answers from now on, empty for no header.
-func (s *Store) WriteEra(write func(era uint64) string) {
+// SetEraFormat sets the function that formats the era for the header of later answers. If it
+// returns an empty string, the header is omitted.
+func (s *Store) SetEraFormat(format func(era uint64) string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.eraHeader = write
+	s.formatEra = format
 }
 
-func writtenEra(era uint64) string { return strconv.FormatUint(era, 10) }
+func formatDecimalEra(era uint64) string { return strconv.FormatUint(era, 10) }
 
-// eraWriter writes the answer to a call of one era. A store that has started again since
-// knows nothing of the call, so that its connection ends.
+// eraWriter writes the answer to a call that arrived in the given era. A store that was restored
+// since then does not know the call, so its connection is closed.
 type eraWriter struct {
 	http.ResponseWriter
 	store *Store
 	era   uint64
 }
 
-// inOneEra returns a writer for the answer to a call that came now.
-func (s *Store) inOneEra(writer http.ResponseWriter) http.ResponseWriter {
+// bindToEra returns a writer for the answer to a call that arrived in the current era, and sets
+// the era header.
+func (s *Store) bindToEra(writer http.ResponseWriter) http.ResponseWriter {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if era := s.eraHeader(s.era); era != "" {
+	if era := s.formatEra(s.era); era != "" {
 		writer.Header().Set(platform.HeaderStoreEra, era)
 	}
 	return &eraWriter{ResponseWriter: writer, store: s, era: s.era}
 }
 
-func (w *eraWriter) check() {
+// abortIfRestored panics to close the connection if the era has changed.
+func (w *eraWriter) abortIfRestored() {
 	if w.store.Era() != w.era {
 		panic(http.ErrAbortHandler)
 	}
@@ -84,14 +87,14 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *eraWriter) WriteHeader(status int) {
-	w.check()
+	w.abortIfRestored()
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// checkEra ends the connection of a call that a former era was to answer.
-func checkEra(writer http.ResponseWriter) {
-	if bound, ok := writer.(*eraWriter); ok {
-		bound.check()
+// abortCallIfRestored closes the connection of a call that arrived in an earlier era.
+func abortCallIfRestored(writer http.ResponseWriter) {
+	if ew, ok := writer.(*eraWriter); ok {
+		ew.abortIfRestored()
 	}
 }
 
@@ -111,8 +114,8 @@
 	return cloned
 }
 
-// Writes returns how many changes of the kind the history has.
-func (s *Store) Writes(kind string) int {
+// WriteCount returns the number of changes of the kind in the history, including deletions.
+func (s *Store) WriteCount(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.history[kind])
--- a/internal/lab/storestand/store.go
+++ b/internal/lab/storestand/store.go
@@ -1,6 +1,6 @@
-// Package storestand is a stand-in of the platform's store: objects by kind and
-// name with one revision counter, lists, watches, conditional writes, and the
-// faults that the pages name. It keeps everything in memory.
+// Package storestand provides an in-memory fake of the platform's store for tests. It holds
+// objects by kind and name under one revision counter, and serves lists, watches and conditional
+// writes. Its endpoints inject the faults that the documentation of the platform describes.
 package storestand
 
 import (
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Metadata is the part of an object that the store keeps itself.
+// Metadata is the part of an object that the store maintains.
 type Metadata struct {
 	Name       string   `json:"name"`
 	Revision   uint64   `json:"revision"`
@@ -19,41 +19,42 @@
 	Deleting   bool     `json:"deleting"`
 }
 
-// Object is one stored object.
+// Object is a stored object.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 	Status   json.RawMessage `json:"status"`
 }
 
-// Event is one change.
+// Event is a change of an object. Deleted is set if the object was deleted.
 type Event struct {
-	Gone   bool   `json:"gone"`
-	Object Object `json:"object"`
+	Deleted bool   `json:"gone"`
+	Object  Object `json:"object"`
 }
 
-// Store is the stand-in.
+// Store is a fake store. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
 	objects  map[string]map[string]Object
-	// history holds the changes of each kind by revision.
+	// history holds the changes by kind, ordered by revision.
 	history map[string][]Event
-	// forgotten is the revision up to which history is gone.
-	forgotten uint64
-	changed   chan struct{}
-	// era counts how often the store came back from a copy, from 1 on.
+	// compactedRevision is the revision up to which the history has been dropped.
+	compactedRevision uint64
+	changed           chan struct{}
+	// era is 1 plus the number of restores.
 	era uint64
-	// eraHeader writes the era of answers, empty for none.
-	eraHeader func(era uint64) string
+	// formatEra formats the era for the header of answers, empty to omit the header.
+	formatEra func(era uint64) string
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{objects: map[string]map[string]Object{}, history: map[string][]Event{}, changed: make(chan struct{}), era: 1, eraHeader: writtenEra}
+	return &Store{objects: map[string]map[string]Object{}, history: map[string][]Event{}, changed: make(chan struct{}), era: 1, formatEra: formatDecimalEra}
 }
 
-// Put writes an object as the operator or a runner does, and returns its revision.
+// Put creates or replaces an object unconditionally, like the operator or a runner, and returns
+// its revision.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
@@ -61,18 +62,18 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.write(kind, name, encoded).Metadata.Revision
+	return s.writeLocked(kind, name, encoded).Metadata.Revision
 }
 
-// Remove deletes an object.
-func (s *Store) Remove(kind, name string) {
+// Delete deletes an object.
+func (s *Store) Delete(kind, name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.remove(kind, name)
+	s.removeLocked(kind, name)
 }
 
-// remove deletes an object. The mutex is held.
-func (s *Store) remove(kind, name string) {
+// removeLocked deletes an object if it exists. The mutex must be held.
+func (s *Store) removeLocked(kind, name string) {
 	object, found := s.objects[kind][name]
 	if !found {
 		return
@@ -80,19 +81,19 @@
 	delete(s.objects[kind], name)
 	s.revision++
 	object.Metadata.Revision = s.revision
-	s.history[kind] = append(s.history[kind], Event{Gone: true, Object: object})
-	s.wake()
+	s.history[kind] = append(s.history[kind], Event{Deleted: true, Object: object})
+	s.notifyWatchers()
 }
 
-// Forget drops all history.
-func (s *Store) Forget() {
+// CompactHistory drops the history of all kinds, so that watches from before have to list again.
+func (s *Store) CompactHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.forgotten = map[string][]Event{}, s.revision
-	s.wake()
+	s.history, s.compactedRevision = map[string][]Event{}, s.revision
+	s.notifyWatchers()
 }
 
-// Get returns an object.
+// Get returns an object, and whether it exists.
 func (s *Store) Get(kind, name string) (Object, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,7 +101,7 @@
 	return object, found
 }
 
-// Specs returns what the objects of the kind hold.
+// Specs returns the specs of the objects of the kind as JSON, in no particular order.
 func (s *Store) Specs(kind string) (specs []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,13 +111,14 @@
 	return specs
 }
 
-func (s *Store) wake() {
+// notifyWatchers wakes the pending watches. The mutex must be held.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// write stores an object. The mutex is held.
-func (s *Store) write(kind, name string, spec json.RawMessage) Object {
+// writeLocked creates or replaces an object. The mutex must be held.
+func (s *Store) writeLocked(kind, name string, spec json.RawMessage) Object {
 	s.revision++
 	object, found := s.objects[kind][name]
 	if !found {
@@ -128,22 +130,27 @@
 	}
 	s.objects[kind][name] = object
 	s.history[kind] = append(s.history[kind], Event{Object: object})
-	s.wake()
+	s.notifyWatchers()
 	return object
 }
 
-func (s *Store) since(kind string, from uint64) (events []Event, at uint64, gone bool, changed chan struct{}) {
+// eventsSince returns the changes of the kind after the revision, the revision up to which they
+// are complete, and a channel that is closed at the next change. compacted is set if the history
+// does not reach back to the revision, or if the revision is in the future.
+func (s *Store) eventsSince(kind string, fromRevision uint64) (events []Event, atRevision uint64, compacted bool, changed chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if from < s.forgotten || from > s.revision {
+	if fromRevision < s.compactedRevision || fromRevision > s.revision {
 		return nil, 0, true, s.changed
 	}
 	history := s.history[kind]
-	first := sort.Search(len(history), func(i int) bool { return history[i].Object.Metadata.Revision > from })
+	first := sort.Search(len(history), func(i int) bool { return history[i].Object.Metadata.Revision > fromRevision })
 	return append([]Event{}, history[first:]...), s.revision, false, s.changed
 }
 
-func (s *Store) apply(method, kind, name string, body Object) (int, Object) {
+// applyRequest applies a write request and returns the HTTP status with the object for the answer.
+// A put with a revision is applied only if it is the revision of the object.
+func (s *Store) applyRequest(method, kind, name string, body Object) (int, Object) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if method == http.MethodPost {
@@ -154,12 +161,12 @@
 	case method == http.MethodPost && found:
 		return http.StatusConflict, current
 	case method == http.MethodDelete && found:
-		s.remove(kind, name)
+		s.removeLocked(kind, name)
 		return http.StatusOK, current
 	case method != http.MethodPost && !found:
 		return http.StatusNotFound, Object{}
 	case method == http.MethodPut && body.Metadata.Revision != 0 && body.Metadata.Revision != current.Metadata.Revision:
 		return http.StatusConflict, current
 	}
-	return http.StatusOK, s.write(kind, name, body.Spec)
+	return http.StatusOK, s.writeLocked(kind, name, body.Spec)
 }
--- a/internal/lab/testkit/testkit.go
+++ b/internal/lab/testkit/testkit.go
@@ -11,7 +11,7 @@
 const fixedSeed = "20261202"
 
 // SetRapidDefaults makes the property tests of this process use fixedSeed and the given number
-// of checks. Values that are set on the command line take precedence.
+// of checks. Flags that no longer have rapid's default value keep the value that they have.
 func SetRapidDefaults(checks int) {
 	setIfDefault("rapid.seed", "0", fixedSeed)
 	setIfDefault("rapid.checks", "100", strconv.Itoa(checks))
--- a/internal/wire/lostconnection_test.go
+++ b/internal/wire/lostconnection_test.go
@@ -67,7 +67,7 @@
 	callOnce := func() bool { return pair.call(1, pullTimeout) }
 	g.Expect(callOnce()).To(BeTrue())
 	pair.client.lookupPeer(pair.proxy.Address).detector.recordOpened(time.Now().Add(-youngConnectionAge))
-	pair.proxy.Set(faultproxy.Mute)
+	pair.proxy.SetMode(faultproxy.MuteExisting)
 	mutedAt := time.Now()
 	g.Expect(callOnce()).To(BeFalse())
 	g.Eventually(callOnce, 5*time.Second).Should(BeTrue())
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -73,7 +73,7 @@
 			g := NewWithT(t)
 			pair := newProxiedPair(t, echo)
 			g.Expect(pair.call(1, time.Second)).To(BeTrue())
-			pair.proxy.Set(faultproxy.Mute)
+			pair.proxy.SetMode(faultproxy.MuteExisting)
 			mutedAt := time.Now()
 			g.Eventually(func() bool { return pair.call(2, timeout) }, 3*time.Second, time.Millisecond).Should(BeTrue())
 			t.Logf("first reply %v after the connection fell silent", time.Since(mutedAt).Round(time.Millisecond))
@@ -114,7 +114,7 @@
 	g := NewWithT(t)
 	pair := newProxiedPair(t, echo)
 	g.Expect(pair.call(1, time.Second)).To(BeTrue())
-	pair.proxy.Set(faultproxy.Delay)
+	pair.proxy.SetMode(faultproxy.Delay)
 	const calls = 10
 	late := 0
 	for range calls {
@@ -127,7 +127,7 @@
 	// time out that late.
 	g.Expect(late).To(BeNumerically(">", calls/2))
 	g.Expect(pair.listener.accepted.Load()).To(BeNumerically("<=", 2), "in %d calls", calls)
-	pair.proxy.Set(faultproxy.Pass)
+	pair.proxy.SetMode(faultproxy.Pass)
 	g.Eventually(func() bool { return pair.call(3, pullTimeout) }, time.Second).Should(BeTrue())
 }
 
@@ -197,7 +197,7 @@
 				send()
 			}
 			g.Expect(pair.listener.accepted.Load()).To(BeNumerically("==", 1), "a connection that is not silent was replaced")
-			pair.proxy.Set(faultproxy.Mute)
+			pair.proxy.SetMode(faultproxy.MuteExisting)
 			mutedAt, lastBeforeMute := time.Now(), sequence
 			g.Eventually(send, 3*time.Second, time.Millisecond).Should(BeNumerically(">", lastBeforeMute))
 			t.Logf("received %v after the connection fell silent, %d messages lost", time.Since(mutedAt).Round(time.Millisecond), lastReceived.Load()-lastBeforeMute-1)
