--- a/cmd/clovertiller-lab/soak.go
+++ b/cmd/clovertiller-lab/soak.go
@@ -43,8 +43,8 @@
 		}
 		fmt.Println("seed", seed)
 		report, err := soak.Run(ctx, soak.Settings{
-			Program: command, Older: older, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
-			Seed: seed, Duration: duration, Folder: soak.LogFolder(root, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
+			Program: command, OlderProgram: older, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
+			Seed: seed, FaultDuration: duration, Folder: soak.LogFolder(root, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
 		})
 		if err != nil {
 			return err
@@ -64,7 +64,7 @@
 func gatewayCommand() command {
 	subcommand := newSubcommand(gatewayCommandName, "Run a gateway whose clock the soak may hold up.")
 	return command{subcommand, func(context.Context) error {
-		if code := gatewaymain.Run(soak.SuspendableClock(os.Getenv(soak.SuspendedVariable))); code != 0 {
+		if code := gatewaymain.Run(soak.SuspendableClock(os.Getenv(soak.SuspendedFileEnvVar))); code != 0 {
 			return fmt.Errorf("the gateway ended with %d", code)
 		}
 		return nil
--- a/internal/lab/soak/calls.go
+++ b/internal/lab/soak/calls.go
@@ -13,40 +13,43 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// callRecord is one call with what its caller saw.
+// callRecord is a call and the outcome that its caller saw.
 type callRecord struct {
 	id     string
 	path   string
 	body   string
 	tenant string
-	// process is the name of the gateway that was called.
-	process string
-	// sent is when the caller sent it.
-	sent       time.Time
+	// gatewayName is the name of the gateway that was called.
+	gatewayName string
+	// sentAt is when the caller sent the call.
+	sentAt     time.Time
 	repeatable bool
 	status     int
-	// poison is set for a call that ends its runner, and quarantined when the call was
-	// refused for what it asks.
-	poison      bool
+	// isPoison is set for a call that crashes the runner that processes it. quarantined is set if
+	// the call was refused because its content is quarantined.
+	isPoison    bool
 	quarantined bool
-	// keyAdded is when the store took the call's key, if that is not taken away.
-	keyAdded time.Time
-	// keyTaken is true when the call was sent long after its key was taken away.
-	keyTaken   bool
-	sinceTaken time.Duration
+	// keyAddedAt is when the store acknowledged the call's API key. It is zero if the key has been
+	// revoked.
+	keyAddedAt time.Time
+	// usedRevokedKey is set if the call was sent after the bound within which the revocation of its
+	// key takes effect. sinceRevoked is the time between revocation and call.
+	usedRevokedKey bool
+	sinceRevoked   time.Duration
 }
 
-// promised tells whether the caller was told that the call has not run.
-func (c *callRecord) promised() bool {
+// wasRefusedUnprocessed reports whether the caller was told that the call was not processed.
+func (c *callRecord) wasRefusedUnprocessed() bool {
 	return c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests
 }
 
-// denied tells whether the caller was told that its key, which is not taken away, is not known.
-func (c *callRecord) denied() bool {
-	return c.status == http.StatusUnauthorized && !c.keyAdded.IsZero()
+// wasDeniedValidKey reports whether the caller was told that its API key is unknown although the
+// key has not been revoked.
+func (c *callRecord) wasDeniedValidKey() bool {
+	return c.status == http.StatusUnauthorized && !c.keyAddedAt.IsZero()
 }
 
-// callLog holds all calls of a run.
+// callLog holds all calls of a run. It is safe for concurrent use.
 type callLog struct {
 	mutex  sync.Mutex
 	calls  map[string]*callRecord
@@ -78,13 +81,15 @@
 	return calls
 }
 
+// totals returns the number of calls and the number of successful calls.
 func (l *callLog) totals() (calls, served int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.calls), l.served
 }
 
-func (l *callLog) ended(call *callRecord, status int, quarantined bool) {
+// recordEnd records the outcome of the call.
+func (l *callLog) recordEnd(call *callRecord, status int, quarantined bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	call.status, call.quarantined = status, quarantined
@@ -95,99 +100,101 @@
 
 // Times of calls.
 const (
-	callPause    = 25 * time.Millisecond
-	callDeadline = 3 * time.Second
-	// answerSlack is how long after its time-out a call may still be answered.
-	answerSlack = time.Second
-	// keySlack is kept from the bound on keys that were taken away.
-	keySlack = 100 * time.Millisecond
+	callInterval = 25 * time.Millisecond
+	callTimeout  = 3 * time.Second
+	// responseSlack is how long after its timeout a call may still be answered.
+	responseSlack = time.Second
+	// revocationSlack is a margin that is kept to maxRevokeDelay.
+	revocationSlack = 100 * time.Millisecond
 )
 
-// paths lists the routes with whether their calls may be repeated.
-var paths = []struct {
+// routes lists the path prefixes of the routes, and whether calls on them are repeatable.
+var routes = []struct {
 	path       string
 	repeatable bool
 }{{"/safe/", true}, {"/unsafe/", false}, {"/stream/", true}, {"/once/", false}}
 
-// call sends calls until the context ends.
-func (s *Soak) call(ctx context.Context, random *rand.Rand) {
+// sendCalls sends calls to random gateways until the context is done.
+func (s *Soak) sendCalls(ctx context.Context, random *rand.Rand) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	for number := 0; ctx.Err() == nil; number++ {
-		route := paths[random.IntN(len(paths))]
-		key, tenant, added, taken := s.config.key(random)
+		route := routes[random.IntN(len(routes))]
+		key, tenant, addedAt, revokedAt := s.config.randomKey(random)
 		call := &callRecord{
 			id: fmt.Sprintf("%x-%d", random.Uint64(), number), path: fmt.Sprintf("%s%d", route.path, number),
-			body: strings.Repeat("b", random.IntN(200)), tenant: tenant, repeatable: route.repeatable, keyAdded: added,
+			body: strings.Repeat("b", random.IntN(200)), tenant: tenant, repeatable: route.repeatable, keyAddedAt: addedAt,
 		}
-		if !taken.IsZero() {
-			call.sinceTaken = time.Since(taken)
-			call.keyTaken = call.sinceTaken > revokeTime+keySlack
+		if !revokedAt.IsZero() {
+			call.sinceRevoked = time.Since(revokedAt)
+			call.usedRevokedKey = call.sinceRevoked > maxRevokeDelay+revocationSlack
 		}
 		target := s.processes[random.IntN(len(s.processes))]
-		call.process = target.name
+		call.gatewayName = target.name
 		s.calls.add(call)
-		s.callOnce(ctx, client, target, call, key)
-		time.Sleep(callPause)
+		s.sendCall(ctx, client, target, call, key)
+		time.Sleep(callInterval)
 	}
 }
 
-func (s *Soak) callOnce(ctx context.Context, client *http.Client, target *process, call *callRecord, key string) {
-	ctx, cancel := context.WithTimeout(ctx, callDeadline+2*answerSlack)
+// sendCall sends the call to the gateway, records the outcome and checks the response.
+func (s *Soak) sendCall(ctx context.Context, client *http.Client, target *process, call *callRecord, key string) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+2*responseSlack)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target.addresses.Callers+call.path, strings.NewReader(call.body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target.addresses.CallAddress+call.path, strings.NewReader(call.body))
 	if err != nil {
 		return
 	}
-	// A body that cannot be read again keeps the client from sending it twice.
+	// Without GetBody the HTTP client cannot send the request a second time.
 	request.GetBody = nil
 	request.Host = hostName
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set(platform.HeaderRequestID, call.id)
-	request.Header.Set(platform.HeaderDeadlineMillis, fmt.Sprint(callDeadline.Milliseconds()))
+	request.Header.Set(platform.HeaderDeadlineMillis, fmt.Sprint(callTimeout.Milliseconds()))
 	request.Header.Set(platform.HeaderModel, modelName)
 	request.Header.Set(platform.HeaderPromptPrefix, "aa:100,bb:200,cc:50")
-	began := time.Now()
-	call.sent = began
+	start := time.Now()
+	call.sentAt = start
 	response, err := client.Do(request)
 	if err != nil {
-		s.checkAnswered(ctx, target, call, began)
+		s.checkResponseTime(ctx, target, call, start)
 		return
 	}
 	defer response.Body.Close()
-	s.signals.hear(call.process, response.Header)
+	s.signals.recordForwarded(call.gatewayName, response.Header)
 	body, err := io.ReadAll(response.Body)
-	s.calls.ended(call, response.StatusCode, string(body) == quarantinedText)
-	s.checkAnswered(ctx, target, call, began)
+	s.calls.recordEnd(call, response.StatusCode, string(body) == quarantinedBody)
+	s.checkResponseTime(ctx, target, call, start)
 	if response.StatusCode == http.StatusOK && err == nil {
-		s.checkAnswer(call, response.Header, string(body))
+		s.checkResponse(call, response.Header, string(body))
 	}
 }
 
-// checkAnswered checks that a gateway that was well answered in time.
-func (s *Soak) checkAnswered(ctx context.Context, target *process, call *callRecord, began time.Time) {
-	took := time.Since(began)
-	if took > callDeadline+answerSlack && ctx.Err() != context.Canceled && !target.harmedSince(began) {
-		s.fail("time: %s was not answered by %s after %v", call.id, target.name, took)
+// checkResponseTime fails the run if the call took too long although the gateway was available.
+func (s *Soak) checkResponseTime(ctx context.Context, target *process, call *callRecord, start time.Time) {
+	elapsed := time.Since(start)
+	if elapsed > callTimeout+responseSlack && ctx.Err() != context.Canceled && !target.wasUnavailableSince(start) {
+		s.failf("time: %s was not answered by %s after %v", call.id, target.name, elapsed)
 	}
 }
 
-// checkAnswer checks a success: its own, whole, in order.
-func (s *Soak) checkAnswer(call *callRecord, header http.Header, body string) {
+// checkResponse checks that the response to a successful call belongs to this call and is complete.
+func (s *Soak) checkResponse(call *callRecord, header http.Header, body string) {
 	if header.Get(platform.HeaderRequestID) != call.id || header.Get(platform.HeaderResponseStamp) == "" {
-		s.fail("own answer: %s got the head of %q", call.id, header.Get(platform.HeaderRequestID))
+		s.failf("own answer: %s got the response headers of %q", call.id, header.Get(platform.HeaderRequestID))
 	}
 	want := "answer to " + call.id
 	if strings.HasPrefix(call.path, "/stream/") || strings.HasPrefix(call.path, "/once/") {
-		want = wholeStream()
+		want = expectedStream()
 	}
 	if body != want {
-		s.fail("whole answer: %s (%s) got %q", call.id, call.path, body)
+		s.failf("whole answer: %s (%s) got %q", call.id, call.path, body)
 	}
 }
 
-func wholeStream() string {
+// expectedStream returns the complete body of a stream.
+func expectedStream() string {
 	var text strings.Builder
 	for id := 1; id <= streamEvents; id++ {
 		fmt.Fprintf(&text, "id: %d\ndata: piece %d\n\n", id, id)
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -12,77 +12,80 @@
 
 const hostName = "h.example"
 
-// configuration is what the operator has written.
+// configuration is what the operator has written to the store. It is safe for concurrent use.
 type configuration struct {
-	store   *storestand.Store
-	mutex   sync.Mutex
-	version int
-	named   uint64
-	// namedAt is when the store acknowledged each version of the weights but the first.
-	namedAt []time.Time
-	// keys are valid, and taken are those that were taken away. Both have the moment of the
-	// store's acknowledgement, added holds that of valid ones.
-	keys  []string
-	added map[string]time.Time
-	taken map[string]time.Time
-	next  int
+	store         *storestand.Store
+	mutex         sync.Mutex
+	configVersion int
+	weightVersion uint64
+	// weightChangeTimes holds when the store acknowledged each weight version after the first.
+	weightChangeTimes []time.Time
+	// validKeys holds the API keys that are not revoked. addedAt and revokedAt hold when the store
+	// acknowledged the addition of a valid key and the revocation of a key.
+	validKeys []string
+	addedAt   map[string]time.Time
+	revokedAt map[string]time.Time
+	keyCount  int
 }
 
-// tenantName is the only tenant.
+// tenantName is the name of the only tenant.
 const tenantName = "tenant-one"
 
 func newConfiguration(store *storestand.Store) *configuration {
-	c := &configuration{store: store, named: 1, added: map[string]time.Time{}, taken: map[string]time.Time{}}
+	c := &configuration{store: store, weightVersion: 1, addedAt: map[string]time.Time{}, revokedAt: map[string]time.Time{}}
 	for range 3 {
 		c.addKey()
 	}
-	c.write()
+	c.writeNextVersion()
 	return c
 }
 
 func (c *configuration) addKey() {
-	c.next++
-	c.keys = append(c.keys, fmt.Sprintf("key-%d", c.next))
+	c.keyCount++
+	c.validKeys = append(c.validKeys, fmt.Sprintf("key-%d", c.keyCount))
 }
 
-// write writes a new version.
-func (c *configuration) write() {
-	c.version++
-	c.put()
-	for _, key := range c.keys {
-		if c.added[key].IsZero() {
-			c.added[key] = time.Now()
+// writeNextVersion writes the next version of the configuration.
+func (c *configuration) writeNextVersion() {
+	c.configVersion++
+	c.putConfig()
+	for _, key := range c.validKeys {
+		if c.addedAt[key].IsZero() {
+			c.addedAt[key] = time.Now()
 		}
 	}
 }
 
-// writeAgain writes what is newest of all, as the operator does once the store has lost it.
-func (c *configuration) writeAgain() {
+// rewrite writes the latest configuration and weight version again, like an operator after the
+// store has lost them.
+func (c *configuration) rewrite() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.put()
-	if c.named > 1 {
-		c.putWeights()
+	c.putConfig()
+	if c.weightVersion > 1 {
+		c.putWeightVersion()
 	}
 }
 
-func (c *configuration) putWeights() {
-	c.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": c.named})
+// putWeightVersion writes the current weight version to the store.
+func (c *configuration) putWeightVersion() {
+	c.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": c.weightVersion})
 }
 
-func (c *configuration) put() {
-	route := func(name, kind, service string, more map[string]any) map[string]any {
+// putConfig writes the current configuration to the store.
+func (c *configuration) putConfig() {
+	route := func(name, kind, service string, extra map[string]any) map[string]any {
 		spec := map[string]any{
 			"name": name, "host": hostName, "path_prefix": "/" + name + "/", "kind": kind, "service": service,
-			"timeout_ms": callDeadline.Milliseconds(), "target_latency_ms": 300, "max_attempts": 2,
+			"timeout_ms": callTimeout.Milliseconds(), "target_latency_ms": 300, "max_attempts": 2,
 		}
-		for key, value := range more {
+		for key, value := range extra {
 			spec[key] = value
 		}
 		return spec
 	}
 	c.store.Put(platform.KindConfig, "main", map[string]any{
-		"version": c.version,
+		"version": c.configVersion,
 		"routes": []map[string]any{
 			route("safe", "safe", "plain", nil), route("unsafe", "unsafe", "plain", nil),
 			route("stream", "streaming", "engines", map[string]any{"sticky": true, "resumable": true}),
@@ -92,75 +95,76 @@
 			{"name": "plain"},
 			{"name": "engines", "engine": map[string]any{"slots": 8, "backups": true, "models": []map[string]any{{"name": modelName}}}},
 		},
-		"tenants": []map[string]any{{"name": tenantName, "api_keys": c.keys}},
+		"tenants": []map[string]any{{"name": tenantName, "api_keys": c.validKeys}},
 		"limits":  map[string]any{"max_body_bytes": 1 << 20},
 	})
 }
 
-// change writes a new version, sometimes with a key less and one more.
-func (c *configuration) change(revoke bool) {
+// update writes the next version of the configuration. With revoke it replaces the oldest valid key
+// by a new one.
+func (c *configuration) update(revoke bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !revoke {
-		c.write()
+		c.writeNextVersion()
 		return
 	}
-	gone := c.keys[0]
-	c.keys = c.keys[1:]
+	revokedKey := c.validKeys[0]
+	c.validKeys = c.validKeys[1:]
 	c.addKey()
-	c.write()
-	c.taken[gone] = time.Now()
+	c.writeNextVersion()
+	c.revokedAt[revokedKey] = time.Now()
 }
 
-// bump names new weights.
-func (c *configuration) bump() {
+// bumpWeights requests the next weight version.
+func (c *configuration) bumpWeights() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.named++
-	c.putWeights()
-	c.namedAt = append(c.namedAt, time.Now())
+	c.weightVersion++
+	c.putWeightVersion()
+	c.weightChangeTimes = append(c.weightChangeTimes, time.Now())
 }
 
-// replacedAt returns when a newer version than this one was first named, or false when
-// none was.
+// replacedAt returns when a newer weight version was first requested, and false if there is none.
 func (c *configuration) replacedAt(version uint64) (time.Time, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	index := int(version) - 1
-	if index < 0 || index >= len(c.namedAt) {
+	if index < 0 || index >= len(c.weightChangeTimes) {
 		return time.Time{}, false
 	}
-	return c.namedAt[index], true
+	return c.weightChangeTimes[index], true
 }
 
-func (c *configuration) weights() uint64 {
+func (c *configuration) currentWeightVersion() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.named
+	return c.weightVersion
 }
 
-// takenShare is one in how many calls that use a key that was taken away.
-const takenShare = 8
+// One in revokedKeyShare calls may use a revoked key.
+const revokedKeyShare = 8
 
-// validKey returns a key that is not taken away.
+// validKey returns a key that is not revoked.
 func (c *configuration) validKey() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.keys[len(c.keys)-1]
+	return c.validKeys[len(c.validKeys)-1]
 }
 
-// key returns a key with its tenant, and when it was added or, if it was, taken away.
-func (c *configuration) key(random *rand.Rand) (key, tenant string, added, taken time.Time) {
+// randomKey returns a key and its tenant. addedAt is set if the key is valid, revokedAt if it is
+// revoked.
+func (c *configuration) randomKey(random *rand.Rand) (key, tenant string, addedAt, revokedAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.taken) > 0 && random.IntN(takenShare) == 0 {
-		for number := 1; number < c.next; number++ {
+	if len(c.revokedAt) > 0 && random.IntN(revokedKeyShare) == 0 {
+		for number := 1; number < c.keyCount; number++ {
 			key := fmt.Sprintf("key-%d", number)
-			if at, gone := c.taken[key]; gone && random.IntN(2) == 0 {
+			if at, revoked := c.revokedAt[key]; revoked && random.IntN(2) == 0 {
 				return key, tenantName, time.Time{}, at
 			}
 		}
 	}
-	key = c.keys[random.IntN(len(c.keys))]
-	return key, tenantName, c.added[key], time.Time{}
+	key = c.validKeys[random.IntN(len(c.validKeys))]
+	return key, tenantName, c.addedAt[key], time.Time{}
 }
--- a/internal/lab/soak/descriptors.go
+++ b/internal/lab/soak/descriptors.go
@@ -10,35 +10,38 @@
 	"github.com/gravitational/trace"
 )
 
-// descriptorsPerPath is how many open files a path from a gateway to a runner may take in
-// the soak's process: both ends at its proxy, of the connection in use and of one that fell
-// silent for good. 150 gateways and 43 runners took 19,400 within 20 s of seed 5002.
+// descriptorsPerPath is the number of file descriptors that a path from a gateway to a runner may
+// use in the process of the soak: both ends at the proxy, of the connection in use and of one muted
+// connection. 150 gateways and 43 runners used 19,400 descriptors within 20 s of seed 5002.
 const descriptorsPerPath = 4
 
 const (
-	// watchInterval is how often the open files are counted: they rose by some 1,000 a second.
-	watchInterval = 200 * time.Millisecond
-	// mostUsed is the share of the limit, in percent, from which on a run says nothing of the
-	// gateways: a tenth goes within two such seconds.
-	mostUsed = 90
-	// openFiles lists the open files of the process, on systems that tell them.
-	openFiles = "/proc/self/fd"
+	// descriptorCheckInterval is the interval between two counts of open descriptors. Their number
+	// was seen to rise by about 1,000 per second.
+	descriptorCheckInterval = 200 * time.Millisecond
+	// maxUsedPercent is the percentage of the descriptor limit above which the results of a run are
+	// not meaningful. At the rate seen, a tenth of the limit is used up within two seconds.
+	maxUsedPercent = 90
+	// openFilesPath is the directory that lists the open descriptors of the process, on systems
+	// that have it.
+	openFilesPath = "/proc/self/fd"
 )
 
-// descriptors is how many open files the paths to runners may take.
-func (s Settings) descriptors() uint64 {
-	runners := plainRunners + cmp.Or(s.Engines, engines)
-	return uint64(cmp.Or(s.Gateways, gateways) * runners * descriptorsPerPath)
+// neededDescriptors returns the number of descriptors that the paths to runners may use.
+func (s Settings) neededDescriptors() uint64 {
+	runners := plainRunners + cmp.Or(s.Engines, defaultEngines)
+	return uint64(cmp.Or(s.Gateways, defaultGateways) * runners * descriptorsPerPath)
 }
 
-// checkDescriptors returns a trace.LimitExceeded if the process may not open that many files:
-// the stand-ins would take no more connections, which would look like faults of the gateways.
+// checkDescriptors returns a trace.LimitExceeded error if the descriptor limit is too low for the
+// number of gateways and runners. The fakes could not accept more connections, which would look
+// like a failure of the gateways.
 func (s Settings) checkDescriptors() error {
 	limit, err := descriptorLimit()
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if needed := s.descriptors(); needed > limit {
+	if needed := s.neededDescriptors(); needed > limit {
 		return trace.LimitExceeded("these gateways and runners may need %d open files, and the limit is %d", needed, limit)
 	}
 	return nil
@@ -50,24 +53,24 @@
 	return limit.Cur, err
 }
 
-// watchDescriptors fails the run once if nearly all open files are in use: paths between
-// gateways take some as well, whose number follows from the faults.
+// watchDescriptors fails the run once if nearly all descriptors are in use. neededDescriptors does
+// not include the connections between gateways, since their number depends on the faults.
 func (s *Soak) watchDescriptors(ctx context.Context) {
 	limit, err := descriptorLimit()
 	if err != nil {
-		s.fail("soak: the limit of open files is not known: %v", err)
+		s.failf("soak: cannot read the limit of open files: %v", err)
 		return
 	}
 	for ctx.Err() == nil {
-		entries, err := os.ReadDir(openFiles)
+		entries, err := os.ReadDir(openFilesPath)
 		if err != nil {
-			s.say("open files are not counted: %v", err)
+			s.logf("cannot count open files: %v", err)
 			return
 		}
-		if used := uint64(len(entries)); 100*used > mostUsed*limit {
-			s.fail("soak: %d of %d open files are in use, so what follows says nothing of the gateways", used, limit)
+		if used := uint64(len(entries)); 100*used > maxUsedPercent*limit {
+			s.failf("soak: %d of %d open files are in use, so later failures may not be caused by the gateways", used, limit)
 			return
 		}
-		time.Sleep(watchInterval)
+		time.Sleep(descriptorCheckInterval)
 	}
 }
--- a/internal/lab/soak/descriptors_test.go
+++ b/internal/lab/soak/descriptors_test.go
@@ -9,9 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// A soak of 150 gateways ran out of open files: its store took no connections for 20 s, and
-// gateways that could not have been ready counted as broken promises.
-func TestRunThatNeedsMoreOpenFilesThanThereAreIsRefused(t *testing.T) {
+// Guards against runs that exhaust the descriptor limit. In a soak of 150 gateways the store could
+// not accept connections for 20 s, and the gateways, which could not become ready, were reported as
+// broken.
+func TestRunFailsIfOpenFileLimitIsTooLow(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Run(context.Background(), Settings{
 		Program: []string{"no program"}, Folder: t.TempDir(), Out: io.Discard, Gateways: 1 << 15, Engines: 1 << 15,
--- a/internal/lab/soak/disturbances.go
+++ b/internal/lab/soak/disturbances.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// storeForEach is the subject of what disturbs the store, or connections to it, for
-// each gateway.
-const storeForEach = "store"
+// storeSubject is the subject of faults of the store, or of the connections to it, that affect all
+// gateways.
+const storeSubject = "store"
 
-// storeOf is the subject of what disturbs the store, or the path to it, for one gateway
-// alone; what disturbs its process has the gateway's name.
-func storeOf(gateway string) string { return "store of " + gateway }
+// gatewayStoreSubject returns the subject of faults of the store, or of the path to it, that affect
+// one gateway. The subject of faults of the gateway process is the name of the gateway.
+func gatewayStoreSubject(gateway string) string { return "store of " + gateway }
 
-// pathTo is the subject of what disturbs the path to the runner.
-func pathTo(runner string) string { return "path to " + runner }
+// runnerPathSubject returns the subject of faults of the path to the runner.
+func runnerPathSubject(runner string) string { return "path to " + runner }
 
-// span is a time in which something was disturbed.
-type span struct {
+// interval is a time interval during which something was disturbed.
+type interval struct {
 	from time.Time
-	// to is zero while it lasts.
+	// to is zero while the interval has not ended.
 	to time.Time
 }
 
-// disturbances records what the run has disturbed: gateways, paths to runners and the
-// store. Promises with a time bound hold for those that were left alone.
+// disturbances records when faults affected gateways, paths to runners and the store. Bounds on
+// times are checked only for gateways that were not affected. It is safe for concurrent use.
 type disturbances struct {
-	mutex sync.Mutex
-	spans map[string][]span
+	mutex     sync.Mutex
+	intervals map[string][]interval
 }
 
-func newDisturbances() *disturbances { return &disturbances{spans: map[string][]span{}} }
+func newDisturbances() *disturbances { return &disturbances{intervals: map[string][]interval{}} }
 
-// begin notes that the subject is disturbed from now on and returns what ends that.
+// begin records that the subject is disturbed from now on, until end is called.
 func (d *disturbances) begin(subject string) (end func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.spans[subject] = append(d.spans[subject], span{from: time.Now()})
-	index := len(d.spans[subject]) - 1
+	d.intervals[subject] = append(d.intervals[subject], interval{from: time.Now()})
+	index := len(d.intervals[subject]) - 1
 	return func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		d.spans[subject][index].to = time.Now()
+		d.intervals[subject][index].to = time.Now()
 	}
 }
 
-// last returns when any of the subjects was last disturbed up to the moment, which is
-// the moment itself while it lasts, and zero when none was.
-func (d *disturbances) last(moment time.Time, subjects ...string) time.Time {
+// lastDisturbed returns when any of the subjects was last disturbed up to the moment. It returns
+// the moment itself if one is disturbed then, and zero if none was disturbed.
+func (d *disturbances) lastDisturbed(moment time.Time, subjects ...string) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var last time.Time
 	for _, subject := range subjects {
-		for _, s := range d.spans[subject] {
+		for _, s := range d.intervals[subject] {
 			if s.from.After(moment) {
 				continue
 			}
@@ -60,13 +60,13 @@
 			if end.IsZero() || end.After(moment) {
 				end = moment
 			}
-			last = later(last, end)
+			last = laterOf(last, end)
 		}
 	}
 	return last
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -13,233 +13,233 @@
 
 // Times of faults.
 const (
-	faultGap  = 900 * time.Millisecond
-	faultMost = 4 * time.Second
-	// startTime is how long a started process may take to serve.
-	startTime = 2 * time.Second
+	meanFaultInterval = 900 * time.Millisecond
+	maxFaultDuration  = 4 * time.Second
+	// startupTime is the maximum time between the start of a process and its readiness.
+	startupTime = 2 * time.Second
 )
 
-// fault harms something for a while. It is called with the run's random source
-// and returns what it does and how it is undone.
-type fault func(duration time.Duration) (name string, undo func())
+// startFault starts a fault that lasts for the duration. It returns the description of the fault
+// and a function that ends it. Parameters of the fault are drawn from the run's random source.
+type startFault func(duration time.Duration) (name string, undo func())
 
-// harm injects faults until the time is over and returns how many. The last ones hold up
-// news while nothing new covers their effect.
-func (s *Soak) harm(ctx context.Context) int {
-	faults := []fault{
+// injectFaults injects faults for the configured duration and returns their number. The last faults
+// delay updates when no later fault hides their effect.
+func (s *Soak) injectFaults(ctx context.Context) int {
+	faults := []startFault{
 		s.freeze, s.restart(syscall.SIGKILL), s.restart(syscall.SIGTERM), s.reload, s.killAll,
-		s.storeForAll, s.storeForOne, s.storePath, s.runnerPath, s.runnerFault, s.drain,
-		s.forget, s.changeConfig, s.revoke, s.bump,
-		// More than one in a run of 20 s.
-		s.lateNews, s.lateNews, s.lateNews,
+		s.storeFaultForAll, s.storeFaultForOne, s.storePathFault, s.runnerPathFault, s.misbehaveRunner, s.drainRunner,
+		s.compactStoreHistory, s.changeConfig, s.revokeKey, s.bumpWeights,
+		// Listed three times so that a run of 20 s has more than one of them.
+		s.updatesDuringSilence, s.updatesDuringSilence, s.updatesDuringSilence,
 	}
-	deadline := time.Now().Add(s.settings.Duration)
+	deadline := time.Now().Add(s.settings.FaultDuration)
 	var group sync.WaitGroup
-	peers, peerCount := newPeerFaults(s), 0
-	group.Go(func() { peerCount = peers.run(ctx, deadline) })
-	others := 0
+	peerFaults, peerFaultCount := newPeerFaultInjector(s), 0
+	group.Go(func() { peerFaultCount = peerFaults.run(ctx, deadline) })
+	suspensionCount := 0
 	if s.settings.Poison {
 		group.Go(func() { s.poisons.run(ctx, deadline) })
 	}
 	if s.settings.Suspensions {
-		group.Go(func() { others = newSuspensions(s).run(ctx, deadline) })
+		group.Go(func() { suspensionCount = newSuspensionInjector(s).run(ctx, deadline) })
 	}
-	spoken := 0
+	signalCount := 0
 	if s.settings.Signals {
-		group.Go(func() { spoken = s.signals.run(ctx, deadline) })
+		group.Go(func() { signalCount = s.signals.run(ctx, deadline) })
 	}
-	restored := 0
+	restoreCount := 0
 	if s.settings.Restores {
-		group.Go(func() { restored = newRestores(s).run(ctx, deadline) })
+		group.Go(func() { restoreCount = newRestoreInjector(s).run(ctx, deadline) })
 	}
 	count := 1
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		s.inject(faults[s.random.IntN(len(faults))], &group)
 		count++
-		time.Sleep(faultGap/2 + time.Duration(s.random.Int64N(int64(faultGap))))
-		s.runners.refresh()
+		time.Sleep(meanFaultInterval/2 + time.Duration(s.random.Int64N(int64(meanFaultInterval))))
+		s.runners.writeEngineEntries()
 	}
-	s.inject(s.lateNews, &group)
+	s.inject(s.updatesDuringSilence, &group)
 	group.Wait()
-	peers.last()
-	return count + peerCount + others + spoken + restored + 1
+	peerFaults.injectLastCutOff()
+	return count + peerFaultCount + suspensionCount + signalCount + restoreCount + 1
 }
 
-// inject begins the fault, which ends in the group.
-func (s *Soak) inject(begin fault, group *sync.WaitGroup) {
-	duration := time.Duration(s.random.Int64N(int64(faultMost)))
-	name, undo := begin(duration)
-	s.say("fault: %s for %v", name, duration.Round(time.Millisecond))
+// inject starts the fault and ends it in the group.
+func (s *Soak) inject(start startFault, group *sync.WaitGroup) {
+	duration := time.Duration(s.random.Int64N(int64(maxFaultDuration)))
+	name, undo := start(duration)
+	s.logf("fault: %s for %v", name, duration.Round(time.Millisecond))
 	group.Go(func() {
 		time.Sleep(duration)
 		undo()
 	})
 }
 
-// heal undoes what may be left.
-func (s *Soak) heal() {
+// clearFaults ends faults that may still be active.
+func (s *Soak) clearFaults() {
 	for _, p := range s.processes {
-		p.door.SetFault(storestand.Healthy)
-		p.proxy.SetMode(faultproxy.Pass)
+		p.storeEndpoint.SetFault(storestand.Healthy)
+		p.storeProxy.SetMode(faultproxy.Pass)
 		p.signal(syscall.SIGCONT)
 	}
-	for _, runner := range s.runners.living() {
+	for _, runner := range s.runners.running() {
 		runner.SetBehaviour(runnerstand.Normal)
 		s.runners.proxy(runner.ID).SetMode(faultproxy.Pass)
-		s.runners.list(runner)
+		s.runners.writeEntry(runner)
 	}
 }
 
-func (s *Soak) anyProcess() *process { return s.processes[s.random.IntN(len(s.processes))] }
+func (s *Soak) randomProcess() *process { return s.processes[s.random.IntN(len(s.processes))] }
 
-func (s *Soak) anyRunner() *runnerstand.Runner {
-	living := s.runners.living()
-	return living[s.random.IntN(len(living))]
+func (s *Soak) randomRunner() *runnerstand.Runner {
+	running := s.runners.running()
+	return running[s.random.IntN(len(running))]
 }
 
 func (s *Soak) freeze(duration time.Duration) (string, func()) {
-	p := s.anyProcess()
-	p.harm(duration + startTime)
-	calm := s.disturbances.begin(p.name)
+	p := s.randomProcess()
+	p.markUnavailable(duration + startupTime)
+	endDisturbance := s.disturbances.begin(p.name)
 	p.signal(syscall.SIGSTOP)
-	return "freeze " + p.name, func() { p.signal(syscall.SIGCONT); calm() }
+	return "freeze " + p.name, func() { p.signal(syscall.SIGCONT); endDisturbance() }
 }
 
-func (s *Soak) restart(signal syscall.Signal) fault {
+func (s *Soak) restart(signal syscall.Signal) startFault {
 	return func(duration time.Duration) (string, func()) {
-		p := s.anyProcess()
-		p.harm(duration + graceTime + startTime)
-		calm := s.disturbances.begin(p.name)
-		ended := p.end(signal)
-		return signal.String() + " " + p.name, func() { s.startAgain(p, ended); calm() }
+		p := s.randomProcess()
+		p.markUnavailable(duration + gracePeriod + startupTime)
+		endDisturbance := s.disturbances.begin(p.name)
+		exited := p.terminate(signal)
+		return signal.String() + " " + p.name, func() { s.restartExited(p, exited); endDisturbance() }
 	}
 }
 
 func (s *Soak) killAll(duration time.Duration) (string, func()) {
-	var ended []<-chan struct{}
-	var calm []func()
+	var exited []<-chan struct{}
+	var endDisturbances []func()
 	for _, p := range s.processes {
-		p.harm(duration + startTime)
-		calm = append(calm, s.disturbances.begin(p.name))
-		ended = append(ended, p.end(syscall.SIGKILL))
+		p.markUnavailable(duration + startupTime)
+		endDisturbances = append(endDisturbances, s.disturbances.begin(p.name))
+		exited = append(exited, p.terminate(syscall.SIGKILL))
 	}
 	return "kill all", func() {
 		for i, p := range s.processes {
-			s.startAgain(p, ended[i])
-			calm[i]()
+			s.restartExited(p, exited[i])
+			endDisturbances[i]()
 		}
 	}
 }
 
-// startAgain starts a process once the one before has ended. One that takes
-// longer than its grace breaks a promise and is killed.
-func (s *Soak) startAgain(p *process, ended <-chan struct{}) {
+// restartExited starts the process again after the previous one has exited. A process that exceeds
+// its grace period fails the run and is killed.
+func (s *Soak) restartExited(p *process, exited <-chan struct{}) {
 	for waiting := true; waiting; {
 		select {
-		case <-ended:
+		case <-exited:
 			waiting = false
-		case <-time.After(graceTime + startTime + faultMost):
-			s.fail("stop: %s did not end within its grace", p.name)
+		case <-time.After(gracePeriod + startupTime + maxFaultDuration):
+			s.failf("stop: %s did not exit within its grace period", p.name)
 			p.kill()
 		}
 	}
 	if err := p.start(); err != nil {
-		s.fail("start: %s: %v", p.name, err)
+		s.failf("start: %s: %v", p.name, err)
 	}
-	p.harm(startTime)
+	p.markUnavailable(startupTime)
 }
 
 func (s *Soak) reload(time.Duration) (string, func()) {
-	p := s.anyProcess()
-	if !p.listens() {
-		// A program that has not come to handle the signal yet is ended by it.
+	p := s.randomProcess()
+	if !p.isListening() {
+		// SIGHUP terminates a process that has not yet installed its signal handler.
 		return "reload " + p.name + ", which has not started", func() {}
 	}
 	p.signal(syscall.SIGHUP)
 	return "reload " + p.name, func() {}
 }
 
-func (s *Soak) storeFault() storestand.Fault {
+func (s *Soak) randomStoreFault() storestand.Fault {
 	faults := []storestand.Fault{storestand.Busy, storestand.Throttled, storestand.Hangs, storestand.Reset, storestand.LosesResponses}
 	return faults[s.random.IntN(len(faults))]
 }
 
-func (s *Soak) storeForAll(time.Duration) (string, func()) {
-	fault := s.storeFault()
-	calm := s.disturbances.begin(storeForEach)
+func (s *Soak) storeFaultForAll(time.Duration) (string, func()) {
+	fault := s.randomStoreFault()
+	endDisturbance := s.disturbances.begin(storeSubject)
 	for _, p := range s.processes {
-		p.door.SetFault(fault)
+		p.storeEndpoint.SetFault(fault)
 	}
 	return "store " + fault.String() + " for all", func() {
 		for _, p := range s.processes {
-			p.door.SetFault(storestand.Healthy)
+			p.storeEndpoint.SetFault(storestand.Healthy)
 		}
-		calm()
+		endDisturbance()
 	}
 }
 
-func (s *Soak) storeForOne(time.Duration) (string, func()) {
-	p, fault := s.anyProcess(), s.storeFault()
-	calm := s.disturbances.begin(storeOf(p.name))
-	p.door.SetFault(fault)
-	return "store " + fault.String() + " for " + p.name, func() { p.door.SetFault(storestand.Healthy); calm() }
+func (s *Soak) storeFaultForOne(time.Duration) (string, func()) {
+	p, fault := s.randomProcess(), s.randomStoreFault()
+	endDisturbance := s.disturbances.begin(gatewayStoreSubject(p.name))
+	p.storeEndpoint.SetFault(fault)
+	return "store " + fault.String() + " for " + p.name, func() { p.storeEndpoint.SetFault(storestand.Healthy); endDisturbance() }
 }
 
-func (s *Soak) pathMode() faultproxy.Mode {
+func (s *Soak) randomProxyMode() faultproxy.Mode {
 	modes := []faultproxy.Mode{faultproxy.Delay, faultproxy.Reset, faultproxy.DropResponses, faultproxy.Blackhole}
 	return modes[s.random.IntN(len(modes))]
 }
 
-func (s *Soak) storePath(time.Duration) (string, func()) {
-	p, mode := s.anyProcess(), s.pathMode()
-	calm := s.disturbances.begin(storeOf(p.name))
-	p.proxy.SetMode(mode)
-	return "path to the store of " + p.name + ": " + mode.String(), func() { p.proxy.SetMode(faultproxy.Pass); calm() }
+func (s *Soak) storePathFault(time.Duration) (string, func()) {
+	p, mode := s.randomProcess(), s.randomProxyMode()
+	endDisturbance := s.disturbances.begin(gatewayStoreSubject(p.name))
+	p.storeProxy.SetMode(mode)
+	return "path to the store of " + p.name + ": " + mode.String(), func() { p.storeProxy.SetMode(faultproxy.Pass); endDisturbance() }
 }
 
-func (s *Soak) runnerPath(time.Duration) (string, func()) {
-	runner, mode := s.anyRunner(), s.pathMode()
+func (s *Soak) runnerPathFault(time.Duration) (string, func()) {
+	runner, mode := s.randomRunner(), s.randomProxyMode()
 	proxy := s.runners.proxy(runner.ID)
-	calm := s.disturbances.begin(pathTo(runner.ID))
+	endDisturbance := s.disturbances.begin(runnerPathSubject(runner.ID))
 	proxy.SetMode(mode)
-	return "path to runner " + runner.ID + ": " + mode.String(), func() { proxy.SetMode(faultproxy.Pass); calm() }
+	return "path to runner " + runner.ID + ": " + mode.String(), func() { proxy.SetMode(faultproxy.Pass); endDisturbance() }
 }
 
-func (s *Soak) runnerFault(time.Duration) (string, func()) {
+func (s *Soak) misbehaveRunner(time.Duration) (string, func()) {
 	behaviours := []runnerstand.Behaviour{
 		runnerstand.Fails, runnerstand.Sheds, runnerstand.Drops, runnerstand.TruncatesResponse, runnerstand.Hangs,
 		runnerstand.MismatchesRequestID, runnerstand.OmitsStamp, runnerstand.Delays, runnerstand.Queues, runnerstand.QueuesAfterHeaders,
 	}
-	runner, behaviour := s.anyRunner(), behaviours[s.random.IntN(len(behaviours))]
+	runner, behaviour := s.randomRunner(), behaviours[s.random.IntN(len(behaviours))]
 	runner.SetBehaviour(behaviour)
 	return "runner " + runner.ID + " " + behaviour.String(), func() { runner.SetBehaviour(runnerstand.Normal) }
 }
 
-func (s *Soak) drain(time.Duration) (string, func()) {
-	runner := s.anyRunner()
-	comeBack := s.runners.leave(runner)
+func (s *Soak) drainRunner(time.Duration) (string, func()) {
+	runner := s.randomRunner()
+	stopDraining := s.runners.startDraining(runner)
 	return "drain " + runner.ID, func() {
-		time.Sleep(leaveLeast)
-		comeBack()
+		time.Sleep(minDrainTime)
+		stopDraining()
 	}
 }
 
-func (s *Soak) forget(time.Duration) (string, func()) {
+func (s *Soak) compactStoreHistory(time.Duration) (string, func()) {
 	s.store.CompactHistory()
 	return "store forgets its history", func() {}
 }
 
 func (s *Soak) changeConfig(time.Duration) (string, func()) {
-	s.config.change(false)
+	s.config.update(false)
 	return "new configuration", func() {}
 }
 
-func (s *Soak) revoke(time.Duration) (string, func()) {
-	s.config.change(true)
+func (s *Soak) revokeKey(time.Duration) (string, func()) {
+	s.config.update(true)
 	return "a key is taken away", func() {}
 }
 
-func (s *Soak) bump(time.Duration) (string, func()) {
-	s.config.bump()
+func (s *Soak) bumpWeights(time.Duration) (string, func()) {
+	s.config.bumpWeights()
 	return "new weights", func() {}
 }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -12,34 +12,35 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// modelName is the model that the engines hold.
+// modelName is the name of the model of the engines.
 const modelName = "m"
 
-// queueTime is how long calls queue at a runner that is told so: less than the time of a
-// call, so that those that are not withdrawn begin.
+// queueTime is how long calls queue at runners that queue calls. It is below callTimeout, so that
+// calls that are not withdrawn are processed.
 const queueTime = 1500 * time.Millisecond
 
-// fleet is the runners, each behind a proxy.
+// fleet holds the runners, each behind a proxy. It is safe for concurrent use.
 type fleet struct {
 	store   *storestand.Store
 	mutex   sync.Mutex
 	runners []*runnerstand.Runner
 	proxies map[string]*faultproxy.Proxy
-	// listing is held while an entry is written, so that entries follow the states.
-	listing sync.Mutex
-	// leaves holds when each runner said that it leaves and when it came back.
-	leaves map[string][]span
-	// ended holds the runners that have ended for good.
-	ended map[string]bool
+	// entryMutex is held while a directory entry is written, so that entries match the states. It
+	// guards drains.
+	entryMutex sync.Mutex
+	// drains holds the intervals during which each runner was draining.
+	drains map[string][]interval
+	// crashed holds the runners that have crashed. They are never started again.
+	crashed map[string]bool
 }
 
 func newFleet(store *storestand.Store) *fleet {
-	return &fleet{store: store, proxies: map[string]*faultproxy.Proxy{}, leaves: map[string][]span{}, ended: map[string]bool{}}
+	return &fleet{store: store, proxies: map[string]*faultproxy.Proxy{}, drains: map[string][]interval{}, crashed: map[string]bool{}}
 }
 
-// add starts a runner with the version of the weights, which the poison ends.
+// add starts a runner with the weight version, and adds it to the directory.
 func (f *fleet) add(id, service string, version uint64, poison runnerstand.Poison) error {
-	config := runnerstand.Config{ID: id, Service: service, Zone: "z", ResponseDelay: 300 * time.Millisecond, FindPeer: f.at, Poison: poison, Incarnation: 1}
+	config := runnerstand.Config{ID: id, Service: service, Zone: "z", ResponseDelay: 300 * time.Millisecond, FindPeer: f.runnerAt, Poison: poison, Incarnation: 1}
 	if service == "engines" {
 		config.Model, config.Version, config.EventCount = modelName, version, streamEvents
 	}
@@ -56,113 +57,116 @@
 	f.runners = append(f.runners, runner)
 	f.proxies[id] = proxy
 	f.mutex.Unlock()
-	f.list(runner)
+	f.writeEntry(runner)
 	return nil
 }
 
-// end takes a runner that has ended out of what faults and heartbeats touch, and tells
-// whether it had not ended before. Its machine refuses connections.
-func (f *fleet) end(runner *runnerstand.Runner) bool {
+// markCrashed excludes a crashed runner from faults and heartbeats, and closes its proxy so that
+// connections are refused. It returns false if the runner had crashed before.
+func (f *fleet) markCrashed(runner *runnerstand.Runner) bool {
 	f.mutex.Lock()
-	before, proxy := f.ended[runner.ID], f.proxies[runner.ID]
-	f.ended[runner.ID] = true
+	crashedBefore, proxy := f.crashed[runner.ID], f.proxies[runner.ID]
+	f.crashed[runner.ID] = true
 	f.mutex.Unlock()
 	proxy.Close()
-	return !before
+	return !crashedBefore
 }
 
-// hasEnded tells whether the runner has ended for good.
-func (f *fleet) hasEnded(id string) bool {
+// hasCrashed reports whether the runner has crashed.
+func (f *fleet) hasCrashed(id string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.ended[id]
+	return f.crashed[id]
 }
 
-// lapse removes the entries of runners that have ended.
-func (f *fleet) lapse() {
-	f.listing.Lock()
-	defer f.listing.Unlock()
+// deleteCrashedEntries deletes the directory entries of crashed runners.
+func (f *fleet) deleteCrashedEntries() {
+	f.entryMutex.Lock()
+	defer f.entryMutex.Unlock()
 	for _, runner := range f.all() {
-		if f.hasEnded(runner.ID) {
+		if f.hasCrashed(runner.ID) {
 			f.store.Delete(platform.KindRunners, runner.ID)
 		}
 	}
 }
 
-// living returns the runners that have not ended.
-func (f *fleet) living() []*runnerstand.Runner {
-	return slices.DeleteFunc(f.all(), func(runner *runnerstand.Runner) bool { return f.hasEnded(runner.ID) })
+// running returns the runners that have not crashed.
+func (f *fleet) running() []*runnerstand.Runner {
+	return slices.DeleteFunc(f.all(), func(runner *runnerstand.Runner) bool { return f.hasCrashed(runner.ID) })
 }
 
-// list writes the runner's directory entry as its heartbeat does.
-func (f *fleet) list(runner *runnerstand.Runner) {
-	f.listing.Lock()
-	defer f.listing.Unlock()
-	f.write(runner)
+// writeEntry writes the directory entry of the runner, like its heartbeat.
+func (f *fleet) writeEntry(runner *runnerstand.Runner) {
+	f.entryMutex.Lock()
+	defer f.entryMutex.Unlock()
+	f.writeEntryLocked(runner)
 }
 
-// listAll has all runners that have not ended write their entries.
-func (f *fleet) listAll() {
-	for _, runner := range f.living() {
-		f.list(runner)
+// writeAllEntries writes the directory entries of all runners that have not crashed.
+func (f *fleet) writeAllEntries() {
+	for _, runner := range f.running() {
+		f.writeEntry(runner)
 	}
 }
 
-// leave has the runner say that it leaves, unless it does already or half of its service
-// would be gone. It returns what ends this leave, so that no other fault shortens it.
-func (f *fleet) leave(runner *runnerstand.Runner) (comeBack func()) {
-	f.listing.Lock()
-	defer f.listing.Unlock()
-	fellows := f.ofService(runner.Service)
-	gone := 0
-	for _, fellow := range fellows {
-		if f.isLeaving(fellow.ID) {
-			gone++
+// startDraining marks the runner as draining, unless it is draining already or more than half of
+// the runners of its service would be draining. It returns a function that ends this drain. The
+// function does nothing if the runner was not marked, so that no fault ends the drain of another
+// one.
+func (f *fleet) startDraining(runner *runnerstand.Runner) (stopDraining func()) {
+	f.entryMutex.Lock()
+	defer f.entryMutex.Unlock()
+	sameService := f.ofService(runner.Service)
+	drainingCount := 0
+	for _, other := range sameService {
+		if f.isDraining(other.ID) {
+			drainingCount++
 		}
 	}
-	if f.isLeaving(runner.ID) || 2*(gone+1) > len(fellows) {
+	if f.isDraining(runner.ID) || 2*(drainingCount+1) > len(sameService) {
 		return func() {}
 	}
-	f.leaves[runner.ID] = append(f.leaves[runner.ID], span{})
-	f.write(runner)
-	f.leaves[runner.ID][len(f.leaves[runner.ID])-1].from = time.Now()
-	return func() { f.comeBack(runner) }
-}
-
-// comeBack has a runner that leaves take work again.
-func (f *fleet) comeBack(runner *runnerstand.Runner) {
-	f.listing.Lock()
-	defer f.listing.Unlock()
-	f.leaves[runner.ID][len(f.leaves[runner.ID])-1].to = time.Now()
-	f.write(runner)
-}
-
-// isLeaving tells whether the runner leaves now. The mutex of listing is held.
-func (f *fleet) isLeaving(id string) bool {
-	leaves := f.leaves[id]
-	return len(leaves) > 0 && leaves[len(leaves)-1].to.IsZero()
-}
-
-// leavingSince returns since when the runner was leaving at the moment, or false when it
-// was not.
-func (f *fleet) leavingSince(id string, moment time.Time) (time.Time, bool) {
-	f.listing.Lock()
-	defer f.listing.Unlock()
-	for _, leave := range f.leaves[id] {
-		if !moment.Before(leave.from) && (leave.to.IsZero() || moment.Before(leave.to)) {
-			return leave.from, true
+	f.drains[runner.ID] = append(f.drains[runner.ID], interval{})
+	f.writeEntryLocked(runner)
+	f.drains[runner.ID][len(f.drains[runner.ID])-1].from = time.Now()
+	return func() { f.stopDraining(runner) }
+}
+
+// stopDraining makes a draining runner accept calls again.
+func (f *fleet) stopDraining(runner *runnerstand.Runner) {
+	f.entryMutex.Lock()
+	defer f.entryMutex.Unlock()
+	f.drains[runner.ID][len(f.drains[runner.ID])-1].to = time.Now()
+	f.writeEntryLocked(runner)
+}
+
+// isDraining reports whether the runner is draining. entryMutex must be held.
+func (f *fleet) isDraining(id string) bool {
+	drains := f.drains[id]
+	return len(drains) > 0 && drains[len(drains)-1].to.IsZero()
+}
+
+// drainingSince returns since when the runner had been draining at the moment, and false if it was
+// not draining.
+func (f *fleet) drainingSince(id string, moment time.Time) (time.Time, bool) {
+	f.entryMutex.Lock()
+	defer f.entryMutex.Unlock()
+	for _, drain := range f.drains[id] {
+		if !moment.Before(drain.from) && (drain.to.IsZero() || moment.Before(drain.to)) {
+			return drain.from, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// write stores the runner's entry, with the proxy's address, unless it has ended. The mutex of listing is held.
-func (f *fleet) write(runner *runnerstand.Runner) {
-	if f.hasEnded(runner.ID) {
+// writeEntryLocked writes the directory entry of the runner, with the address of its proxy, unless
+// the runner has crashed. entryMutex must be held.
+func (f *fleet) writeEntryLocked(runner *runnerstand.Runner) {
+	if f.hasCrashed(runner.ID) {
 		return
 	}
 	state := "ready"
-	if f.isLeaving(runner.ID) {
+	if f.isDraining(runner.ID) {
 		state = "draining"
 	}
 	entry := runner.DirectoryEntry(state)
@@ -184,7 +188,7 @@
 
 func (f *fleet) ofService(service string) []*runnerstand.Runner {
 	var found []*runnerstand.Runner
-	for _, runner := range f.living() {
+	for _, runner := range f.running() {
 		if runner.Service == service {
 			found = append(found, runner)
 		}
@@ -192,8 +196,8 @@
 	return found
 }
 
-// at returns the runner that is reached at the address.
-func (f *fleet) at(address string) *runnerstand.Runner {
+// runnerAt returns the runner whose proxy has the address, nil if there is none.
+func (f *fleet) runnerAt(address string) *runnerstand.Runner {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, runner := range f.runners {
@@ -204,14 +208,15 @@
 	return nil
 }
 
-// refresh writes the engines' entries anew, as their heartbeats would.
-func (f *fleet) refresh() {
+// writeEngineEntries writes the directory entries of all engines, like their heartbeats.
+func (f *fleet) writeEngineEntries() {
 	for _, runner := range f.ofService("engines") {
-		f.list(runner)
+		f.writeEntry(runner)
 	}
 }
 
-func (f *fleet) ordersInTime() []runnerstand.Order {
+// ordersByTime returns the orders that all runners received, oldest first.
+func (f *fleet) ordersByTime() []runnerstand.Order {
 	var orders []runnerstand.Order
 	for _, runner := range f.all() {
 		orders = append(orders, runner.Orders()...)
--- /dev/null
+++ b/internal/lab/soak/keyupdates.go
@@ -0,0 +1,30 @@
+package soak
+
+import "time"
+
+// maxConfigDelay is the time within which undisturbed gateways must apply a configuration.
+const maxConfigDelay = 2 * time.Second
+
+// checkConfigUpdates checks that undisturbed gateways applied new API keys in time.
+func (s *Soak) checkConfigUpdates() {
+	var found []lateRequest
+	for _, call := range s.calls.all() {
+		if late, broken := s.checkDeniedKey(call); broken {
+			found = append(found, late)
+		}
+	}
+	s.failLateRequests(found)
+}
+
+// checkDeniedKey reports whether the call was denied although its key had been added for longer
+// than maxConfigDelay and the gateway could learn of the key.
+func (s *Soak) checkDeniedKey(call *callRecord) (lateRequest, bool) {
+	if !call.wasDeniedValidKey() {
+		return lateRequest{}, false
+	}
+	late := lateRequest{
+		kind: "older configuration", gateway: call.gatewayName, runner: "any runner", requestID: call.id, observedAt: call.sentAt, updateAge: call.sentAt.Sub(call.keyAddedAt),
+		undisturbed: min(s.undisturbedFor(call.sentAt, storeSubject, call.gatewayName), s.informedFor(call.sentAt, call.gatewayName)),
+	}
+	return late, late.updateAge > maxConfigDelay && late.undisturbed > contactTime
+}
--- a/internal/lab/soak/peers.go
+++ b/internal/lab/soak/peers.go
@@ -10,50 +10,53 @@
 	"github.com/clovertiller/clovertiller/internal/lab/faultproxy"
 )
 
-// Silences between gateways.
+// Faults of connections between gateways.
 const (
-	// peerFaultGap is the mean time between two faults of connections between gateways.
-	peerFaultGap = 2 * time.Second
-	// cutOffShare is one in how many of them that cuts a gateway off the store, too.
+	// meanPeerFaultInterval is the mean interval between two faults of connections between
+	// gateways.
+	meanPeerFaultInterval = 2 * time.Second
+	// One in cutOffShare of these faults also cuts a gateway off the store.
 	cutOffShare = 3
-	// cutOffTime is how long that lasts: beyond the news and the times in which a gateway
-	// need not know it.
-	cutOffTime = cutOffNews + drainTime + contactTime
-	// cutOffNews is how long after the silence the news comes at most: a gateway that
-	// learns nothing uses what it knows for its configuration's time only.
-	cutOffNews = 500 * time.Millisecond
+	// cutOffDuration is how long a gateway stays cut off. It exceeds the delay of the update plus
+	// the time in which the gateway need not know it.
+	cutOffDuration = maxCutOffUpdateDelay + maxDrainDelay + contactTime
+	// maxCutOffUpdateDelay is the maximum time between the cut-off and the update. It is short
+	// because a gateway that receives no updates uses its state only until the configuration
+	// expires.
+	maxCutOffUpdateDelay = 500 * time.Millisecond
 )
 
-// peerFaults silences open connections between gateways for good while new ones work.
-// It draws from a random source of its own, so that a seed's other faults stay the same.
-type peerFaults struct {
+// peerFaultInjector permanently mutes open connections between gateways, while new ones work. It
+// has its own random source, so that the other faults of a seed do not change.
+type peerFaultInjector struct {
 	soak   *Soak
 	random *rand.Rand
 	group  sync.WaitGroup
 }
 
-func newPeerFaults(s *Soak) *peerFaults {
-	return &peerFaults{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+1))}
+func newPeerFaultInjector(s *Soak) *peerFaultInjector {
+	return &peerFaultInjector{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+1))}
 }
 
-// last cuts a gateway off when no other fault covers the effect, until that has ended.
-func (f *peerFaults) last() {
+// injectLastCutOff cuts a gateway off at the end of a run, when no other fault hides the effect,
+// and waits for the end of the fault.
+func (f *peerFaultInjector) injectLastCutOff() {
 	f.cutOff()
 	f.group.Wait()
 }
 
-// run injects faults until the time is over and returns how many, once all have ended.
-func (f *peerFaults) run(ctx context.Context, deadline time.Time) int {
+// run injects faults until the deadline, waits for their end and returns their number.
+func (f *peerFaultInjector) run(ctx context.Context, deadline time.Time) int {
 	count := 0
 	for {
-		time.Sleep(peerFaultGap/2 + f.upTo(peerFaultGap))
+		time.Sleep(meanPeerFaultInterval/2 + f.randomDuration(meanPeerFaultInterval))
 		if !time.Now().Before(deadline) || ctx.Err() != nil {
 			break
 		}
 		if f.random.IntN(cutOffShare) == 0 {
 			f.cutOff()
 		} else {
-			f.silences()
+			f.mutePeersRepeatedly()
 		}
 		count++
 	}
@@ -61,58 +64,61 @@
 	return count
 }
 
-func (f *peerFaults) upTo(most time.Duration) time.Duration {
-	return time.Duration(f.random.Int64N(int64(most)))
+// randomDuration returns a random duration in [0, limit).
+func (f *peerFaultInjector) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
 }
 
-func (f *peerFaults) anyProcess() *process {
+func (f *peerFaultInjector) randomProcess() *process {
 	return f.soak.processes[f.random.IntN(len(f.soak.processes))]
 }
 
-// silences ends what is heard on open connections between gateways some times in a row.
-func (f *peerFaults) silences() {
+// mutePeersRepeatedly mutes the open connections between gateways one or more times in a row.
+func (f *peerFaultInjector) mutePeersRepeatedly() {
 	var names []string
-	wait := time.Duration(0)
-	for range 1 + f.random.IntN(silencesMost) {
-		silenced := f.soak.processes
+	delay := time.Duration(0)
+	for range 1 + f.random.IntN(maxSilences) {
+		muted := f.soak.processes
 		if f.random.IntN(2) == 0 {
-			silenced = []*process{f.anyProcess()}
+			muted = []*process{f.randomProcess()}
 		}
-		names = append(names, namesOf(silenced))
-		f.later(wait, func() { mutePeers(silenced) })
-		wait += f.upTo(silenceGapMost)
+		names = append(names, joinNames(muted))
+		f.runAfter(delay, func() { mutePeers(muted) })
+		delay += f.randomDuration(maxSilenceInterval)
 	}
-	f.soak.say("fault: open connections from others fall silent: %s", strings.Join(names, ", then "))
+	f.soak.logf("fault: open connections from others fall silent: %s", strings.Join(names, ", then "))
 }
 
-// cutOff silences all open connections between gateways while one of them does not reach
-// the store, and has a runner leave: that gateway can learn of it on new connections to
-// the others only.
-func (f *peerFaults) cutOff() {
-	s, p := f.soak, f.anyProcess()
-	runners := s.runners.living()
-	next := s.leaving(runners[f.random.IntN(len(runners))])
-	calm := s.disturbances.begin(storeOf(p.name))
-	p.proxy.SetMode(faultproxy.Blackhole)
+// cutOff mutes all open connections between gateways, cuts one gateway off the store and drains a
+// runner. That gateway can learn of the drain only over new connections to the others.
+func (f *peerFaultInjector) cutOff() {
+	s, p := f.soak, f.randomProcess()
+	runners := s.runners.running()
+	drain := s.drainStep(runners[f.random.IntN(len(runners))])
+	endDisturbance := s.disturbances.begin(gatewayStoreSubject(p.name))
+	p.storeProxy.SetMode(faultproxy.Blackhole)
 	mutePeers(s.processes)
-	f.later(f.upTo(cutOffNews), next.do)
-	f.later(cutOffTime, func() { p.proxy.SetMode(faultproxy.Pass); calm() })
-	s.say("fault: %s is cut off the store and all open connections between gateways fall silent, %s", p.name, next.name)
+	f.runAfter(f.randomDuration(maxCutOffUpdateDelay), drain.run)
+	f.runAfter(cutOffDuration, func() { p.storeProxy.SetMode(faultproxy.Pass); endDisturbance() })
+	s.logf("fault: %s is cut off the store and all open connections between gateways fall silent, %s", p.name, drain.name)
 }
 
-func (f *peerFaults) later(wait time.Duration, do func()) {
-	f.group.Go(func() { time.Sleep(wait); do() })
+// runAfter calls do after the delay, in the group.
+func (f *peerFaultInjector) runAfter(delay time.Duration, do func()) {
+	f.group.Go(func() { time.Sleep(delay); do() })
 }
 
-// mutePeers silences for good what is open to the gateways from others. It counts as no
-// disturbance: others replace such connections within a fraction of a second.
+// mutePeers permanently mutes the open connections from other gateways to the given ones. It is not
+// recorded as a disturbance, because gateways must replace such connections within a fraction of a
+// second.
 func mutePeers(processes []*process) {
 	for _, p := range processes {
 		p.peerProxy.SetMode(faultproxy.MuteExisting)
 	}
 }
 
-func namesOf(processes []*process) string {
+// joinNames returns the names of the processes for a log line.
+func joinNames(processes []*process) string {
 	var names []string
 	for _, p := range processes {
 		names = append(names, p.name)
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -13,163 +13,166 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Contents that end each runner that runs them.
+// Calls that crash each runner that processes them.
 const (
 	poisonPrefix = "ends runners: "
-	// poisonAfter is the longest time that a runner works on one before it ends.
-	poisonAfter = 400 * time.Millisecond
-	// poisonPause is the longest pause between two requests of one content, and poisonTime
-	// how long each is asked for: longer than three ends and the time of contact take.
-	poisonPause = 900 * time.Millisecond
-	poisonTime  = 12 * time.Second
-	// reviveLeast and reviveMost bound how long an ended runner takes to start again.
-	reviveLeast, reviveMost = time.Second, 3 * time.Second
-	// sendsAfter is how many sends are borne later than contactTime after the third end.
-	sendsAfter = 3
-	// quarantinedText is what refused callers are told.
-	quarantinedText = "runners ended under requests with this content\n"
-	// innocentRefusals is one in how many other calls may be refused so at most.
-	innocentRefusals = 200
+	// maxCrashDelay is the maximum time that a runner processes such a call before it crashes.
+	maxCrashDelay = 400 * time.Millisecond
+	// maxPoisonInterval is the maximum interval between two calls with the same content, and
+	// poisonDuration how long calls with the same content are sent: longer than three crashes and
+	// contactTime take.
+	maxPoisonInterval = 900 * time.Millisecond
+	poisonDuration    = 12 * time.Second
+	// minReplaceDelay and maxReplaceDelay bound the time until a crashed runner is replaced.
+	minReplaceDelay, maxReplaceDelay = time.Second, 3 * time.Second
+	// maxLateSends is how often a content may be sent to runners later than contactTime after the
+	// third crash.
+	maxLateSends = 3
+	// quarantinedBody is the response body of calls that are refused because of a quarantine.
+	quarantinedBody = "runners ended under requests with this content\n"
+	// At most one in wrongRefusalShare of the other calls may be refused because of a quarantine.
+	wrongRefusalShare = 200
 )
 
-// poisons are the contents of a run and the runners that they ended. It draws from a random
-// source of its own, so that a seed's other faults stay the same.
-type poisons struct {
+// poisonInjector sends contents that crash runners, and replaces the crashed runners. It has its
+// own random source, so that the other faults of a seed do not change.
+type poisonInjector struct {
 	soak   *Soak
 	random *rand.Rand
 	group  sync.WaitGroup
 	mutex  sync.Mutex
-	// ends holds when runners ended under each content, by body.
-	ends map[string][]time.Time
-	// started numbers the runners that start again.
-	started int
-	// stopped is set when no runner starts again any more.
+	// crashTimes holds when runners crashed while they processed each content, by body.
+	crashTimes map[string][]time.Time
+	// replacementCount numbers the replacements of crashed runners.
+	replacementCount int
+	// stopped is set when crashed runners are no longer replaced.
 	stopped bool
 }
 
-func newPoisons(s *Soak) *poisons {
-	return &poisons{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+2)), ends: map[string][]time.Time{}}
+func newPoisonInjector(s *Soak) *poisonInjector {
+	return &poisonInjector{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+2)), crashTimes: map[string][]time.Time{}}
 }
 
-// of is what ends a runner.
-func (p *poisons) of() runnerstand.Poison {
+// newPoison returns the Poison of a new runner.
+func (p *poisonInjector) newPoison() runnerstand.Poison {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return runnerstand.Poison{
-		Prefix: poisonPrefix, CrashDelay: time.Duration(p.random.Int64N(int64(poisonAfter))), NoResponse: p.random.IntN(2) == 0, OnCrash: p.ended,
+		Prefix: poisonPrefix, CrashDelay: time.Duration(p.random.Int64N(int64(maxCrashDelay))), NoResponse: p.random.IntN(2) == 0, OnCrash: p.recordCrash,
 	}
 }
 
-// ended notes that the runner has ended under the run, and starts another one in its place.
-func (p *poisons) ended(runner *runnerstand.Runner, run runnerstand.Run) {
+// recordCrash records that the runner crashed during the run, and starts a replacement.
+func (p *poisonInjector) recordCrash(runner *runnerstand.Runner, run runnerstand.Run) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	s := p.soak
-	if !s.runners.end(runner) {
-		// Another run ended it already.
+	if !s.runners.markCrashed(runner) {
+		// The runner has already crashed because of another run.
 		return
 	}
-	p.ends[run.Body] = append(p.ends[run.Body], time.Now())
-	s.say("runner %s ends under %q, %d in all", runner.ID, run.Body, len(p.ends[run.Body]))
+	p.crashTimes[run.Body] = append(p.crashTimes[run.Body], time.Now())
+	s.logf("runner %s crashed while processing %q, %d crashes in total", runner.ID, run.Body, len(p.crashTimes[run.Body]))
 	if p.stopped {
 		return
 	}
-	p.started++
-	id, pause := fmt.Sprintf("%s-%d", runner.Service, p.started), reviveLeast+time.Duration(p.random.Int64N(int64(reviveMost-reviveLeast)))
+	p.replacementCount++
+	id, delay := fmt.Sprintf("%s-%d", runner.Service, p.replacementCount), minReplaceDelay+time.Duration(p.random.Int64N(int64(maxReplaceDelay-minReplaceDelay)))
 	p.group.Go(func() {
-		time.Sleep(pause)
+		time.Sleep(delay)
 		s.store.Delete(platform.KindRunners, runner.ID)
-		if err := s.runners.add(id, runner.Service, s.config.weights(), p.of()); err != nil {
-			s.fail("start of a runner: %v", err)
+		if err := s.runners.add(id, runner.Service, s.config.currentWeightVersion(), p.newPoison()); err != nil {
+			s.failf("start of a runner: %v", err)
 		}
 	})
 }
 
-// run asks for one content after the other until the time is over.
-func (p *poisons) run(ctx context.Context, deadline time.Time) {
+// run sends one content after the other until the deadline.
+func (p *poisonInjector) run(ctx context.Context, deadline time.Time) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2}
 	defer transport.CloseIdleConnections()
 	for number := 0; time.Now().Before(deadline) && ctx.Err() == nil; number++ {
-		path := []string{"/once/", "/stream/"}[p.draw(2)]
-		p.ask(ctx, &http.Client{Transport: transport}, fmt.Sprintf("%spoison-%d", path, number), fmt.Sprint(poisonPrefix, number), time.Now().Add(poisonTime))
+		path := []string{"/once/", "/stream/"}[p.randomInt(2)]
+		p.sendRepeatedly(ctx, &http.Client{Transport: transport}, fmt.Sprintf("%spoison-%d", path, number), fmt.Sprint(poisonPrefix, number), time.Now().Add(poisonDuration))
 	}
 }
 
-func (p *poisons) draw(most int) int {
+// randomInt returns a random number in [0, limit).
+func (p *poisonInjector) randomInt(limit int) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.random.IntN(most)
+	return p.random.IntN(limit)
 }
 
-// ask sends requests of one content to any gateways until the time is over.
-func (p *poisons) ask(ctx context.Context, client *http.Client, path, body string, until time.Time) {
+// sendRepeatedly sends calls with the same content to random gateways until the deadline.
+func (p *poisonInjector) sendRepeatedly(ctx context.Context, client *http.Client, path, body string, deadline time.Time) {
 	s := p.soak
-	for number := 0; time.Now().Before(until) && ctx.Err() == nil; number++ {
-		target := s.processes[p.draw(len(s.processes))]
+	for number := 0; time.Now().Before(deadline) && ctx.Err() == nil; number++ {
+		target := s.processes[p.randomInt(len(s.processes))]
 		call := &callRecord{
-			id: fmt.Sprintf("%s-%d", body[len(poisonPrefix):]+path[1:2], number) + fmt.Sprint("-", p.draw(1<<30)), path: path, body: body,
-			tenant: tenantName, process: target.name, repeatable: true, poison: true,
+			id: fmt.Sprintf("%s-%d", body[len(poisonPrefix):]+path[1:2], number) + fmt.Sprint("-", p.randomInt(1<<30)), path: path, body: body,
+			tenant: tenantName, gatewayName: target.name, repeatable: true, isPoison: true,
 		}
 		s.calls.add(call)
-		p.group.Go(func() { s.callOnce(ctx, client, target, call, s.config.validKey()) })
-		time.Sleep(time.Duration(p.draw(int(poisonPause))))
+		p.group.Go(func() { s.sendCall(ctx, client, target, call, s.config.validKey()) })
+		time.Sleep(time.Duration(p.randomInt(int(maxPoisonInterval))))
 	}
 }
 
-// stop waits for what is under way; no runner starts again later.
-func (p *poisons) stop() {
+// stop ends the replacement of crashed runners and waits for pending calls and replacements.
+func (p *poisonInjector) stop() {
 	p.mutex.Lock()
 	p.stopped = true
 	p.mutex.Unlock()
 	p.group.Wait()
 }
 
-// check checks that gateways that were left alone sent no content on and on, and that few
-// other calls were refused as if they had ended runners.
-func (p *poisons) check() {
+// checkQuarantines checks that undisturbed gateways stopped sending the contents that crash
+// runners, and that few other calls were refused because of a quarantine.
+func (p *poisonInjector) checkQuarantines() {
 	s := p.soak
-	sent := map[string]int{}
+	lateSends := map[string]int{}
 	for _, runner := range s.runners.all() {
 		for _, arrival := range runner.ArrivalLog() {
-			if call, known := s.calls.find(arrival.RequestID); known && call.poison && p.counts(call, arrival.ReceivedAt) {
-				sent[call.body]++
+			if call, known := s.calls.find(arrival.RequestID); known && call.isPoison && p.isLateSend(call, arrival.ReceivedAt) {
+				lateSends[call.body]++
 			}
 		}
 	}
-	for body, count := range sent {
-		if count > sendsAfter {
-			s.fail("ended runners: %q was sent %d times later than %v after the third of %d runners had ended", body, count, contactTime, len(p.ends[body]))
+	for body, count := range lateSends {
+		if count > maxLateSends {
+			s.failf("ended runners: %q was sent %d times later than %v after the third of %d runner crashes", body, count, contactTime, len(p.crashTimes[body]))
 		}
 	}
 	calls, refused := 0, 0
 	for _, call := range s.calls.all() {
-		if !call.poison {
+		if !call.isPoison {
 			calls++
 		}
-		if !call.poison && call.quarantined {
+		if !call.isPoison && call.quarantined {
 			refused++
 		}
 	}
-	if refused*innocentRefusals > calls {
-		s.fail("innocent: %d of %d calls were refused as if runners had ended under them", refused, calls)
+	if refused*wrongRefusalShare > calls {
+		s.failf("innocent: %d of %d calls were refused as if they had crashed runners", refused, calls)
 	}
-	s.say("poison: %d contents, ends %v, %d of %d others refused for them", len(p.ends), p.counted(), refused, calls)
+	s.logf("poison: %d contents, crashes %v, %d of %d other calls refused", len(p.crashTimes), p.crashCounts(), refused, calls)
 }
 
-// counts tells whether the send at the moment counts: late enough, and by a gateway of this
-// version that was in touch.
-func (p *poisons) counts(call *callRecord, at time.Time) bool {
-	ends := p.ends[call.body]
-	if len(ends) < 3 || at.Sub(ends[2]) <= contactTime || p.soak.older[call.process] {
+// isLateSend reports whether the call reached a runner later than contactTime after the third crash
+// of its content, from an undisturbed gateway of the current version.
+func (p *poisonInjector) isLateSend(call *callRecord, at time.Time) bool {
+	crashTimes := p.crashTimes[call.body]
+	if len(crashTimes) < 3 || at.Sub(crashTimes[2]) <= contactTime || p.soak.olderGateways[call.gatewayName] {
 		return false
 	}
-	return p.soak.calm(at, storeForEach, call.process, storeOf(call.process)) > contactTime
+	return p.soak.undisturbedFor(at, storeSubject, call.gatewayName, gatewayStoreSubject(call.gatewayName)) > contactTime
 }
 
-// counted returns how many runners ended under each content.
-func (p *poisons) counted() (counts []int) {
-	for _, ends := range p.ends {
-		counts = append(counts, len(ends))
+// crashCounts returns the number of crashes of each content in ascending order.
+func (p *poisonInjector) crashCounts() (counts []int) {
+	for _, crashTimes := range p.crashTimes {
+		counts = append(counts, len(crashTimes))
 	}
 	slices.Sort(counts)
 	return counts
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -19,45 +19,50 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// listenTime bounds the question whether a process listens.
-const listenTime = 100 * time.Millisecond
+// listenCheckTimeout is the timeout for checking whether a process listens.
+const listenCheckTimeout = 100 * time.Millisecond
 
-// processAddresses are where one gateway listens; others reach it through a proxy.
+// processAddresses are the addresses on which one gateway listens. Other gateways reach PeerAddress
+// through a proxy.
 type processAddresses struct {
-	Callers string
-	Ready   string
-	Peer    string
+	CallAddress      string
+	ReadinessAddress string
+	PeerAddress      string
 }
 
 func freeAddresses() processAddresses {
 	return processAddresses{loopback.FreeAddress(), loopback.FreeAddress(), loopback.FreeAddress()}
 }
 
-// process is one gateway, started again whenever it ends.
+// process is one gateway process. It is started again whenever it exits.
 type process struct {
-	name      string
-	program   []string
-	folder    string
-	addresses processAddresses
-	seeds     []string
-	door      *storestand.Endpoint
-	// proxy is before the store, and peerProxy before the gateway's address for others.
-	proxy     *faultproxy.Proxy
-	peerProxy *faultproxy.Proxy
+	name          string
+	program       []string
+	folder        string
+	addresses     processAddresses
+	seeds         []string
+	storeEndpoint *storestand.Endpoint
+	// storeProxy is between the gateway and the store, and peerProxy between other gateways and
+	// this one.
+	storeProxy *faultproxy.Proxy
+	peerProxy  *faultproxy.Proxy
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// harmedUntil is until when the process is down, frozen or starting.
-	harmedUntil time.Time
+	exited  chan struct{}
+	// unavailableUntil is when the process will be available again after a fault that stopped or
+	// restarted it.
+	unavailableUntil time.Time
 }
 
+// settingsPath returns the path of the settings file of the gateway.
 func (p *process) settingsPath() string { return filepath.Join(p.folder, p.name+".json") }
 
+// suspendedPath returns the path of the file that SuspendedFileEnvVar names.
 func (p *process) suspendedPath() string { return filepath.Join(p.folder, p.name+".suspended") }
 
-// writeSuspended tells the process for how long its machine has been suspended in all. It is
-// put in place at once, as the process may read it at any moment.
+// writeSuspended tells the process the total time for which its machine has been suspended. It
+// replaces the file atomically, since the process may read it at any time.
 func (p *process) writeSuspended(total time.Duration) error {
 	next := p.suspendedPath() + ".next"
 	if err := os.WriteFile(next, []byte(strconv.FormatInt(int64(total), 10)), 0o644); err != nil {
@@ -66,16 +71,17 @@
 	return os.Rename(next, p.suspendedPath())
 }
 
+// writeSettings writes the settings file of the gateway.
 func (p *process) writeSettings() error {
 	settings := map[string]any{
 		"node": p.name, "zone": "z", "ip": "127.0.0.1",
-		"listen": map[string]any{"front": p.addresses.Callers, "ready": p.addresses.Ready, "control": p.peerProxy.Address, "control_bind": p.addresses.Peer},
+		"listen": map[string]any{"front": p.addresses.CallAddress, "ready": p.addresses.ReadinessAddress, "control": p.peerProxy.Address, "control_bind": p.addresses.PeerAddress},
 		"seeds":  p.seeds,
 		"bounds": map[string]any{
-			"contact_ms": contactTime.Milliseconds(), "grace_s": graceTime.Seconds(), "revoke_ms": revokeTime.Milliseconds(),
-			"lease_ms": leaseTime.Milliseconds(), "version_ms": versionTime.Milliseconds(), "budget_ratio": 0.2,
+			"contact_ms": contactTime.Milliseconds(), "grace_s": gracePeriod.Seconds(), "revoke_ms": maxRevokeDelay.Milliseconds(),
+			"lease_ms": leaseDuration.Milliseconds(), "version_ms": maxOldWeightsTime.Milliseconds(), "budget_ratio": 0.2,
 		},
-		"platform": map[string]any{"address": p.proxy.Address},
+		"platform": map[string]any{"address": p.storeProxy.Address},
 	}
 	encoded, err := json.Marshal(settings)
 	if err != nil {
@@ -84,11 +90,11 @@
 	return os.WriteFile(p.settingsPath(), encoded, 0o644)
 }
 
-// start runs the process unless it runs already.
+// start starts the process unless it is already running.
 func (p *process) start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.running() {
+	if p.isRunning() {
 		return nil
 	}
 	log, err := os.OpenFile(filepath.Join(p.folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -96,30 +102,30 @@
 		return err
 	}
 	command := exec.Command(p.program[0], p.program[1:]...)
-	command.Env = append(os.Environ(), platform.SettingsEnvVar+"="+p.settingsPath(), SuspendedVariable+"="+p.suspendedPath())
+	command.Env = append(os.Environ(), platform.SettingsEnvVar+"="+p.settingsPath(), SuspendedFileEnvVar+"="+p.suspendedPath())
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		log.Close()
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		// How it ended shows in its log.
+		// The exit status is not needed, since the log shows why the process exited.
 		_ = command.Wait()
 		log.Close()
-		close(ended)
+		close(exited)
 	}()
-	p.command, p.ended = command, ended
+	p.command, p.exited = command, exited
 	return nil
 }
 
-// running tells whether the process has not ended. The mutex is held.
-func (p *process) running() bool {
-	if p.ended == nil {
+// isRunning reports whether the process was started and has not exited. The mutex must be held.
+func (p *process) isRunning() bool {
+	if p.exited == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -130,48 +136,50 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.command != nil {
-		// A process that has ended needs no signal.
+		// Signal fails only if the process has exited.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// end sends a signal that ends the process and returns what is closed when the
-// process that runs now has ended; others may be started since.
-func (p *process) end(signal syscall.Signal) <-chan struct{} {
+// terminate sends a signal that terminates the process. It returns a channel that is closed when
+// the current process has exited, even if another one has been started by then.
+func (p *process) terminate(signal syscall.Signal) <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.running() {
-		// A stopped process does not take the signal before it goes on.
+	if p.isRunning() {
+		// A stopped process does not handle the signal until it is continued.
 		_ = p.command.Process.Signal(syscall.SIGCONT)
 		_ = p.command.Process.Signal(signal)
 	}
-	return p.ended
+	return p.exited
 }
 
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
-	if ended := p.end(syscall.SIGKILL); ended != nil {
-		<-ended
+	if exited := p.terminate(syscall.SIGKILL); exited != nil {
+		<-exited
 	}
 }
 
-// harm notes that the process is harmed for the time and a while after.
-func (p *process) harm(duration time.Duration) {
+// markUnavailable records that the process is not available for the duration.
+func (p *process) markUnavailable(duration time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if until := time.Now().Add(duration); until.After(p.harmedUntil) {
-		p.harmedUntil = until
+	if until := time.Now().Add(duration); until.After(p.unavailableUntil) {
+		p.unavailableUntil = until
 	}
 }
 
-func (p *process) harmedSince(from time.Time) bool {
+// wasUnavailableSince reports whether the process was unavailable at any time after from.
+func (p *process) wasUnavailableSince(from time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.harmedUntil.After(from)
+	return p.unavailableUntil.After(from)
 }
 
-// listens tells whether the process has come so far that it answers readiness checks.
-func (p *process) listens() bool {
-	connection, err := net.DialTimeout("tcp", p.addresses.Ready, listenTime)
+// isListening reports whether the process accepts connections for readiness checks.
+func (p *process) isListening() bool {
+	connection, err := net.DialTimeout("tcp", p.addresses.ReadinessAddress, listenCheckTimeout)
 	if err != nil {
 		return false
 	}
@@ -179,10 +187,12 @@
 	return true
 }
 
-func (p *process) readyBy(ctx context.Context, deadline time.Time) bool {
+// waitReady waits until the process is ready. It returns false if that takes longer than the
+// deadline.
+func (p *process) waitReady(ctx context.Context, deadline time.Time) bool {
 	client := &http.Client{Timeout: time.Second}
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		response, err := client.Get("http://" + p.addresses.Ready + platform.PathReadiness)
+		response, err := client.Get("http://" + p.addresses.ReadinessAddress + platform.PathReadiness)
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -9,125 +9,129 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// Returns of the store from a copy.
+// Restores of the store from backups.
 const (
-	// restoreGap is the mean pause between two series of returns, and seriesMost how many
-	// returns a series has, with pauses of seriesGapMost between them.
-	restoreGap    = 7 * time.Second
-	seriesMost    = 3
-	seriesGapMost = time.Second
-	// copyInterval is the time between two copies, and copyAgeMost how old the copy is at
-	// most that the store comes back from.
-	copyInterval = 250 * time.Millisecond
-	copyAgeMost  = 2500 * time.Millisecond
-	// awayMost is how long the store is away, and againMost how long after its return the
-	// operator and the runners write again. With the age of the copy that is less than
-	// the time after which no key that was taken away is used: gateways that have all
-	// started anew meanwhile cannot know it.
-	awayMost  = time.Second
-	againMost = 700 * time.Millisecond
-	// lateAgainMost is how long after the return a late operator writes again, within the
-	// time after which no key that was taken away is used.
-	lateAgainMost = 3200 * time.Millisecond
-	// lapseTime is after how long entries lapse that the copy has of runners that have ended.
-	lapseTime = 3 * time.Second
-	// restoreChanges is one in how many returns that a key, or weights, change right after.
-	restoreChanges = 3
+	// meanRestoreInterval is the mean interval between two series of restores. A series has up to
+	// maxSeriesLength restores, with up to maxSeriesInterval between them.
+	meanRestoreInterval = 7 * time.Second
+	maxSeriesLength     = 3
+	maxSeriesInterval   = time.Second
+	// backupInterval is the interval between two backups, and maxBackupAge the maximum age of a
+	// backup at the time of its restore.
+	backupInterval = 250 * time.Millisecond
+	maxBackupAge   = 2500 * time.Millisecond
+	// maxDowntime is the maximum time for which the store is unavailable, and maxRewriteDelay the
+	// maximum time from its return until the operator and the runners have written again. Together
+	// with the age of the backup this is less than the bound within which a revocation takes
+	// effect: gateways that all restarted meanwhile cannot know a revocation that the store has
+	// lost.
+	maxDowntime     = time.Second
+	maxRewriteDelay = 700 * time.Millisecond
+	// maxLateRewriteDelay is the maximum time from the return of the store until a late operator
+	// writes again. It stays within the bound for revocations.
+	maxLateRewriteDelay = 3200 * time.Millisecond
+	// entryExpiry is the time after a restore at which the restored directory entries of crashed
+	// runners expire.
+	entryExpiry = 3 * time.Second
+	// One in restoreChangeChoices restores is followed by a key revocation, and one by new weights.
+	restoreChangeChoices = 3
 )
 
-// storeCopy is what the store held at the moment.
-type storeCopy struct {
-	at   time.Time
-	held storestand.Backup
+// timedBackup is a backup of the store with the time when it was taken.
+type timedBackup struct {
+	takenAt time.Time
+	backup  storestand.Backup
 }
 
-// restores has the store come back from copies. It draws from a random source of its own, so
-// that a seed's other faults stay the same.
-type restores struct {
-	soak   *Soak
-	random *rand.Rand
-	copies []storeCopy
-	// group are the entries that are to lapse.
+// restoreInjector restores the store from backups. It has its own random source, so that the other
+// faults of a seed do not change.
+type restoreInjector struct {
+	soak    *Soak
+	random  *rand.Rand
+	backups []timedBackup
+	// group holds the pending expiries of directory entries.
 	group sync.WaitGroup
 }
 
-func newRestores(s *Soak) *restores {
-	return &restores{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+5))}
+func newRestoreInjector(s *Soak) *restoreInjector {
+	return &restoreInjector{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+5))}
 }
 
-// run brings the store back from copies until the time is over and returns how often.
-func (f *restores) run(ctx context.Context, deadline time.Time) (count int) {
+// run restores the store repeatedly until the deadline and returns the number of restores.
+func (f *restoreInjector) run(ctx context.Context, deadline time.Time) (count int) {
 	defer f.group.Wait()
 	for {
-		f.copyFor(restoreGap/2 + f.upTo(restoreGap))
+		f.takeBackups(meanRestoreInterval/2 + f.randomDuration(meanRestoreInterval))
 		if !time.Now().Before(deadline) || ctx.Err() != nil {
 			return count
 		}
-		for range 1 + f.random.IntN(seriesMost) {
+		for range 1 + f.random.IntN(maxSeriesLength) {
 			f.restore()
 			count++
-			time.Sleep(f.upTo(seriesGapMost))
+			time.Sleep(f.randomDuration(maxSeriesInterval))
 		}
 	}
 }
 
-func (f *restores) upTo(most time.Duration) time.Duration {
-	return time.Duration(f.random.Int64N(int64(most)))
+// randomDuration returns a random duration in [0, limit).
+func (f *restoreInjector) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
 }
 
-// copyFor makes copies for the time. None is made between a return of the store and when all
-// was written again.
-func (f *restores) copyFor(duration time.Duration) {
-	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(copyInterval) {
-		f.copies = append(f.copies, storeCopy{at: time.Now(), held: f.soak.store.Backup()})
+// takeBackups takes backups for the duration. It is not called between a restore and the time when
+// everything has been written again.
+func (f *restoreInjector) takeBackups(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(backupInterval) {
+		f.backups = append(f.backups, timedBackup{takenAt: time.Now(), backup: f.soak.store.Backup()})
 	}
 }
 
-// pick returns any copy that is not too old once the store is back, or the newest.
-func (f *restores) pick(away time.Duration) storeCopy {
-	for len(f.copies) > 1 && time.Since(f.copies[0].at)+away > copyAgeMost {
-		f.copies = f.copies[1:]
+// randomBackup returns a random one of the backups that will not exceed maxBackupAge when the
+// downtime ends, or the latest backup if all will exceed it.
+func (f *restoreInjector) randomBackup(downtime time.Duration) timedBackup {
+	for len(f.backups) > 1 && time.Since(f.backups[0].takenAt)+downtime > maxBackupAge {
+		f.backups = f.backups[1:]
 	}
-	return f.copies[f.random.IntN(len(f.copies))]
+	return f.backups[f.random.IntN(len(f.backups))]
 }
 
-// restore has the store go away and come back from a copy; then what the operator and the
-// runners had written is written again.
-func (f *restores) restore() {
-	s, away := f.soak, f.upTo(awayMost)
-	from := f.pick(away)
-	s.say("fault: the store goes away for %v and comes back from a copy that is %v old then", away.Round(time.Millisecond), (time.Since(from.at) + away).Round(time.Millisecond))
-	defer s.disturbances.begin(storeForEach)()
+// restore makes the store unavailable, restores it from a backup, and then lets the operator and
+// the runners write again.
+func (f *restoreInjector) restore() {
+	s, downtime := f.soak, f.randomDuration(maxDowntime)
+	chosen := f.randomBackup(downtime)
+	s.logf("fault: the store goes away for %v and comes back from a copy that is %v old then", downtime.Round(time.Millisecond), (time.Since(chosen.takenAt) + downtime).Round(time.Millisecond))
+	defer s.disturbances.begin(storeSubject)()
 	for _, p := range s.processes {
-		p.door.SetFault(storestand.Reset)
+		p.storeEndpoint.SetFault(storestand.Reset)
 	}
-	time.Sleep(away)
-	s.store.Restore(from.held)
+	time.Sleep(downtime)
+	s.store.Restore(chosen.backup)
 	for _, p := range s.processes {
-		p.door.SetFault(storestand.Healthy)
+		p.storeEndpoint.SetFault(storestand.Healthy)
 	}
-	f.group.Go(func() { time.Sleep(lapseTime); s.runners.lapse() })
-	time.Sleep(f.upTo(againMost))
+	f.group.Go(func() { time.Sleep(entryExpiry); s.runners.deleteCrashedEntries() })
+	time.Sleep(f.randomDuration(maxRewriteDelay))
 	if s.settings.LateOperator {
-		s.runners.listAll()
-		left := revokeTime - keySlack - time.Since(from.at)
-		time.Sleep(f.upTo(max(min(lateAgainMost, left), againMost)))
+		s.runners.writeAllEntries()
+		remaining := maxRevokeDelay - revocationSlack - time.Since(chosen.takenAt)
+		time.Sleep(f.randomDuration(max(min(maxLateRewriteDelay, remaining), maxRewriteDelay)))
 	}
-	s.config.writeAgain()
-	f.change()
-	s.runners.listAll()
+	s.config.rewrite()
+	f.changeAfterRestore()
+	s.runners.writeAllEntries()
 }
 
-// change has the operator change something of what was written again, while the store gives out
-// revisions that gateways have seen.
-func (f *restores) change() {
+// changeAfterRestore revokes a key or requests new weights in some cases, so that revisions that
+// gateways have already seen are assigned to other changes.
+func (f *restoreInjector) changeAfterRestore() {
 	s := f.soak
-	switch f.random.IntN(restoreChanges) {
+	switch f.random.IntN(restoreChangeChoices) {
 	case 0:
-		s.say("fault: a key is taken away after the return")
-		s.config.change(true)
+		s.logf("fault: a key is taken away after the return")
+		s.config.update(true)
 	case 1:
-		s.say("fault: new weights after the return")
-		s.config.bump()
+		s.logf("fault: new weights after the return")
+		s.config.bumpWeights()
 	}
 }
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -15,98 +15,99 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// What runners say of themselves in their answers.
+// Signals that runners send about themselves in response headers.
 const (
-	// signalGap is the mean pause before another runner says something, and signalLeast and
-	// signalMost bound how long it says so.
-	signalGap               = 1500 * time.Millisecond
-	signalLeast, signalMost = 5 * time.Second, 12 * time.Second
-	// restMost is the longest rest that is asked for.
-	restMost = 4 * time.Second
-	// heardTime is how long after a gateway was told of a limit or asked for rest it is held to
-	// that.
-	heardTime = 500 * time.Millisecond
-	// restBorne is how many requests a runner may get from a gateway in a rest.
-	restBorne = 2
-	// In any limitWindow a runner may get limitShare of its limit, and limitSlack requests
-	// beyond.
+	// meanSignalInterval is the mean interval before another runner sends a signal, and
+	// minSignalDuration and maxSignalDuration bound how long it sends the signal.
+	meanSignalInterval                   = 1500 * time.Millisecond
+	minSignalDuration, maxSignalDuration = 5 * time.Second, 12 * time.Second
+	// maxRest is the maximum rest that a runner asks for.
+	maxRest = 4 * time.Second
+	// maxReactionTime is the time within which a gateway must react to a rate limit or to a request
+	// for rest.
+	maxReactionTime = 500 * time.Millisecond
+	// maxRequestsInRest is how many requests a gateway may send to a runner during a rest.
+	maxRequestsInRest = 2
+	// During any limitWindow a runner may receive limitFactor times its rate limit plus limitSlack
+	// requests.
 	limitWindow = 4 * time.Second
-	limitShare  = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// limitRates are the limits that runners name, in requests a second.
+// limitRates are the rate limits that runners set, in requests per second.
 var limitRates = []float64{0, 0.5, 1, 3, 10}
 
-// signalKind is one thing that runners say.
+// signalKind is a kind of signal.
 type signalKind uint8
 
 const (
-	saysLimit signalKind = iota
-	saysLeaving
-	asksForRest
-	signalKinds
+	limitSignal signalKind = iota
+	leavingSignal
+	restSignal
+	signalKindCount
 )
 
-// signalSpan is a time in which a runner says something.
-type signalSpan struct {
-	span
+// signalInterval is an interval during which a runner sends a signal. rate is the rate limit of a
+// limitSignal.
+type signalInterval struct {
+	interval
 	kind signalKind
 	rate float64
 }
 
-// told is an answer that a gateway has passed on, by whom and of which runner.
-type told struct{ gateway, runner string }
+// gatewayRunner identifies the responses of a runner that a gateway forwarded.
+type gatewayRunner struct{ gateway, runner string }
 
-// signals has runners say things of themselves, and checks that gateways keep to it. It draws
-// from a random source of its own, so that a seed's other faults stay the same.
-type signals struct {
-	soak   *Soak
-	random *rand.Rand
-	group  sync.WaitGroup
-	mutex  sync.Mutex
-	spans  map[string][]*signalSpan
-	// passedOn holds when gateways passed on answers that say something, by kind.
-	passedOn [signalKinds]map[told][]time.Time
+// signalInjector makes runners send signals, and checks that gateways obey them. It has its own
+// random source, so that the other faults of a seed do not change.
+type signalInjector struct {
+	soak      *Soak
+	random    *rand.Rand
+	group     sync.WaitGroup
+	mutex     sync.Mutex
+	intervals map[string][]*signalInterval
+	// forwardedAt holds when gateways forwarded responses with a signal, by kind.
+	forwardedAt [signalKindCount]map[gatewayRunner][]time.Time
 }
 
-func newSignals(s *Soak) *signals {
-	f := &signals{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+4)), spans: map[string][]*signalSpan{}}
-	for kind := range f.passedOn {
-		f.passedOn[kind] = map[told][]time.Time{}
+func newSignalInjector(s *Soak) *signalInjector {
+	f := &signalInjector{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+4)), intervals: map[string][]*signalInterval{}}
+	for kind := range f.forwardedAt {
+		f.forwardedAt[kind] = map[gatewayRunner][]time.Time{}
 	}
 	return f
 }
 
-// run has one runner after the other say something until the time is over, and returns how
-// many did.
-func (f *signals) run(ctx context.Context, deadline time.Time) (count int) {
+// run makes random runners send signals until the deadline and returns the number of signals.
+func (f *signalInjector) run(ctx context.Context, deadline time.Time) (count int) {
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(signalGap/2 + time.Duration(f.random.Int64N(int64(signalGap))))
-		living := f.soak.runners.living()
-		count += f.begin(living[f.random.IntN(len(living))], signalKind(f.random.IntN(int(signalKinds))))
+		time.Sleep(meanSignalInterval/2 + time.Duration(f.random.Int64N(int64(meanSignalInterval))))
+		running := f.soak.runners.running()
+		count += f.startSignal(running[f.random.IntN(len(running))], signalKind(f.random.IntN(int(signalKindCount))))
 	}
 	f.group.Wait()
 	return count
 }
 
-// begin has the runner say something for a while, unless it says something already.
-func (f *signals) begin(runner *runnerstand.Runner, kind signalKind) int {
-	duration := signalLeast + time.Duration(f.random.Int64N(int64(signalMost-signalLeast)))
-	rate, rest := limitRates[f.random.IntN(len(limitRates))], time.Duration(f.random.Int64N(int64(restMost)))
-	listedAfter := time.Duration(f.random.Int64N(int64(2 * duration)))
-	if f.speaks(runner.ID) {
+// startSignal makes the runner send a signal for a while, unless it is sending one already. It
+// returns the number of signals started.
+func (f *signalInjector) startSignal(runner *runnerstand.Runner, kind signalKind) int {
+	duration := minSignalDuration + time.Duration(f.random.Int64N(int64(maxSignalDuration-minSignalDuration)))
+	rate, rest := limitRates[f.random.IntN(len(limitRates))], time.Duration(f.random.Int64N(int64(maxRest)))
+	entryDelay := time.Duration(f.random.Int64N(int64(2 * duration)))
+	if f.isSignalling(runner.ID) {
 		return 0
 	}
-	current := f.note(runner.ID, kind, rate)
+	current := f.recordSignal(runner.ID, kind, rate)
 	f.group.Go(func() {
 		switch kind {
-		case saysLimit:
-			f.limit(runner, rate, duration)
-		case saysLeaving:
-			f.leave(runner, listedAfter, duration)
-		case asksForRest:
-			f.rest(runner, rest, duration)
+		case limitSignal:
+			f.signalLimit(runner, rate, duration)
+		case leavingSignal:
+			f.signalLeaving(runner, entryDelay, duration)
+		case restSignal:
+			f.signalRest(runner, rest, duration)
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -115,46 +116,51 @@
 	return 1
 }
 
-func (f *signals) speaks(id string) bool {
+// isSignalling reports whether the runner is sending a signal.
+func (f *signalInjector) isSignalling(id string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	spans := f.spans[id]
-	return len(spans) > 0 && spans[len(spans)-1].to.IsZero()
+	intervals := f.intervals[id]
+	return len(intervals) > 0 && intervals[len(intervals)-1].to.IsZero()
 }
 
-func (f *signals) note(id string, kind signalKind, rate float64) *signalSpan {
+// recordSignal records the start of a signal.
+func (f *signalInjector) recordSignal(id string, kind signalKind, rate float64) *signalInterval {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	current := &signalSpan{span: span{from: time.Now()}, kind: kind, rate: rate}
-	f.spans[id] = append(f.spans[id], current)
+	current := &signalInterval{interval: interval{from: time.Now()}, kind: kind, rate: rate}
+	f.intervals[id] = append(f.intervals[id], current)
 	return current
 }
 
-func (f *signals) limit(runner *runnerstand.Runner, rate float64, duration time.Duration) {
-	f.soak.say("signal: %s takes %v requests a second for %v", runner.ID, rate, duration.Round(time.Millisecond))
+// signalLimit makes the runner announce a rate limit.
+func (f *signalInjector) signalLimit(runner *runnerstand.Runner, rate float64, duration time.Duration) {
+	f.soak.logf("signal: %s takes %v requests a second for %v", runner.ID, rate, duration.Round(time.Millisecond))
 	runner.SetResponseHeaders(platform.HeaderServerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	time.Sleep(duration)
 	runner.SetResponseHeaders()
 }
 
-// leave has the runner leave, which its entry says later or not at all, and start again.
-func (f *signals) leave(runner *runnerstand.Runner, listedAfter, duration time.Duration) {
-	f.soak.say("signal: %s leaves for %v, by its entry after %v", runner.ID, duration.Round(time.Millisecond), listedAfter.Round(time.Millisecond))
+// signalLeaving makes the runner announce that it is leaving and then restarts it. Its directory
+// entry shows the drain after entryDelay, or never if that is longer than the duration.
+func (f *signalInjector) signalLeaving(runner *runnerstand.Runner, entryDelay, duration time.Duration) {
+	f.soak.logf("signal: %s leaves for %v, by its entry after %v", runner.ID, duration.Round(time.Millisecond), entryDelay.Round(time.Millisecond))
 	runner.SetResponseHeaders(platform.HeaderServerLeaving, "1")
-	comeBack := func() {}
-	time.Sleep(min(listedAfter, duration))
-	if listedAfter < duration {
-		comeBack = f.soak.runners.leave(runner)
-		time.Sleep(duration - listedAfter)
+	stopDraining := func() {}
+	time.Sleep(min(entryDelay, duration))
+	if entryDelay < duration {
+		stopDraining = f.soak.runners.startDraining(runner)
+		time.Sleep(duration - entryDelay)
 	}
 	runner.SetResponseHeaders()
 	runner.Restart()
-	comeBack()
-	f.soak.runners.list(runner)
+	stopDraining()
+	f.soak.runners.writeEntry(runner)
 }
 
-func (f *signals) rest(runner *runnerstand.Runner, rest, duration time.Duration) {
-	f.soak.say("signal: %s turns all away for %v and asks for %v of rest", runner.ID, duration.Round(time.Millisecond), rest.Round(time.Millisecond))
+// signalRest makes the runner refuse all calls and ask for a rest.
+func (f *signalInjector) signalRest(runner *runnerstand.Runner, rest, duration time.Duration) {
+	f.soak.logf("signal: %s turns all away for %v and asks for %v of rest", runner.ID, duration.Round(time.Millisecond), rest.Round(time.Millisecond))
 	runner.SetResponseHeaders(platform.HeaderRetryAfter, fmt.Sprintf("%.3f", rest.Seconds()))
 	runner.SetBehaviour(runnerstand.Sheds)
 	time.Sleep(duration)
@@ -162,99 +168,101 @@
 	runner.SetResponseHeaders()
 }
 
-// hear notes what an answer said that the gateway passed on.
-func (f *signals) hear(gateway string, header http.Header) {
+// recordForwarded records the signals in the headers of a response that the gateway forwarded.
+func (f *signalInjector) recordForwarded(gateway string, header http.Header) {
 	runner, _, stamped := strings.Cut(header.Get(platform.HeaderResponseStamp), ".")
 	if !stamped {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	key := told{gateway, runner}
+	key := gatewayRunner{gateway, runner}
 	if header.Get(platform.HeaderServerLeaving) != "" {
-		f.passedOn[saysLeaving][key] = append(f.passedOn[saysLeaving][key], time.Now())
+		f.forwardedAt[leavingSignal][key] = append(f.forwardedAt[leavingSignal][key], time.Now())
 	}
 	if header.Get(platform.HeaderServerLimit) != "" {
-		f.passedOn[saysLimit][key] = append(f.passedOn[saysLimit][key], time.Now())
+		f.forwardedAt[limitSignal][key] = append(f.forwardedAt[limitSignal][key], time.Now())
 	}
 }
 
-// sent is a request that reached a runner, with the gateway that sent it and the moment at
-// which its caller asked.
-type sent struct {
+// receivedRequest is a request that reached a runner, with the gateway that sent it and the time at
+// which the caller sent the call.
+type receivedRequest struct {
 	runnerstand.Arrival
 	gateway string
-	asked   time.Time
+	sentAt  time.Time
 }
 
-// check checks what runners got against what they had said.
-func (f *signals) check() {
+// checkSignals checks the requests that runners received against the signals that they sent.
+func (f *signalInjector) checkSignals() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, runner := range f.soak.runners.all() {
-		arrivals := f.arrivals(runner)
-		for _, spoken := range f.spans[runner.ID] {
-			switch spoken.kind {
-			case saysLeaving:
-				f.checkLeaving(runner.ID, spoken, arrivals)
-			case saysLimit:
-				f.checkLimit(runner.ID, spoken, arrivals)
+		arrivals := f.receivedRequests(runner)
+		for _, signal := range f.intervals[runner.ID] {
+			switch signal.kind {
+			case leavingSignal:
+				f.checkLeaving(runner.ID, signal, arrivals)
+			case limitSignal:
+				f.checkLimit(runner.ID, signal, arrivals)
 			}
 		}
 		f.checkRests(runner.ID, arrivals)
 	}
 }
 
-// arrivals returns the requests of gateways of this version that reached the runner, in order.
-func (f *signals) arrivals(runner *runnerstand.Runner) (arrivals []sent) {
+// receivedRequests returns the requests that the runner received from gateways of the current
+// version, oldest first.
+func (f *signalInjector) receivedRequests(runner *runnerstand.Runner) (arrivals []receivedRequest) {
 	for _, arrival := range runner.ArrivalLog() {
-		if call, known := f.soak.calls.find(arrival.RequestID); known && !f.soak.older[call.process] {
-			arrivals = append(arrivals, sent{arrival, call.process, call.sent})
+		if call, known := f.soak.calls.find(arrival.RequestID); known && !f.soak.olderGateways[call.gatewayName] {
+			arrivals = append(arrivals, receivedRequest{arrival, call.gatewayName, call.sentAt})
 		}
 	}
-	slices.SortFunc(arrivals, func(a, b sent) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
+	slices.SortFunc(arrivals, func(a, b receivedRequest) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	return arrivals
 }
 
-// within tells whether the runner said so at the moment.
-func (s *signalSpan) within(moment time.Time) bool {
+// covers reports whether the runner sent the signal at the moment.
+func (s *signalInterval) covers(moment time.Time) bool {
 	return moment.After(s.from) && (s.to.IsZero() || moment.Before(s.to))
 }
 
-// toldAt is when the gateway first passed on such an answer of the span that it may not have
-// forgotten since, by a restart; false for none up to the moment.
-func (f *signals) toldAt(kind signalKind, spoken *signalSpan, key told, moment time.Time) (time.Time, bool) {
-	disturbed := f.soak.disturbances.last(moment, key.gateway)
-	for _, at := range f.passedOn[kind][key] {
-		if spoken.within(at) && at.After(disturbed) && at.Before(moment) {
+// firstForwardedAt returns when the gateway first forwarded the signal before the moment. Responses
+// before the gateway's last disturbance do not count, since a restart may have erased them. It
+// returns false if there is none.
+func (f *signalInjector) firstForwardedAt(kind signalKind, signal *signalInterval, key gatewayRunner, moment time.Time) (time.Time, bool) {
+	disturbed := f.soak.disturbances.lastDisturbed(moment, key.gateway)
+	for _, at := range f.forwardedAt[kind][key] {
+		if signal.covers(at) && at.After(disturbed) && at.Before(moment) {
 			return at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// checkLeaving checks that no gateway sends a runner what a caller asked later than drainTime
-// after the gateway had passed on that it leaves.
-func (f *signals) checkLeaving(runner string, spoken *signalSpan, arrivals []sent) {
+// checkLeaving checks that no gateway sends a leaving runner a call that its caller sent later than
+// maxDrainDelay after the gateway had forwarded the signal.
+func (f *signalInjector) checkLeaving(runner string, signal *signalInterval, arrivals []receivedRequest) {
 	for _, arrival := range arrivals {
-		at, known := f.toldAt(saysLeaving, spoken, told{arrival.gateway, runner}, arrival.ReceivedAt)
-		if known && spoken.within(arrival.ReceivedAt) && arrival.asked.Sub(at) > drainTime {
-			f.soak.fail("leaving: %s reached %s at %s, %v after %s had passed on that it leaves", arrival.RequestID, runner, clockTime(arrival.ReceivedAt), arrival.asked.Sub(at), arrival.gateway)
+		forwardedAt, known := f.firstForwardedAt(leavingSignal, signal, gatewayRunner{arrival.gateway, runner}, arrival.ReceivedAt)
+		if known && signal.covers(arrival.ReceivedAt) && arrival.sentAt.Sub(forwardedAt) > maxDrainDelay {
+			f.soak.failf("leaving: %s reached %s at %s, %v after %s had forwarded its leaving signal", arrival.RequestID, runner, formatTime(arrival.ReceivedAt), arrival.sentAt.Sub(forwardedAt), arrival.gateway)
 			return
 		}
 	}
 }
 
-// checkLimit checks the sum of what gateways send that were told of the limit.
-func (f *signals) checkLimit(runner string, spoken *signalSpan, arrivals []sent) {
-	allowed := int(limitShare*spoken.rate*limitWindow.Seconds() + limitSlack)
+// checkLimit checks that the gateways that know of a rate limit together obey it.
+func (f *signalInjector) checkLimit(runner string, signal *signalInterval, arrivals []receivedRequest) {
+	allowed := int(limitFactor*signal.rate*limitWindow.Seconds() + limitSlack)
 	var counted []time.Time
 	for _, arrival := range arrivals {
-		if !spoken.within(arrival.ReceivedAt) || arrival.ReceivedAt.Sub(spoken.from) < contactTime {
+		if !signal.covers(arrival.ReceivedAt) || arrival.ReceivedAt.Sub(signal.from) < contactTime {
 			continue
 		}
-		at, known := f.toldAt(saysLimit, spoken, told{arrival.gateway, runner}, arrival.ReceivedAt)
-		if !known || arrival.ReceivedAt.Sub(at) < heardTime {
+		forwardedAt, known := f.firstForwardedAt(limitSignal, signal, gatewayRunner{arrival.gateway, runner}, arrival.ReceivedAt)
+		if !known || arrival.ReceivedAt.Sub(forwardedAt) < maxReactionTime {
 			continue
 		}
 		counted = append(counted, arrival.ReceivedAt)
@@ -262,28 +270,29 @@
 			counted = counted[1:]
 		}
 		if len(counted) > allowed {
-			f.soak.fail("limit: %s, which takes %v a second, got %d requests in %v up to %s", runner, spoken.rate, len(counted), limitWindow, clockTime(arrival.ReceivedAt))
+			f.soak.failf("limit: %s, which is limited to %v requests per second, got %d requests in %v up to %s", runner, signal.rate, len(counted), limitWindow, formatTime(arrival.ReceivedAt))
 			return
 		}
 	}
 }
 
-// checkRests checks that a gateway that was asked for rest leaves the runner alone. An answer
-// that it may not have got, over a path that was disturbed, binds it to nothing.
-func (f *signals) checkRests(runner string, arrivals []sent) {
-	for i, asked := range arrivals {
-		if asked.RetryAfter == 0 || f.soak.calm(asked.ReceivedAt.Add(heardTime), asked.gateway, pathTo(runner)) <= heardTime {
+// checkRests checks that a gateway sends at most maxRequestsInRest requests to a runner that asked
+// it for a rest. Refusals that the gateway may not have received, because the path was disturbed, do
+// not count.
+func (f *signalInjector) checkRests(runner string, arrivals []receivedRequest) {
+	for i, refused := range arrivals {
+		if refused.RetryAfter == 0 || f.soak.undisturbedFor(refused.ReceivedAt.Add(maxReactionTime), refused.gateway, runnerPathSubject(runner)) <= maxReactionTime {
 			continue
 		}
 		count := 0
 		for _, arrival := range arrivals[i+1:] {
-			after := arrival.ReceivedAt.Sub(asked.ReceivedAt)
-			if arrival.gateway == asked.gateway && after >= heardTime && after < asked.RetryAfter && f.soak.calm(arrival.ReceivedAt, asked.gateway) > after {
+			sinceRefusal := arrival.ReceivedAt.Sub(refused.ReceivedAt)
+			if arrival.gateway == refused.gateway && sinceRefusal >= maxReactionTime && sinceRefusal < refused.RetryAfter && f.soak.undisturbedFor(arrival.ReceivedAt, refused.gateway) > sinceRefusal {
 				count++
 			}
 		}
-		if count > restBorne {
-			f.soak.fail("rest: %s had asked %s for %v of rest at %s and got %d requests from it", runner, asked.gateway, asked.RetryAfter, clockTime(asked.ReceivedAt), count)
+		if count > maxRequestsInRest {
+			f.soak.failf("rest: %s had asked %s for %v of rest at %s and got %d requests from it", runner, refused.gateway, refused.RetryAfter, formatTime(refused.ReceivedAt), count)
 			return
 		}
 	}
--- a/internal/lab/soak/silences.go
+++ b/internal/lab/soak/silences.go
@@ -10,95 +10,98 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Silences and the news that they are to hold up.
+// Faults that delay updates by muting connections or abandoning watches.
 const (
-	// silencesMost is how many follow each other at most: gateways learn of a lost watch
-	// from another one, which a second silence ends too.
-	silencesMost = 4
-	// silenceGapMost is the longest time between two of them: a lost watch is noticed
-	// within about 2 s, and several are to fall into that.
-	silenceGapMost = 700 * time.Millisecond
-	// newsDelayMost is how long after a silence the news comes at most.
-	newsDelayMost = time.Second
-	// leaveLeast is how long a runner leaves at least, so that it does so beyond the
-	// time in which gateways are not held to it.
-	leaveLeast = drainTime + contactTime + time.Second
+	// maxSilences is the maximum number of such faults in a row. Gateways learn of an abandoned
+	// watch through another watch, which a second fault also interrupts.
+	maxSilences = 4
+	// maxSilenceInterval is the maximum time between two of them. An abandoned watch is noticed
+	// within about 2 s, and several faults are meant to fall into that time.
+	maxSilenceInterval = 700 * time.Millisecond
+	// maxUpdateDelay is the maximum time between a fault and the update.
+	maxUpdateDelay = time.Second
+	// minDrainTime is the minimum time for which a runner drains. It exceeds the time in which
+	// gateways need not know of the drain.
+	minDrainTime = maxDrainDelay + contactTime + time.Second
 )
 
-// step is something that a fault does later, with what it is called.
-type step struct {
-	name string
-	wait time.Duration
-	do   func()
+// delayedStep is a part of a fault that runs after a delay. The name is shown in logs.
+type delayedStep struct {
+	name  string
+	delay time.Duration
+	run   func()
 }
 
-// lateNews silences connections or watches some times in a row. Each time a runner leaves
-// or newer weights are named within a moment.
-func (s *Soak) lateNews(time.Duration) (string, func()) {
+// updatesDuringSilence mutes connections or abandons watches one or more times in a row. Shortly
+// after each time, a runner starts draining or new weights are requested.
+func (s *Soak) updatesDuringSilence(time.Duration) (string, func()) {
 	var group sync.WaitGroup
 	var names []string
-	wait := time.Duration(0)
-	for range 1 + s.random.IntN(silencesMost) {
-		silence, news := s.drawSilence(), s.drawNews()
-		silence.wait = wait
-		news.wait = wait + time.Duration(s.random.Int64N(int64(newsDelayMost)))
-		wait += time.Duration(s.random.Int64N(int64(silenceGapMost)))
-		for _, next := range []step{silence, news} {
+	delay := time.Duration(0)
+	for range 1 + s.random.IntN(maxSilences) {
+		silence, update := s.randomSilence(), s.randomUpdate()
+		silence.delay = delay
+		update.delay = delay + time.Duration(s.random.Int64N(int64(maxUpdateDelay)))
+		delay += time.Duration(s.random.Int64N(int64(maxSilenceInterval)))
+		for _, next := range []delayedStep{silence, update} {
 			names = append(names, next.name)
-			group.Go(func() { time.Sleep(next.wait); next.do() })
+			group.Go(func() { time.Sleep(next.delay); next.run() })
 		}
 	}
 	return strings.Join(names, ", "), group.Wait
 }
 
-// drawSilence draws what falls silent for good.
-func (s *Soak) drawSilence() step {
-	p, runner := s.anyProcess(), s.anyRunner()
+// randomSilence returns a step that permanently mutes random connections or abandons random
+// watches.
+func (s *Soak) randomSilence() delayedStep {
+	p, runner := s.randomProcess(), s.randomRunner()
 	kinds := []string{platform.KindRunners, platform.KindWeightVersions}
 	kind := kinds[s.random.IntN(len(kinds))]
-	silences := []step{
-		{name: "open connections to the store of " + p.name + " fall silent", do: func() { s.muteStore(p) }},
-		{name: "all open connections to the store fall silent", do: func() { s.muteStore(s.processes...) }},
-		{name: "open connections to runner " + runner.ID + " fall silent", do: func() { s.muteRunner(runner.ID) }},
-		{name: "watches of " + kind + " of " + p.name + " are lost", do: func() { s.loseWatches(kind, p) }},
-		{name: "all watches of " + kind + " are lost", do: func() { s.loseWatches(kind, s.processes...) }},
+	silences := []delayedStep{
+		{name: "open connections to the store of " + p.name + " fall silent", run: func() { s.muteStoreConnections(p) }},
+		{name: "all open connections to the store fall silent", run: func() { s.muteStoreConnections(s.processes...) }},
+		{name: "open connections to runner " + runner.ID + " fall silent", run: func() { s.muteRunnerConnections(runner.ID) }},
+		{name: "watches of " + kind + " of " + p.name + " are lost", run: func() { s.abandonWatches(kind, p) }},
+		{name: "all watches of " + kind + " are lost", run: func() { s.abandonWatches(kind, s.processes...) }},
 	}
 	return silences[s.random.IntN(len(silences))]
 }
 
-// drawNews draws what gateways have to learn.
-func (s *Soak) drawNews() step {
-	news := []step{s.leaving(s.anyRunner()), {name: "new weights", do: s.config.bump}}
-	return news[s.random.IntN(len(news))]
+// randomUpdate returns a step that makes a random update, which gateways have to learn.
+func (s *Soak) randomUpdate() delayedStep {
+	updates := []delayedStep{s.drainStep(s.randomRunner()), {name: "new weights", run: s.config.bumpWeights}}
+	return updates[s.random.IntN(len(updates))]
 }
 
-// leaving has the runner leave for a while.
-func (s *Soak) leaving(runner *runnerstand.Runner) step {
-	return step{name: "runner " + runner.ID + " leaves", do: func() {
-		comeBack := s.runners.leave(runner)
-		time.Sleep(leaveLeast)
-		comeBack()
+// drainStep returns a step that drains the runner for minDrainTime.
+func (s *Soak) drainStep(runner *runnerstand.Runner) delayedStep {
+	return delayedStep{name: "runner " + runner.ID + " leaves", run: func() {
+		stopDraining := s.runners.startDraining(runner)
+		time.Sleep(minDrainTime)
+		stopDraining()
 	}}
 }
 
-// muteStore silences what is open to the store for good. As others learn from these
-// gateways, it counts as a disturbance of all.
-func (s *Soak) muteStore(processes ...*process) {
-	defer s.disturbances.begin(storeForEach)()
+// muteStoreConnections permanently mutes the open connections of the processes to the store. It is
+// recorded as a disturbance for all gateways, because others learn from these.
+func (s *Soak) muteStoreConnections(processes ...*process) {
+	defer s.disturbances.begin(storeSubject)()
 	for _, p := range processes {
-		p.proxy.SetMode(faultproxy.MuteExisting)
+		p.storeProxy.SetMode(faultproxy.MuteExisting)
 	}
 }
 
-func (s *Soak) muteRunner(id string) {
-	defer s.disturbances.begin(pathTo(id))()
+// muteRunnerConnections permanently mutes the open connections to the runner.
+func (s *Soak) muteRunnerConnections(id string) {
+	defer s.disturbances.begin(runnerPathSubject(id))()
 	s.runners.proxy(id).SetMode(faultproxy.MuteExisting)
 }
 
-// loseWatches has the store not answer watches that wait, which disturbs the store.
-func (s *Soak) loseWatches(kind string, processes ...*process) {
-	defer s.disturbances.begin(storeForEach)()
+// abandonWatches leaves the pending watches of the processes without an answer. It is recorded as a
+// disturbance of the store.
+func (s *Soak) abandonWatches(kind string, processes ...*process) {
+	defer s.disturbances.begin(storeSubject)()
 	for _, p := range processes {
-		p.door.AbandonWatches(kind)
+		p.storeEndpoint.AbandonWatches(kind)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak runs gateways as separate processes before stand-ins of the
-// platform, injects random faults from outside, and checks what callers and
-// runners see against the product's promises while it runs.
+// Package soak runs gateways as separate processes against fakes of the platform, injects random
+// faults, and checks what callers and runners observe against the guarantees of the product.
 //
-// The faults and calls of a run follow from its seed; their times follow the
-// real clock, so a seed repeats the faults but not each interleaving.
+// The faults and calls of a run are determined by its seed. Their timing depends on the real clock,
+// so a seed reproduces the faults but not every interleaving.
 package soak
 
 import (
@@ -23,81 +22,84 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Settings of a run.
+// Settings are the settings of a run.
 type Settings struct {
-	// Program is the gateway with its arguments.
+	// Program is the command line of the gateway.
 	Program []string
-	// Older is an earlier version of it, which every second gateway runs; empty for none.
-	Older string
-	// Poison has callers ask what ends each runner that runs it, and Suspensions machines
-	// suspended; the program then has to go by SuspendableClock.
+	// OlderProgram is the path of an earlier version, which every second gateway runs. If it is
+	// empty, all gateways run Program.
+	OlderProgram string
+	// Poison makes callers send requests that crash each runner that processes them, and
+	// Suspensions suspends machines. With Suspensions the program must use SuspendableClock.
 	Poison      bool
 	Suspensions bool
-	// Signals has runners say of themselves that they leave, limit requests or want a rest.
+	// Signals makes runners announce that they are leaving, set rate limits or ask for rest.
 	Signals bool
-	// Restores has the store come back from copies.
+	// Restores restores the store from backups.
 	Restores bool
-	// LateOperator has what the operator wrote be lost for longer after a return.
+	// LateOperator makes the operator write later after a restore, so that what the store lost is
+	// missing for longer.
 	LateOperator bool
 	Seed         uint64
-	// Duration is how long faults are injected.
-	Duration time.Duration
-	// Folder takes settings files and logs.
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	// Folder is where settings files and logs are written.
 	Folder string
 	Out    io.Writer
-	// Gateways and Engines are how many there are; 0 stands for the usual number.
+	// Gateways and Engines are the numbers of gateways and engines, 0 for the defaults.
 	Gateways int
 	Engines  int
 }
 
 // Sizes of the deployment.
 const (
-	gateways = 4
-	// seedGateways are the first ones, which read the store for all.
-	seedGateways = 2
-	plainRunners = 3
-	engines      = 4
-	callers      = 8
-	streamEvents = 8
+	defaultGateways = 4
+	// The first seedGateways gateways are the seeds, which read the store for all.
+	seedGateways   = 2
+	plainRunners   = 3
+	defaultEngines = 4
+	callers        = 8
+	streamEvents   = 8
 )
 
-// Bounds that the gateways are told and that the checks use.
+// Bounds that the gateways are configured with and that the checks use.
 const (
-	revokeTime = 5 * time.Second
-	leaseTime  = 3 * time.Second
-	// versionTime is short, so that weights are named several times in a run.
-	versionTime = 5 * time.Second
-	// contactTime is how long after a disturbance a gateway is not held to bounds.
+	maxRevokeDelay = 5 * time.Second
+	leaseDuration  = 3 * time.Second
+	// maxOldWeightsTime is how long old weights may be used after new ones were requested. It is
+	// short, so that weights change several times in a run.
+	maxOldWeightsTime = 5 * time.Second
+	// contactTime is how long after a disturbance a gateway is not held to time bounds.
 	contactTime = 3 * time.Second
-	// drainTime is after how long no request reaches a runner that leaves.
-	drainTime = 2 * time.Second
-	graceTime = 4 * time.Second
-	// settleTime is how long after the last fault everything must be well.
+	// maxDrainDelay is the time after which no more requests may reach a draining runner.
+	maxDrainDelay = 2 * time.Second
+	gracePeriod   = 4 * time.Second
+	// settleTime is the time after the last fault within which everything must have recovered.
 	settleTime = 6 * time.Second
 )
 
-// Soak is one run.
+// Soak is a run.
 type Soak struct {
 	settings  Settings
 	random    *rand.Rand
 	store     *storestand.Store
 	processes []*process
-	// older names the gateways that run an earlier version.
-	older   map[string]bool
-	runners *fleet
-	config  *configuration
-	calls   *callLog
-	// disturbances are what the faults disturb.
+	// olderGateways holds the names of the gateways that run OlderProgram.
+	olderGateways map[string]bool
+	runners       *fleet
+	config        *configuration
+	calls         *callLog
+	// disturbances records what the faults affect.
 	disturbances *disturbances
-	// poisons are the contents that end runners.
-	poisons *poisons
-	// signals is what runners say of themselves.
-	signals  *signals
+	// poisons sends the contents that crash runners.
+	poisons *poisonInjector
+	// signals makes runners send signals.
+	signals  *signalInjector
 	mutex    sync.Mutex
 	failures []string
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run. Failures lists the violated guarantees.
 type Report struct {
 	Calls    int
 	Served   int
@@ -105,16 +107,17 @@
 	Failures []string
 }
 
-// Run plays one soak.
+// Run performs a run. It returns an error if the run could not be performed; violated guarantees
+// are only reported.
 func Run(ctx context.Context, settings Settings) (Report, error) {
 	if err := settings.checkDescriptors(); err != nil {
 		return Report{}, err
 	}
 	s := &Soak{
 		settings: settings, random: rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
-		older: map[string]bool{}, store: storestand.New(), calls: newCallLog(), disturbances: newDisturbances(),
+		olderGateways: map[string]bool{}, store: storestand.New(), calls: newCallLog(), disturbances: newDisturbances(),
 	}
-	s.poisons, s.signals = newPoisons(s), newSignals(s)
+	s.poisons, s.signals = newPoisonInjector(s), newSignalInjector(s)
 	defer s.close()
 	if err := s.start(); err != nil {
 		return Report{}, err
@@ -124,30 +127,30 @@
 	group.Go(func() { s.watchDescriptors(load) })
 	for i := range callers {
 		group.Add(1)
-		go func() { defer group.Done(); s.call(load, rand.New(rand.NewPCG(settings.Seed, uint64(i)))) }()
+		go func() { defer group.Done(); s.sendCalls(load, rand.New(rand.NewPCG(settings.Seed, uint64(i)))) }()
 	}
-	faults := s.harm(ctx)
+	faults := s.injectFaults(ctx)
 	s.poisons.stop()
-	s.heal()
+	s.clearFaults()
 	s.checkRecovery(ctx)
 	stopLoad()
 	group.Wait()
 	s.checkRuns()
 	s.checkOrders()
-	s.checkNews()
-	s.checkInForce()
+	s.checkUpdates()
+	s.checkConfigUpdates()
 	if settings.Poison {
-		s.poisons.check()
+		s.poisons.checkQuarantines()
 	}
 	if settings.Signals {
-		s.signals.check()
+		s.signals.checkSignals()
 	}
 	calls, served := s.calls.totals()
 	return Report{Calls: calls, Served: served, Faults: faults, Failures: s.failures}, ctx.Err()
 }
 
-// fail notes a broken promise.
-func (s *Soak) fail(format string, args ...any) {
+// failf records and logs a violated guarantee.
+func (s *Soak) failf(format string, args ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	text := fmt.Sprintf(format, args...)
@@ -155,7 +158,8 @@
 	fmt.Fprintf(s.settings.Out, "%s BROKEN %s\n", time.Now().Format("15:04:05.000"), text)
 }
 
-func (s *Soak) say(format string, args ...any) {
+// logf logs a line with the time of day.
+func (s *Soak) logf(format string, args ...any) {
 	fmt.Fprintf(s.settings.Out, "%s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
@@ -169,8 +173,8 @@
 			return err
 		}
 	}
-	for i := range cmp.Or(s.settings.Engines, engines) {
-		if err := s.runners.add(fmt.Sprintf("e%d", i), "engines", 1, s.poisons.of()); err != nil {
+	for i := range cmp.Or(s.settings.Engines, defaultEngines) {
+		if err := s.runners.add(fmt.Sprintf("e%d", i), "engines", 1, s.poisons.newPoison()); err != nil {
 			return err
 		}
 	}
@@ -178,13 +182,14 @@
 	return s.startProcesses()
 }
 
+// startProcesses starts the gateways, each with its own store endpoint and proxies.
 func (s *Soak) startProcesses() error {
 	var addresses []processAddresses
 	var peerProxies []*faultproxy.Proxy
 	var seeds []string
-	for range cmp.Or(s.settings.Gateways, gateways) {
+	for range cmp.Or(s.settings.Gateways, defaultGateways) {
 		free := freeAddresses()
-		proxy, err := faultproxy.Start(free.Peer)
+		proxy, err := faultproxy.Start(free.PeerAddress)
 		if err != nil {
 			return err
 		}
@@ -195,9 +200,9 @@
 	}
 	for i, free := range addresses {
 		program := s.settings.Program
-		if s.settings.Older != "" && i%2 == 1 {
-			program = []string{s.settings.Older}
-			s.older[gatewayName(i)] = true
+		if s.settings.OlderProgram != "" && i%2 == 1 {
+			program = []string{s.settings.OlderProgram}
+			s.olderGateways[gatewayName(i)] = true
 		}
 		door, err := s.store.OpenEndpoint()
 		if err != nil {
@@ -207,7 +212,7 @@
 		if err != nil {
 			return err
 		}
-		p := &process{name: gatewayName(i), program: program, folder: s.settings.Folder, addresses: free, seeds: seeds, door: door, proxy: proxy, peerProxy: peerProxies[i]}
+		p := &process{name: gatewayName(i), program: program, folder: s.settings.Folder, addresses: free, seeds: seeds, storeEndpoint: door, storeProxy: proxy, peerProxy: peerProxies[i]}
 		if err := p.writeSettings(); err != nil {
 			return err
 		}
@@ -224,30 +229,30 @@
 func (s *Soak) close() {
 	for _, p := range s.processes {
 		p.kill()
-		p.proxy.Close()
+		p.storeProxy.Close()
 		p.peerProxy.Close()
-		p.door.Close()
+		p.storeEndpoint.Close()
 	}
 	if s.runners != nil {
 		s.runners.close()
 	}
 }
 
-// checkRecovery waits until every gateway serves the newest configuration and
-// all engines have the newest weights.
+// checkRecovery waits until every gateway is ready and all engines have the latest weights, and
+// fails the run if that takes too long.
 func (s *Soak) checkRecovery(ctx context.Context) {
-	deadline := time.Now().Add(settleTime + leaseTime + versionTime)
+	deadline := time.Now().Add(settleTime + leaseDuration + maxOldWeightsTime)
 	for _, p := range s.processes {
-		if !p.readyBy(ctx, deadline) {
-			s.fail("recovery: %s is not ready after the last fault", p.name)
+		if !p.waitReady(ctx, deadline) {
+			s.failf("recovery: %s is not ready after the last fault", p.name)
 		}
 	}
 	for _, engine := range s.runners.ofService("engines") {
-		for engine.WeightVersion() < s.config.weights() && time.Now().Before(deadline) && ctx.Err() == nil {
+		for engine.WeightVersion() < s.config.currentWeightVersion() && time.Now().Before(deadline) && ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
 		}
-		if engine.WeightVersion() < s.config.weights() {
-			s.fail("weights: %s has version %d of %d after the last fault", engine.ID, engine.WeightVersion(), s.config.weights())
+		if engine.WeightVersion() < s.config.currentWeightVersion() {
+			s.failf("weights: %s has version %d of %d after the last fault", engine.ID, engine.WeightVersion(), s.config.currentWeightVersion())
 		}
 	}
 	if ctx.Err() == nil {
@@ -255,7 +260,7 @@
 	}
 }
 
-// checkRuns compares what callers were told with what runners ran.
+// checkRuns compares what callers were told with what runners processed.
 func (s *Soak) checkRuns() {
 	runs := map[string]int{}
 	for _, runner := range s.runners.all() {
@@ -267,48 +272,48 @@
 	for _, call := range s.calls.all() {
 		ran := runs[call.id]
 		if !call.repeatable && ran > 1 {
-			s.fail("at most once: %s (%s) ran %d times", call.id, call.path, ran)
+			s.failf("at most once: %s (%s) ran %d times", call.id, call.path, ran)
 		}
-		if !call.repeatable && call.promised() && ran > 0 {
-			s.fail("not run: %s was told %d and ran", call.id, call.status)
+		if !call.repeatable && call.wasRefusedUnprocessed() && ran > 0 {
+			s.failf("not run: %s got status %d and ran", call.id, call.status)
 		}
-		if call.keyTaken && ran > 0 {
-			s.fail("keys: %s ran %v after its key was taken away", call.id, call.sinceTaken)
+		if call.usedRevokedKey && ran > 0 {
+			s.failf("keys: %s ran %v after its key was revoked", call.id, call.sinceRevoked)
 		}
 	}
 }
 
+// checkRun checks that a run belongs to a call, with the same path, body and tenant.
 func (s *Soak) checkRun(run runnerstand.Run) {
 	call, known := s.calls.find(run.RequestID)
 	if !known {
-		s.fail("unasked: %s (%s) ran and nobody sent it", run.RequestID, run.Path)
+		s.failf("unasked: %s (%s) ran, but no caller sent it", run.RequestID, run.Path)
 		return
 	}
 	if run.Path != call.path || run.Body != call.body {
-		s.fail("unasked: %s ran with another path or body", run.RequestID)
+		s.failf("unasked: %s ran with another path or body", run.RequestID)
 	}
 	if tenant := run.Header.Get(platform.HeaderTenant); tenant != call.tenant {
-		s.fail("tenants: %s ran for %q instead of %q", run.RequestID, tenant, call.tenant)
+		s.failf("tenants: %s ran for %q instead of %q", run.RequestID, tenant, call.tenant)
 	}
 }
 
-// checkOrders checks that fencing tokens rise at each runner and that two
-// holders keep their distance.
+// checkOrders checks that orders of two different lease holders are at least leaseDuration apart.
 func (s *Soak) checkOrders() {
-	type given struct {
+	type holderOrder struct {
 		holder string
 		at     time.Time
 	}
-	var last given
-	for _, order := range s.runners.ordersInTime() {
-		if last.holder != "" && order.Holder != last.holder && order.ReceivedAt.Sub(last.at) < leaseTime {
-			s.fail("one holder: %s ordered %v after %s", order.Holder, order.ReceivedAt.Sub(last.at), last.holder)
+	var last holderOrder
+	for _, order := range s.runners.ordersByTime() {
+		if last.holder != "" && order.Holder != last.holder && order.ReceivedAt.Sub(last.at) < leaseDuration {
+			s.failf("one holder: %s ordered %v after %s", order.Holder, order.ReceivedAt.Sub(last.at), last.holder)
 		}
-		last = given{order.Holder, order.ReceivedAt}
+		last = holderOrder{order.Holder, order.ReceivedAt}
 	}
 }
 
-// LogFolder returns where a run of the seed keeps its logs.
+// LogFolder returns the folder for the logs of a run with the seed.
 func LogFolder(root string, seed uint64) string {
 	return filepath.Join(root, fmt.Sprintf("soak-%d", seed))
 }
--- a/internal/lab/soak/suspensions.go
+++ b/internal/lab/soak/suspensions.go
@@ -14,18 +14,19 @@
 
 // Suspensions of machines.
 const (
-	// suspensionGap is the mean pause between two, and suspensionMost the longest: longer than
-	// keys and older weights hold.
-	suspensionGap  = 5 * time.Second
-	suspensionMost = 7 * time.Second
+	// meanSuspensionInterval is the mean interval between two suspensions. maxSuspension is the
+	// maximum duration of one. It is longer than revoked keys and old weights may be used.
+	meanSuspensionInterval = 5 * time.Second
+	maxSuspension          = 7 * time.Second
 )
 
-// SuspendedVariable names the file that holds for how long the process's machine has been
-// suspended, in nanoseconds.
-const SuspendedVariable = "CLOVERTILLER_LAB_SUSPENDED"
+// SuspendedFileEnvVar is the environment variable with the path of the file that holds the total
+// time, in nanoseconds, for which the machine of the process has been suspended.
+const SuspendedFileEnvVar = "CLOVERTILLER_LAB_SUSPENDED"
 
-// SuspendableClock is the clock of a router whose machine is suspended as the file says: the
-// steady clock that it goes by stands still for that time, and those that count it do not.
+// SuspendableClock returns a clock that simulates suspensions of the machine with the total
+// duration in the file at path. Its monotonic clock stops during suspensions, like CLOCK_MONOTONIC,
+// while its wall clock and its boot offset include them.
 func SuspendableClock(path string) *clock.Clock {
 	suspended := func() time.Duration {
 		text, err := os.ReadFile(path)
@@ -39,7 +40,7 @@
 		return time.Duration(nanos)
 	}
 	return clock.NewFrom(clock.Sources{
-		Now: func() (steady, day time.Time) {
+		Now: func() (monotonic, wall time.Time) {
 			now := time.Now()
 			return now.Add(-suspended()), now.Round(0)
 		},
@@ -47,38 +48,39 @@
 	})
 }
 
-// suspensions suspends one machine after the other. It draws from a random source of its own.
-type suspensions struct {
+// suspensionInjector suspends one machine after the other. It has its own random source.
+type suspensionInjector struct {
 	soak   *Soak
 	random *rand.Rand
-	// total is for how long each machine has been suspended.
-	total map[string]time.Duration
+	// totals holds the total time for which each machine has been suspended.
+	totals map[string]time.Duration
 }
 
-func newSuspensions(s *Soak) *suspensions {
-	return &suspensions{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+3)), total: map[string]time.Duration{}}
+func newSuspensionInjector(s *Soak) *suspensionInjector {
+	return &suspensionInjector{soak: s, random: rand.New(rand.NewPCG(s.settings.Seed, s.settings.Seed+3)), totals: map[string]time.Duration{}}
 }
 
-// run suspends machines until the time is over and returns how many.
-func (f *suspensions) run(ctx context.Context, deadline time.Time) (count int) {
+// run suspends random machines until the deadline and returns the number of suspensions.
+func (f *suspensionInjector) run(ctx context.Context, deadline time.Time) (count int) {
 	for ; time.Now().Before(deadline) && ctx.Err() == nil; count++ {
-		time.Sleep(suspensionGap/2 + time.Duration(f.random.Int64N(int64(suspensionGap))))
-		f.suspend(f.soak.processes[f.random.IntN(len(f.soak.processes))], time.Duration(f.random.Int64N(int64(suspensionMost))))
+		time.Sleep(meanSuspensionInterval/2 + time.Duration(f.random.Int64N(int64(meanSuspensionInterval))))
+		f.suspend(f.soak.processes[f.random.IntN(len(f.soak.processes))], time.Duration(f.random.Int64N(int64(maxSuspension))))
 	}
 	return count
 }
 
-// suspend stops the process, and tells it when it goes on how long its machine stood still.
-func (f *suspensions) suspend(p *process, duration time.Duration) {
+// suspend stops the process for the duration. Before the process continues, it is told how long its
+// machine was suspended in total.
+func (f *suspensionInjector) suspend(p *process, duration time.Duration) {
 	s := f.soak
-	s.say("fault: the machine of %s is suspended for %v", p.name, duration.Round(time.Millisecond))
-	p.harm(duration + startTime)
+	s.logf("fault: the machine of %s is suspended for %v", p.name, duration.Round(time.Millisecond))
+	p.markUnavailable(duration + startupTime)
 	defer s.disturbances.begin(p.name)()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(duration)
-	f.total[p.name] += duration
-	if err := p.writeSuspended(f.total[p.name]); err != nil {
-		s.fail("suspension: %v", err)
+	f.totals[p.name] += duration
+	if err := p.writeSuspended(f.totals[p.name]); err != nil {
+		s.failf("suspension: %v", err)
 	}
 	p.signal(syscall.SIGCONT)
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -47,22 +47,22 @@
 // The seeds run one after the other, so that there are no more than four gateways at once.
 func TestSoakOfFixedSeeds(t *testing.T) {
 	for _, seed := range fixedSeeds {
-		play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: seed, Duration: faultTime})
+		play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: seed, FaultDuration: faultTime})
 	}
 }
 
 func TestSoakOfContentsThatEndRunners(t *testing.T) {
 	play(t, soak.Settings{
-		Program: []string{build(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, Duration: poisonTime, Poison: true, Suspensions: true,
+		Program: []string{build(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, FaultDuration: poisonTime, Poison: true, Suspensions: true,
 	})
 }
 
 func TestSoakOfWhatRunnersSayOfThemselves(t *testing.T) {
-	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: signalSeed, Duration: signalTime, Signals: true})
+	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: signalSeed, FaultDuration: signalTime, Signals: true})
 }
 
 func TestSoakOfAStoreThatComesBackFromCopies(t *testing.T) {
-	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: restoreSeed, Duration: restoreTime, Restores: true})
+	play(t, soak.Settings{Program: []string{build(t, "clovertiller-gateway")}, Seed: restoreSeed, FaultDuration: restoreTime, Restores: true})
 }
 
 // build builds one of the commands and returns its path.
