--- a/cmd/clovertiller-lab/ledger.go
+++ b/cmd/clovertiller-lab/ledger.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return report, report.Matches(account)
+	return report, report.CheckMatches(account)
 }
 
 // compareCommand plays the same days with two builds.
@@ -100,7 +100,7 @@
 			}
 			settings.Seeds = append(settings.Seeds, seed)
 		}
-		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{bench})[0], Why: why})
+		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{bench})[0], JournalNote: why})
 		if err != nil {
 			return fmt.Errorf("comparison given up: %w", err)
 		}
--- a/internal/lab/compare/bench.go
+++ b/internal/lab/compare/bench.go
@@ -12,29 +12,30 @@
 	"github.com/clovertiller/clovertiller/internal/lab/ledger"
 )
 
-// Bench plays days with the users' bench, without counting processor time, so that a play
-// mostly repeats.
+// Bench runs days with the users' bench. It disables the bench's accounting of processor time, so
+// that repeated runs give mostly the same result.
 type Bench struct {
-	// Path is absolute: plays run in the folders of the builds.
+	// Path is the absolute path of the bench, since runs use the source folders of the builds as
+	// working directories.
 	Path string
-	// Why is what the journal of each build notes.
-	Why string
+	// JournalNote is the reason for the runs, which the bench records in the journal of each build.
+	JournalNote string
 }
 
-// Play plays a day in the build's folder.
-func (b *Bench) Play(ctx context.Context, play Play) (*ledger.Report, error) {
+// RunDay runs the bench for a day in the source folder of the build and reads its report.
+func (b *Bench) RunDay(ctx context.Context, run BenchRun) (*ledger.Report, error) {
 	folder, err := os.MkdirTemp("", "compare-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer os.RemoveAll(folder)
 	path := filepath.Join(folder, "report.json")
-	arguments := []string{"run", play.Site, play.Day, "--no-cpu", "--jobs", "1", "--report", path, "--why", b.Why}
-	if play.Seed != 0 {
-		arguments = append(arguments, "--seed", strconv.FormatUint(play.Seed, 10))
+	arguments := []string{"run", run.Site, run.Day, "--no-cpu", "--jobs", "1", "--report", path, "--why", b.JournalNote}
+	if run.Seed != 0 {
+		arguments = append(arguments, "--seed", strconv.FormatUint(run.Seed, 10))
 	}
 	command := exec.CommandContext(ctx, b.Path, arguments...)
-	command.Dir = play.Folder
+	command.Dir = run.Folder
 	output, err := command.CombinedOutput()
 	file, openErr := os.Open(path)
 	if openErr != nil {
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare plays the same days with two builds of the gateway and tells by how much
-// they differ: paired, with the standard error of the mean difference.
+// Package compare runs the same bench days with two builds of the gateway and reports the mean
+// paired difference with its standard error.
 package compare
 
 import (
@@ -19,20 +19,20 @@
 	"github.com/clovertiller/clovertiller/internal/lab/ledger"
 )
 
-// Settings say what is played.
+// Settings select the builds and the days to run.
 type Settings struct {
-	// Before and After are the folders of the two builds' sources.
+	// Before and After are the source folders of the two builds.
 	Before, After string
-	// Sites are paths of site files, Days names of days or paths of day files.
+	// Sites are paths of site files. Days are names of days or paths of day files.
 	Sites, Days []string
-	// Seeds are played of each day; 0 is the day's own.
+	// Seeds are the seeds with which each day is run. 0 selects the day's own seed.
 	Seeds []uint64
-	// Jobs is how many plays run at once.
+	// Jobs is the maximum number of concurrent runs.
 	Jobs int
 }
 
-// Check tells what is missing.
-func (s *Settings) Check() error {
+// Validate returns a trace.BadParameter error if a setting is missing or invalid.
+func (s *Settings) Validate() error {
 	switch {
 	case s.Before == "" || s.After == "":
 		return trace.BadParameter("two builds are needed: before and after")
@@ -46,60 +46,61 @@
 	return nil
 }
 
-// Play is one day to be played with one build.
-type Play struct {
+// BenchRun is a run of the bench: one day with one build. Folder is the source folder of the build.
+type BenchRun struct {
 	Folder string
 	Site   string
 	Day    string
 	Seed   uint64
 }
 
-// Player plays a day.
-type Player interface {
-	Play(ctx context.Context, play Play) (*ledger.Report, error)
+// BenchRunner runs days with the bench.
+type BenchRunner interface {
+	RunDay(ctx context.Context, run BenchRun) (*ledger.Report, error)
 }
 
-// Pair is one day played with both builds.
+// Pair holds the reports of one day with both builds.
 type Pair struct {
 	Site, Day     string
 	Seed          uint64
 	Before, After *ledger.Report
 }
 
-// Run plays all days with both builds. It ends at the first play that fails.
-func Run(ctx context.Context, settings Settings, player Player) ([]Pair, error) {
-	if err := settings.Check(); err != nil {
+// Run runs all days with both builds. It stops at the first run that fails and returns its error.
+func Run(ctx context.Context, settings Settings, bench BenchRunner) ([]Pair, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var group sync.WaitGroup
-	pairs := settings.pairs()
-	places := make(chan struct{}, settings.Jobs)
-	play := func(folder string, pair *Pair, report **ledger.Report) {
+	pairs := settings.emptyPairs()
+	semaphore := make(chan struct{}, settings.Jobs)
+	runDay := func(folder string, pair *Pair, report **ledger.Report) {
 		defer group.Done()
-		places <- struct{}{}
-		defer func() { <-places }()
+		semaphore <- struct{}{}
+		defer func() { <-semaphore }()
 		if ctx.Err() != nil {
 			return
 		}
-		played, err := player.Play(ctx, Play{folder, pair.Site, pair.Day, pair.Seed})
+		completed, err := bench.RunDay(ctx, BenchRun{folder, pair.Site, pair.Day, pair.Seed})
 		if err != nil {
 			cancel(trace.Wrap(err, "%s %s seed %d in %s", pair.Site, pair.Day, pair.Seed, folder))
 			return
 		}
-		*report = played
+		*report = completed
 	}
 	for i := range pairs {
 		group.Add(2)
-		go play(settings.Before, &pairs[i], &pairs[i].Before)
-		go play(settings.After, &pairs[i], &pairs[i].After)
+		go runDay(settings.Before, &pairs[i], &pairs[i].Before)
+		go runDay(settings.After, &pairs[i], &pairs[i].After)
 	}
 	group.Wait()
 	return pairs, context.Cause(ctx)
 }
 
-func (s *Settings) pairs() []Pair {
+// emptyPairs returns a pair without reports for each site, day and seed.
+func (s *Settings) emptyPairs() []Pair {
 	var pairs []Pair
 	for _, site := range s.Sites {
 		for _, day := range s.Days {
@@ -111,18 +112,19 @@
 	return pairs
 }
 
-// Difference is a mean over pairs.
+// Difference is the mean difference of a measure over the pairs of a site.
 type Difference struct {
 	Site string
-	// Measure is "worth", or "earned by" and a kind of request.
+	// Measure is "worth", or "earned by" followed by a request class.
 	Measure       string
 	Pairs         int
 	Before, After float64
-	// Mean is of After less Before, and Error its standard error, not a number for one pair.
-	Mean, Error float64
+	// MeanDifference is the mean of After minus Before, and StandardError its standard error, which
+	// is NaN for a single pair.
+	MeanDifference, StandardError float64
 }
 
-// worthMeasure names the worth of a whole day.
+// worthMeasure is the measure of the score of a whole day.
 const worthMeasure = "worth"
 
 // Differences returns the mean differences by site and measure.
@@ -153,20 +155,21 @@
 			differences[i] = after[k][i] - before[k][i]
 		}
 		mean, deviation := stat.MeanStdDev(differences, nil)
-		d.Mean, d.Error = mean, deviation/math.Sqrt(float64(d.Pairs))
+		d.MeanDifference, d.StandardError = mean, deviation/math.Sqrt(float64(d.Pairs))
 		list = append(list, d)
 	}
 	return list
 }
 
-// Write writes pairs and mean differences.
+// Write writes the scores of all pairs, and then the mean differences.
 func Write(out io.Writer, pairs []Pair) {
 	for _, pair := range pairs {
 		fmt.Fprintf(out, "%s %s seed %d: %.4f to %.4f\n", siteName(pair.Site), pair.Day, pair.Seed, pair.Before.Worth, pair.After.Worth)
 	}
 	for _, d := range Differences(pairs) {
-		fmt.Fprintf(out, "%s, %s: %.4f to %.4f, %+.4f +- %.4f (%d pairs)\n", siteName(d.Site), d.Measure, d.Before, d.After, d.Mean, d.Error, d.Pairs)
+		fmt.Fprintf(out, "%s, %s: %.4f to %.4f, %+.4f +- %.4f (%d pairs)\n", siteName(d.Site), d.Measure, d.Before, d.After, d.MeanDifference, d.StandardError, d.Pairs)
 	}
 }
 
+// siteName returns the name of a site file without folder and extension.
 func siteName(path string) string { return strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)) }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger tells where requests of a day were lost, and to what: from the logs of the
-// routers it counts lost requests by cause, route, tenant, router, runner and time, and from
-// the report of a play it takes what each cause cost.
+// Package ledger attributes the lost requests of a bench day to causes. It counts the lost requests
+// in the logs of the routers by cause, route, tenant, router, runner and time, and reads from the
+// report of the bench what each cause cost.
 package ledger
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/clovertiller/clovertiller/internal/explain"
 )
 
-// window is the span of time that lost requests are counted in: short enough to tell a burst
-// from what follows it.
-const window = 2 * time.Second
+// windowDuration is the length of the time windows in which lost requests are counted. It is short
+// enough to separate a burst from what follows it.
+const windowDuration = 2 * time.Second
 
-// Dimension is what lost requests are counted by.
+// Dimension is a property of requests by which lost requests are counted.
 type Dimension string
 
-// The dimensions.
+// Dimensions of lost requests.
 const (
 	ByRoute  Dimension = "route"
 	ByTenant Dimension = "tenant"
@@ -32,67 +32,69 @@
 	ByWindow Dimension = "second"
 )
 
-// Dimensions are all dimensions, in the order in which they are shown.
+// Dimensions lists all dimensions in the order in which they are shown.
 var Dimensions = []Dimension{ByRoute, ByTenant, ByRouter, ByRunner, ByWindow}
 
-// Row counts the lost requests of one cause at one place.
+// Row is the number of requests that were lost to one cause, for one key of a dimension.
 type Row struct {
 	Dimension Dimension
-	// Key names the route, tenant, router or runner, or gives the first second of the window.
+	// Key is the name of the route, tenant, router or runner, or the start of the time window in
+	// seconds after the first request.
 	Key   string
 	Cause string
 	Count int
 }
 
-// Ledger is the account of one log.
+// Ledger holds the counts of the lost requests in a log.
 type Ledger struct {
-	// Requests counts all that ended or were refused.
+	// Requests is the number of requests that ended or were refused, lost or not.
 	Requests int
-	// Causes counts lost requests by cause.
+	// Causes is the number of lost requests by cause.
 	Causes map[string]int
-	// Rows are the counts by place, the largest first within a dimension.
+	// Rows are the counts by dimension and key, with the largest first within a dimension.
 	Rows []Row
 }
 
-// place is a key of a dimension with a cause.
-type place struct {
+// rowKey identifies a Row.
+type rowKey struct {
 	dimension Dimension
 	key       string
 	cause     string
 }
 
-// FromLog counts the lost requests of a log. A log without any request is an error.
+// FromLog counts the lost requests in a log. It returns a trace.BadParameter error if the log
+// contains no requests.
 func FromLog(log *explain.Log) (*Ledger, error) {
 	ledger := &Ledger{Causes: map[string]int{}}
-	counts := map[place]int{}
-	var began time.Time
+	counts := map[rowKey]int{}
+	var start time.Time
 	for _, line := range log.Lines {
-		cause, isRequest := causeOf(line)
+		cause, isRequest := lossCause(line)
 		if !isRequest {
 			continue
 		}
 		if ledger.Requests == 0 {
-			began = line.Time
+			start = line.Time
 		}
 		ledger.Requests++
 		if cause == "" {
 			continue
 		}
 		ledger.Causes[cause]++
-		for dimension, key := range keysOf(line, began) {
-			counts[place{dimension, key, cause}]++
+		for dimension, key := range dimensionKeys(line, start) {
+			counts[rowKey{dimension, key, cause}]++
 		}
 	}
 	if ledger.Requests == 0 {
 		return nil, trace.BadParameter("the log has no request that ended or was refused (%d lines, %d others skipped)", len(log.Lines), log.Skipped)
 	}
-	ledger.Rows = rowsOf(counts)
+	ledger.Rows = sortedRows(counts)
 	return ledger, nil
 }
 
-// causeOf tells what a request was lost to, "" for one answered in time, and whether the
-// line ends a request at all.
-func causeOf(line explain.Line) (cause string, isRequest bool) {
+// lossCause returns the cause by which a request was lost, empty if it was answered in time.
+// isRequest is false if the line does not report the end of a request.
+func lossCause(line explain.Line) (cause string, isRequest bool) {
 	switch line.Event {
 	case events.RequestRefused.Number:
 		return "refused: " + line.Field("reason"), true
@@ -108,8 +110,10 @@
 	return "", false
 }
 
-func keysOf(line explain.Line, began time.Time) map[Dimension]string {
-	second := int(line.Time.Sub(began).Truncate(window).Seconds())
+// dimensionKeys returns the keys under which a lost request is counted. Fields that are missing in
+// the line have no key.
+func dimensionKeys(line explain.Line, start time.Time) map[Dimension]string {
+	second := int(line.Time.Sub(start).Truncate(windowDuration).Seconds())
 	keys := map[Dimension]string{
 		ByRoute: line.Field("route"), ByTenant: line.Field("tenant"), ByRouter: line.Node,
 		ByRunner: line.Field("runner"), ByWindow: strconv.Itoa(second),
@@ -118,10 +122,10 @@
 	return keys
 }
 
-func rowsOf(counts map[place]int) []Row {
+func sortedRows(counts map[rowKey]int) []Row {
 	rows := make([]Row, 0, len(counts))
-	for at, count := range counts {
-		rows = append(rows, Row{at.dimension, at.key, at.cause, count})
+	for group, count := range counts {
+		rows = append(rows, Row{group.dimension, group.key, group.cause, count})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"github.com/clovertiller/clovertiller/internal/explain"
 )
 
-const recorded = `
+const recordedLog = `
 0.1 front-1 {"event":510,"msg":"request ended","node":"front-1","time":"2026-01-01T00:00:00.100Z","route":"ask","tenant":"a","runner":"i-1","outcome":"complete","late":false,"late_by":""}
 1.9 front-1 {"event":510,"msg":"request ended","node":"front-1","time":"2026-01-01T00:00:01.900Z","route":"ask","tenant":"a","runner":"i-1","outcome":"complete","late":true,"late_by":"pause"}
 2.2 front-2 {"event":511,"msg":"request refused","node":"front-2","time":"2026-01-01T00:00:02.200Z","route":"bulk","tenant":"b","status":503,"reason":"expected wait is above the tier's limit"}
@@ -20,7 +20,7 @@
 2.5 front-2 {"event":510,"msg":"request ended","node":"front-2","time":"2026-01-01T00:00:02.500Z","route":"ask","tenant":"b","runner":"i-2","outcome":"cut"}
 `
 
-func read(t *testing.T, text string) (*Ledger, error) {
+func ledgerFromText(t *testing.T, text string) (*Ledger, error) {
 	t.Helper()
 	log, err := explain.Read(strings.NewReader(text))
 	if err != nil {
@@ -29,9 +29,9 @@
 	return FromLog(log)
 }
 
-func TestLostRequestsAreCountedByCauseAndPlace(t *testing.T) {
+func TestLostRequestsAreCountedByCauseAndDimension(t *testing.T) {
 	g := NewWithT(t)
-	ledger, err := read(t, recorded)
+	ledger, err := ledgerFromText(t, recordedLog)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(ledger.Requests).To(Equal(5))
 	g.Expect(ledger.Causes).To(Equal(map[string]int{"late: pause": 1, "refused: expected wait is above the tier's limit": 2, "not served: cut": 1}))
@@ -49,27 +49,27 @@
 }
 
 func TestLogWithoutRequestsIsAnError(t *testing.T) {
-	_, err := read(t, "nothing here\n")
+	_, err := ledgerFromText(t, "nothing here\n")
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring("no request")))
 }
 
-func TestReportsAreChecked(t *testing.T) {
+func TestReportsAreValidated(t *testing.T) {
 	g := NewWithT(t)
-	const day = `{"G":0.5,"tries":5,"parts":[["whole day",0.7,0.8]],"prices":[["orders",3,0.01]],"classes":[{"name":"ask","n":3,"in_aim":1}]}`
-	report, err := ReadReport(strings.NewReader(day))
+	const dayReport = `{"G":0.5,"tries":5,"parts":[["whole day",0.7,0.8]],"prices":[["orders",3,0.01]],"classes":[{"name":"ask","n":3,"in_aim":1}]}`
+	report, err := ReadReport(strings.NewReader(dayReport))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(report.Prices).To(Equal([]Price{{"orders", 3, 0.01}}))
-	ledger, err := read(t, recorded)
+	g.Expect(report.Costs).To(Equal([]ReportRow{{"orders", 3, 0.01}}))
+	ledger, err := ledgerFromText(t, recordedLog)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(report.Matches(ledger)).To(Succeed())
+	g.Expect(report.CheckMatches(ledger)).To(Succeed())
 	var table bytes.Buffer
 	ledger.WriteTable(&table, report)
 	g.Expect(table.String()).To(ContainSubstring("0.1400  lost of 0.70: whole day"))
 
-	report.Tries = 500
-	g.Expect(report.Matches(ledger)).To(MatchError(ContainSubstring("different days")))
-	for _, bad := range []string{"", "{}", `{"G":0.5,"tries":5,"prices":[["orders",3]]}`, `{"G":0.5,"tries":5,"parts":[["whole day","x",1]]}`} {
-		_, err := ReadReport(strings.NewReader(bad))
-		g.Expect(err).To(HaveOccurred(), bad)
+	report.RequestCount = 500
+	g.Expect(report.CheckMatches(ledger)).To(MatchError(ContainSubstring("different days")))
+	for _, invalid := range []string{"", "{}", `{"G":0.5,"tries":5,"prices":[["orders",3]]}`, `{"G":0.5,"tries":5,"parts":[["whole day","x",1]]}`} {
+		_, err := ReadReport(strings.NewReader(invalid))
+		g.Expect(err).To(HaveOccurred(), invalid)
 	}
 }
--- a/internal/lab/ledger/report.go
+++ b/internal/lab/ledger/report.go
@@ -8,16 +8,18 @@
 	"github.com/gravitational/trace"
 )
 
-// Price is what one cause cost.
-type Price struct {
+// ReportRow is a row of Report.Parts or Report.Costs.
+type ReportRow struct {
 	Name string
-	// Amount is in the unit that the name tells.
+	// Amount is the attainable worth of a part, or the size of a cost in the unit that its name
+	// gives.
 	Amount float64
-	// Worth is the share of the day's worth that it took.
-	Worth float64
+	// Share is the share of Amount that a part achieved, or the share of the day's worth that a
+	// cost took.
+	Share float64
 }
 
-// Class is how the requests of one kind fared.
+// Class holds the results of the requests of one class.
 type Class struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"n"`
@@ -28,16 +30,18 @@
 	Earned  float64 `json:"worth"`
 }
 
-// Report is what a play of a day reported.
+// Report is the report of the bench about one day. Worth is the score of the day, Parts are the
+// parts that make up the score, and Costs are the deductions by cause.
 type Report struct {
-	Worth   float64
-	Tries   int
-	Parts   []Price
-	Prices  []Price
-	Classes []Class
+	Worth        float64
+	RequestCount int
+	Parts        []ReportRow
+	Costs        []ReportRow
+	Classes      []Class
 }
 
-// ReadReport reads the report that the bench of the users writes for one day.
+// ReadReport reads the report that the users' bench writes for one day. It returns a
+// trace.BadParameter error for a malformed report and for one without requests.
 func ReadReport(reader io.Reader) (*Report, error) {
 	var raw struct {
 		Worth   *float64            `json:"G"`
@@ -50,45 +54,47 @@
 		return nil, trace.BadParameter("report: %v", err)
 	}
 	if raw.Worth == nil || raw.Tries == 0 {
-		return nil, trace.BadParameter("report: no day was played")
+		return nil, trace.BadParameter("report: the bench ran no day")
 	}
-	report := &Report{Worth: *raw.Worth, Tries: raw.Tries, Classes: raw.Classes}
+	report := &Report{Worth: *raw.Worth, RequestCount: raw.Tries, Classes: raw.Classes}
 	var err error
-	if report.Parts, err = prices(raw.Parts); err != nil {
+	if report.Parts, err = parseRows(raw.Parts); err != nil {
 		return nil, err
 	}
-	if report.Prices, err = prices(raw.Prices); err != nil {
+	if report.Costs, err = parseRows(raw.Prices); err != nil {
 		return nil, err
 	}
 	return report, nil
 }
 
-func prices(rows [][]json.RawMessage) ([]Price, error) {
-	var list []Price
+// parseRows parses rows of a name and two numbers.
+func parseRows(rows [][]json.RawMessage) ([]ReportRow, error) {
+	var list []ReportRow
 	for _, row := range rows {
 		if len(row) != 3 {
 			return nil, trace.BadParameter("report: a row has %d columns instead of 3", len(row))
 		}
-		var p Price
-		for i, field := range []any{&p.Name, &p.Amount, &p.Worth} {
+		var parsed ReportRow
+		for i, field := range []any{&parsed.Name, &parsed.Amount, &parsed.Share} {
 			if err := json.Unmarshal(row[i], field); err != nil {
 				return nil, trace.BadParameter("report: column %d: %v", i, err)
 			}
 		}
-		list = append(list, p)
+		list = append(list, parsed)
 	}
 	return list, nil
 }
 
-// sameDayShare is how far the requests in a log may differ from those in a report of the
-// same day: requests whose router was killed leave no line, and tests of the configuration
-// leave lines that the report does not count.
-const sameDayShare = 0.3
+// maxRequestCountDeviation is the maximum deviation, as a share, between the numbers of requests in
+// a log and in the report of the same day. Requests whose router was killed leave no log line, and
+// tests of the configuration leave lines that the report does not count.
+const maxRequestCountDeviation = 0.3
 
-// Matches tells whether the log may be that of the report's day.
-func (r *Report) Matches(ledger *Ledger) error {
-	if math.Abs(float64(ledger.Requests-r.Tries)) > sameDayShare*float64(r.Tries) {
-		return trace.BadParameter("the log has %d requests and the report %d: they are of different days", ledger.Requests, r.Tries)
+// CheckMatches returns an error if the numbers of requests show that log and report are of
+// different days.
+func (r *Report) CheckMatches(ledger *Ledger) error {
+	if math.Abs(float64(ledger.Requests-r.RequestCount)) > maxRequestCountDeviation*float64(r.RequestCount) {
+		return trace.BadParameter("the log has %d requests and the report %d: they are of different days", ledger.Requests, r.RequestCount)
 	}
 	return nil
 }
--- a/internal/lab/ledger/write.go
+++ b/internal/lab/ledger/write.go
@@ -15,10 +15,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// shownRows is how many rows of a dimension the table shows: the rest is in the CSV.
-const shownRows = 8
+// maxTableRows is the maximum number of rows of a dimension in the table. The CSV output has all
+// rows.
+const maxTableRows = 8
 
-// WriteTable writes causes, costs and the places where most was lost. The report may be nil.
+// WriteTable writes the causes, the costs and the largest counts of each dimension. The report may
+// be nil.
 func (l *Ledger) WriteTable(out io.Writer, report *Report) {
 	fmt.Fprintf(out, "%d requests\n", l.Requests)
 	for _, cause := range l.sortedCauses() {
@@ -31,7 +33,7 @@
 		fmt.Fprintf(out, "\nby %s\n", dimension)
 		shown := 0
 		for _, row := range l.Rows {
-			if row.Dimension == dimension && shown < shownRows {
+			if row.Dimension == dimension && shown < maxTableRows {
 				fmt.Fprintf(out, "%7d  %-24s %s\n", row.Count, row.Key, row.Cause)
 				shown++
 			}
@@ -42,12 +44,12 @@
 func (r *Report) writeTable(out io.Writer) {
 	fmt.Fprintf(out, "\nworth %.4f\n", r.Worth)
 	for _, part := range r.Parts {
-		fmt.Fprintf(out, "%7.4f  lost of %.2f: %s\n", part.Amount*(1-part.Worth), part.Amount, part.Name)
+		fmt.Fprintf(out, "%7.4f  lost of %.2f: %s\n", part.Amount*(1-part.Share), part.Amount, part.Name)
 	}
-	costs := slices.DeleteFunc(slices.Clone(r.Prices), func(p Price) bool { return p.Worth <= 0 })
-	slices.SortFunc(costs, func(a, b Price) int { return cmp.Compare(b.Worth, a.Worth) })
+	costs := slices.DeleteFunc(slices.Clone(r.Costs), func(p ReportRow) bool { return p.Share <= 0 })
+	slices.SortFunc(costs, func(a, b ReportRow) int { return cmp.Compare(b.Share, a.Share) })
 	for _, price := range costs {
-		fmt.Fprintf(out, "%7.4f  %.1f %s\n", price.Worth, price.Amount, price.Name)
+		fmt.Fprintf(out, "%7.4f  %.1f %s\n", price.Share, price.Amount, price.Name)
 	}
 	for _, class := range r.Classes {
 		fmt.Fprintf(out, "%-20s %6d asked, %6d in time, %5d late, %5d refused, %5d failed, earned %.3f\n",
@@ -55,13 +57,14 @@
 	}
 }
 
+// sortedCauses returns the causes, the one with the most lost requests first.
 func (l *Ledger) sortedCauses() []string {
 	return slices.SortedFunc(maps.Keys(l.Causes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.Causes[b], l.Causes[a]), cmp.Compare(a, b))
 	})
 }
 
-// WriteCSV writes all rows.
+// WriteCSV writes all rows as CSV with a header.
 func (l *Ledger) WriteCSV(out io.Writer) error {
 	writer := csv.NewWriter(out)
 	rows := [][]string{{"dimension", "key", "cause", "count"}}
@@ -74,17 +77,17 @@
 const (
 	chartWidth  = 8 * vg.Inch
 	chartHeight = 4 * vg.Inch
-	// shownCauses bounds the lines of the plot, so that they can be told apart.
-	shownCauses = 6
+	// maxPlottedCauses limits the number of lines in the plot so that they remain distinguishable.
+	maxPlottedCauses = 6
 )
 
-// Plot draws the lost requests of the largest causes over time, as SVG or by the path's
-// extension.
+// Plot writes a plot of the lost requests over time, for the most frequent causes. The extension of
+// the path selects the format, for example .svg or .png.
 func (l *Ledger) Plot(path string) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "lost requests", "s", "requests"
 	causes := l.sortedCauses()
-	for i, cause := range causes[:min(len(causes), shownCauses)] {
+	for i, cause := range causes[:min(len(causes), maxPlottedCauses)] {
 		var points plotter.XYs
 		for _, row := range l.Rows {
 			if second, err := strconv.Atoi(row.Key); row.Dimension == ByWindow && row.Cause == cause && err == nil {
