--- a/internal/lab/runnerstand/responses.go
+++ b/internal/lab/runnerstand/responses.go
@@ -26,21 +26,22 @@
 // formatEvent returns the server-sent event with the id.
 func formatEvent(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// writeStream sends the events after the last one that the caller received. TruncatesResponse
-// breaks the connection in the middle of the second event that is sent.
+// writeStream sends the events after the last one that the caller received. If the caller names a
+// backup runner, that runner gets a KV copy of the run. TruncatesResponse breaks the connection in
+// the middle of the second event that is sent.
 func (r *Runner) writeStream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
 	if backup := request.Header.Get(platform.HeaderKVBackup); backup != "" && r.FindPeer != nil {
 		if peer := r.FindPeer(backup); peer != nil {
 			peer.storeKVCopy(request.Header.Get(platform.HeaderRequestID))
 		}
 	}
-	first, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
+	lastReceived, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
-	for id := first + 1; id <= r.EventCount; id++ {
+	for id := lastReceived + 1; id <= r.EventCount; id++ {
 		time.Sleep(r.EventInterval)
 		event := formatEvent(id)
-		if behaviour == TruncatesResponse && id == first+2 {
+		if behaviour == TruncatesResponse && id == lastReceived+2 {
 			fmt.Fprint(writer, strings.TrimSuffix(event, "iece "+strconv.Itoa(id)+"\n\n"))
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
@@ -58,7 +59,7 @@
 			<-request.Context().Done()
 			return
 		case Pauses:
-			if id == first+1 {
+			if id == lastReceived+1 {
 				r.pauseStream(request)
 			}
 		}
--- a/internal/lab/runnerstand/runner.go
+++ b/internal/lab/runnerstand/runner.go
@@ -309,8 +309,8 @@
 	if expected != "" && expected != strconv.FormatUint(r.weightVersion, 10) {
 		return Sheds, run
 	}
-	if from := request.Header.Get(platform.HeaderKVFrom); from != "" {
-		if from != r.Address+"/"+run.RequestID || !r.kvCopies[run.RequestID] {
+	if kvSource := request.Header.Get(platform.HeaderKVFrom); kvSource != "" {
+		if kvSource != r.Address+"/"+run.RequestID || !r.kvCopies[run.RequestID] {
 			return Sheds, run
 		}
 		delete(r.kvCopies, run.RequestID)
--- a/internal/lab/soak/calls.go
+++ b/internal/lab/soak/calls.go
@@ -110,7 +110,7 @@
 
 // routes lists the path prefixes of the routes, and whether calls on them are repeatable.
 var routes = []struct {
-	path       string
+	prefix     string
 	repeatable bool
 }{{"/safe/", true}, {"/unsafe/", false}, {"/stream/", true}, {"/once/", false}}
 
@@ -123,7 +123,7 @@
 		route := routes[random.IntN(len(routes))]
 		key, tenant, addedAt, revokedAt := s.config.randomKey(random)
 		call := &callRecord{
-			id: fmt.Sprintf("%x-%d", random.Uint64(), number), path: fmt.Sprintf("%s%d", route.path, number),
+			id: fmt.Sprintf("%x-%d", random.Uint64(), number), path: fmt.Sprintf("%s%d", route.prefix, number),
 			body: strings.Repeat("b", random.IntN(200)), tenant: tenant, repeatable: route.repeatable, keyAddedAt: addedAt,
 		}
 		if !revokedAt.IsZero() {
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -10,6 +10,7 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
+// hostName is the host of all routes.
 const hostName = "h.example"
 
 // configuration is what the operator has written to the store. It is safe for concurrent use.
@@ -40,6 +41,7 @@
 	return c
 }
 
+// addKey adds a new valid key, which the next version of the configuration contains.
 func (c *configuration) addKey() {
 	c.keyCount++
 	c.validKeys = append(c.validKeys, fmt.Sprintf("key-%d", c.keyCount))
--- a/internal/lab/soak/disturbances.go
+++ b/internal/lab/soak/disturbances.go
@@ -52,11 +52,11 @@
 	defer d.mutex.Unlock()
 	var last time.Time
 	for _, subject := range subjects {
-		for _, s := range d.intervals[subject] {
-			if s.from.After(moment) {
+		for _, disturbance := range d.intervals[subject] {
+			if disturbance.from.After(moment) {
 				continue
 			}
-			end := s.to
+			end := disturbance.to
 			if end.IsZero() || end.After(moment) {
 				end = moment
 			}
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -132,7 +132,7 @@
 	return func() { f.stopDraining(runner) }
 }
 
-// stopDraining makes a draining runner accept calls again.
+// stopDraining marks a draining runner as ready again.
 func (f *fleet) stopDraining(runner *runnerstand.Runner) {
 	f.entryMutex.Lock()
 	defer f.entryMutex.Unlock()
--- a/internal/lab/soak/keyupdates.go
+++ b/internal/lab/soak/keyupdates.go
@@ -9,7 +9,7 @@
 func (s *Soak) checkConfigUpdates() {
 	var found []lateRequest
 	for _, call := range s.calls.all() {
-		if late, broken := s.checkDeniedKey(call); broken {
+		if late, isLate := s.checkDeniedKey(call); isLate {
 			found = append(found, late)
 		}
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -163,6 +163,7 @@
 	fmt.Fprintf(s.settings.Out, "%s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
+// start starts the runners, writes the configuration and starts the gateways.
 func (s *Soak) start() error {
 	if err := os.MkdirAll(s.settings.Folder, 0o755); err != nil {
 		return err
@@ -204,15 +205,15 @@
 			program = []string{s.settings.OlderProgram}
 			s.olderGateways[gatewayName(i)] = true
 		}
-		door, err := s.store.OpenEndpoint()
+		endpoint, err := s.store.OpenEndpoint()
 		if err != nil {
 			return err
 		}
-		proxy, err := faultproxy.Start(door.Address)
+		proxy, err := faultproxy.Start(endpoint.Address)
 		if err != nil {
 			return err
 		}
-		p := &process{name: gatewayName(i), program: program, folder: s.settings.Folder, addresses: free, seeds: seeds, storeEndpoint: door, storeProxy: proxy, peerProxy: peerProxies[i]}
+		p := &process{name: gatewayName(i), program: program, folder: s.settings.Folder, addresses: free, seeds: seeds, storeEndpoint: endpoint, storeProxy: proxy, peerProxy: peerProxies[i]}
 		if err := p.writeSettings(); err != nil {
 			return err
 		}
@@ -226,6 +227,7 @@
 
 func gatewayName(number int) string { return fmt.Sprintf("gateway-%d", number) }
 
+// close kills the gateways and stops all runners, proxies and store endpoints.
 func (s *Soak) close() {
 	for _, p := range s.processes {
 		p.kill()
--- a/internal/lab/soak/updates.go
+++ b/internal/lab/soak/updates.go
@@ -26,7 +26,7 @@
 	var found []lateRequest
 	for _, runner := range s.runners.all() {
 		for _, arrival := range runner.ArrivalLog() {
-			if late, broken := s.checkDraining(runner.ID, arrival); broken {
+			if late, isLate := s.checkDraining(runner.ID, arrival); isLate {
 				found = append(found, late)
 			}
 		}
@@ -34,7 +34,7 @@
 			continue
 		}
 		for _, run := range runner.Runs() {
-			if late, broken := s.checkWeightVersion(runner.ID, run); broken {
+			if late, isLate := s.checkWeightVersion(runner.ID, run); isLate {
 				found = append(found, late)
 			}
 		}
--- a/internal/lab/soak/updates_test.go
+++ b/internal/lab/soak/updates_test.go
@@ -81,9 +81,9 @@
 			s, runner := newCheckedSoak(t)
 			s.runners.startDraining(runner)
 			sendCallTo(t, runner)
-			arrived := runner.ArrivalLog()[0].ReceivedAt
-			s.runners.drains[runner.ID][0].from = arrived.Add(-test.updateAge)
-			s.disturbances.addPast(arrived, test.subject, test.undisturbed)
+			arrivedAt := runner.ArrivalLog()[0].ReceivedAt
+			s.runners.drains[runner.ID][0].from = arrivedAt.Add(-test.updateAge)
+			s.disturbances.addPast(arrivedAt, test.subject, test.undisturbed)
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "leaving: 1 requests of gateway-0 at e0")
 		})
@@ -109,9 +109,9 @@
 			s, runner := newCheckedSoak(t)
 			s.config.bumpWeights()
 			sendCallTo(t, runner)
-			began := runner.Runs()[0].StartedAt
-			s.config.weightChangeTimes[0] = began.Add(-test.updateAge)
-			s.disturbances.addPast(began, test.subject, test.undisturbed)
+			startedAt := runner.Runs()[0].StartedAt
+			s.config.weightChangeTimes[0] = startedAt.Add(-test.updateAge)
+			s.disturbances.addPast(startedAt, test.subject, test.undisturbed)
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "older weights: 1 requests of gateway-0 at e0")
 		})
@@ -138,10 +138,10 @@
 			s.processes = []*process{{name: testGateway}, {name: "gateway-1"}, {name: "gateway-2"}}
 			s.runners.startDraining(runner)
 			sendCallTo(t, runner)
-			arrived := runner.ArrivalLog()[0].ReceivedAt
-			s.runners.drains[runner.ID][0].from = arrived.Add(-2 * maxDrainDelay)
+			arrivedAt := runner.ArrivalLog()[0].ReceivedAt
+			s.runners.drains[runner.ID][0].from = arrivedAt.Add(-2 * maxDrainDelay)
 			for _, subject := range test.disturbed {
-				s.disturbances.addPast(arrived, subject, contactTime-100*time.Millisecond)
+				s.disturbances.addPast(arrivedAt, subject, contactTime-100*time.Millisecond)
 			}
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "leaving: 1 requests of gateway-0 at e0")
--- a/internal/lab/storestand/endpoint.go
+++ b/internal/lab/storestand/endpoint.go
@@ -73,80 +73,80 @@
 }
 
 // CallCount returns the number of calls that reached the endpoint.
-func (d *Endpoint) CallCount() int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.callCount
+func (e *Endpoint) CallCount() int {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.callCount
 }
 
 // StaleListCount returns the number of calls that accept stale lists.
-func (d *Endpoint) StaleListCount() int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.staleListCount
+func (e *Endpoint) StaleListCount() int {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.staleListCount
 }
 
 // Close stops the endpoint immediately.
-func (d *Endpoint) Close() { d.server.Close() }
+func (e *Endpoint) Close() { e.server.Close() }
 
 // SetFault sets the fault for new calls and pending watches.
-func (d *Endpoint) SetFault(fault Fault) {
-	d.mutex.Lock()
-	d.fault = fault
-	d.mutex.Unlock()
-	d.store.mutex.Lock()
-	d.store.notifyWatchers()
-	d.store.mutex.Unlock()
+func (e *Endpoint) SetFault(fault Fault) {
+	e.mutex.Lock()
+	e.fault = fault
+	e.mutex.Unlock()
+	e.store.mutex.Lock()
+	e.store.notifyWatchers()
+	e.store.mutex.Unlock()
 }
 
 // AbandonWatches leaves the pending watches of the kind without an answer. New watches are
 // answered.
-func (d *Endpoint) AbandonWatches(kind string) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if abandoned := d.abandoned[kind]; abandoned != nil {
+func (e *Endpoint) AbandonWatches(kind string) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if abandoned := e.abandoned[kind]; abandoned != nil {
 		close(abandoned)
-		delete(d.abandoned, kind)
+		delete(e.abandoned, kind)
 	}
 }
 
 // watchesAbandoned returns a channel that is closed when the pending watches of the kind are
 // abandoned.
-func (d *Endpoint) watchesAbandoned(kind string) <-chan struct{} {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if d.abandoned[kind] == nil {
-		d.abandoned[kind] = make(chan struct{})
+func (e *Endpoint) watchesAbandoned(kind string) <-chan struct{} {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if e.abandoned[kind] == nil {
+		e.abandoned[kind] = make(chan struct{})
 	}
-	return d.abandoned[kind]
+	return e.abandoned[kind]
 }
 
 // SetReplicaRevision makes watches of the kinds answer like a replica that has not received
 // changes after the revision.
-func (d *Endpoint) SetReplicaRevision(revision uint64, kinds ...string) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (e *Endpoint) SetReplicaRevision(revision uint64, kinds ...string) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	for _, kind := range kinds {
-		d.replicaRevisions[kind] = revision
+		e.replicaRevisions[kind] = revision
 	}
 }
 
 // CatchUp makes all watches answer at the latest revision again.
-func (d *Endpoint) CatchUp() {
-	d.mutex.Lock()
-	clear(d.replicaRevisions)
-	d.mutex.Unlock()
-	d.store.mutex.Lock()
-	d.store.notifyWatchers()
-	d.store.mutex.Unlock()
+func (e *Endpoint) CatchUp() {
+	e.mutex.Lock()
+	clear(e.replicaRevisions)
+	e.mutex.Unlock()
+	e.store.mutex.Lock()
+	e.store.notifyWatchers()
+	e.store.mutex.Unlock()
 }
 
 // eventsSince is like Store.eventsSince, but without changes that the replica has not received.
-func (d *Endpoint) eventsSince(kind string, fromRevision uint64) (events []Event, atRevision uint64, compacted bool, changed chan struct{}) {
-	d.mutex.Lock()
-	replicaRevision, isReplica := d.replicaRevisions[kind]
-	d.mutex.Unlock()
-	events, atRevision, compacted, changed = d.store.eventsSince(kind, fromRevision)
+func (e *Endpoint) eventsSince(kind string, fromRevision uint64) (events []Event, atRevision uint64, compacted bool, changed chan struct{}) {
+	e.mutex.Lock()
+	replicaRevision, isReplica := e.replicaRevisions[kind]
+	e.mutex.Unlock()
+	events, atRevision, compacted, changed = e.store.eventsSince(kind, fromRevision)
 	if isReplica {
 		atRevision = min(atRevision, replicaRevision)
 		events = slices.DeleteFunc(events, func(event Event) bool { return event.Object.Metadata.Revision > replicaRevision })
@@ -154,45 +154,45 @@
 	return events, atRevision, compacted, changed
 }
 
-func (d *Endpoint) currentFault() Fault {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.fault
+func (e *Endpoint) currentFault() Fault {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.fault
 }
 
-func (d *Endpoint) serve(writer http.ResponseWriter, request *http.Request) {
-	d.mutex.Lock()
-	d.callCount++
+func (e *Endpoint) serve(writer http.ResponseWriter, request *http.Request) {
+	e.mutex.Lock()
+	e.callCount++
 	if request.URL.Query().Has("stale") {
-		d.staleListCount++
+		e.staleListCount++
 	}
-	d.mutex.Unlock()
-	writer = d.store.bindToEra(writer)
-	if d.applyFault(writer, request) {
+	e.mutex.Unlock()
+	writer = e.store.bindToEra(writer)
+	if e.applyFault(writer, request) {
 		return
 	}
 	kind, name, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, platform.PathObjects), "/")
 	switch {
 	case request.Method == http.MethodGet && request.URL.Query().Has("watch"):
-		d.handleWatch(writer, request, kind)
+		e.handleWatch(writer, request, kind)
 	case request.Method == http.MethodGet && name == "":
-		d.store.writeList(writer, kind, request.URL.Query().Get("after"))
+		e.store.writeList(writer, kind, request.URL.Query().Get("after"))
 	case request.Method == http.MethodGet:
-		object, found := d.store.Get(kind, name)
+		object, found := e.store.Get(kind, name)
 		if !found {
 			writer.WriteHeader(http.StatusNotFound)
 			return
 		}
 		writeJSON(writer, http.StatusOK, object)
 	default:
-		d.handleChange(writer, request, kind, name)
+		e.handleChange(writer, request, kind, name)
 	}
 }
 
 // applyFault applies the current fault to the call. It returns true if the call must not be
 // processed further.
-func (d *Endpoint) applyFault(writer http.ResponseWriter, request *http.Request) bool {
-	switch d.currentFault() {
+func (e *Endpoint) applyFault(writer http.ResponseWriter, request *http.Request) bool {
+	switch e.currentFault() {
 	case Busy:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case Throttled:
@@ -207,7 +207,8 @@
 	return true
 }
 
-// writeList writes a page of the objects of the kind, ordered by name, whose names follow after.
+// writeList writes a page of the objects of the kind, ordered by name, that starts after the
+// given name.
 func (s *Store) writeList(writer http.ResponseWriter, kind, after string) {
 	s.mutex.Lock()
 	var names []string
@@ -230,15 +231,15 @@
 
 // handleWatch answers as soon as there are changes after the watched revision, or without any
 // at the end of the requested wait.
-func (d *Endpoint) handleWatch(writer http.ResponseWriter, request *http.Request, kind string) {
+func (e *Endpoint) handleWatch(writer http.ResponseWriter, request *http.Request, kind string) {
 	query := request.URL.Query()
 	fromRevision, _ := strconv.ParseUint(query.Get("watch"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer deadline.Stop()
-	abandoned := d.watchesAbandoned(kind)
+	abandoned := e.watchesAbandoned(kind)
 	for expired := false; ; {
-		events, atRevision, compacted, changed := d.eventsSince(kind, fromRevision)
+		events, atRevision, compacted, changed := e.eventsSince(kind, fromRevision)
 		if compacted {
 			writer.WriteHeader(http.StatusGone)
 			return
@@ -257,21 +258,21 @@
 		case <-request.Context().Done():
 			return
 		}
-		if d.applyFault(writer, request) {
+		if e.applyFault(writer, request) {
 			return
 		}
 		abortCallIfRestored(writer)
 	}
 }
 
-func (d *Endpoint) handleChange(writer http.ResponseWriter, request *http.Request, kind, name string) {
+func (e *Endpoint) handleChange(writer http.ResponseWriter, request *http.Request, kind, name string) {
 	var body Object
 	if request.Method != http.MethodDelete && json.NewDecoder(request.Body).Decode(&body) != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, object := d.store.applyRequest(request.Method, kind, name, body)
-	if d.currentFault() == LosesResponses {
+	status, object := e.store.applyRequest(request.Method, kind, name, body)
+	if e.currentFault() == LosesResponses {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, status, object)
