--- a/cmd/clovertiller-lab/ledger.go
+++ b/cmd/clovertiller-lab/ledger.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return report, report.Matches(lostRequests)
+	return report, report.CheckMatches(lostRequests)
 }
 
 // compareCommand runs the same days of the users' bench with two builds.
@@ -101,7 +101,7 @@
 			}
 			settings.Seeds = append(settings.Seeds, seed)
 		}
-		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{benchPath})[0], Why: note})
+		pairs, err := compare.Run(ctx, settings, &compare.Bench{Path: absolutePaths([]string{benchPath})[0], JournalNote: note})
 		if err != nil {
 			return fmt.Errorf("comparison failed: %w", err)
 		}
--- a/cmd/clovertiller-lab/soak.go
+++ b/cmd/clovertiller-lab/soak.go
@@ -43,8 +43,8 @@
 		}
 		fmt.Println("seed", seed)
 		report, err := soak.Run(ctx, soak.Settings{
-			Program: commandLine, Older: olderProgram, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
-			Seed: seed, Duration: duration, Folder: soak.LogFolder(logRoot, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
+			Program: commandLine, OlderProgram: olderProgram, Poison: poison, Suspensions: suspensions, Signals: signals, Restores: restores, LateOperator: lateOperator,
+			Seed: seed, FaultDuration: duration, Folder: soak.LogFolder(logRoot, seed), Out: os.Stdout, Gateways: gateways, Engines: engines,
 		})
 		if err != nil {
 			return err
@@ -65,7 +65,7 @@
 func gatewayCommand() command {
 	subcommand := newSubcommand(gatewayCommandName, "Run a gateway whose clock the soak can stop.")
 	return command{subcommand, func(context.Context) error {
-		if code := gatewaymain.Run(soak.SuspendableClock(os.Getenv(soak.SuspendedVariable))); code != 0 {
+		if code := gatewaymain.Run(soak.SuspendableClock(os.Getenv(soak.SuspendedFileEnvVar))); code != 0 {
 			return fmt.Errorf("the gateway exited with code %d", code)
 		}
 		return nil
--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -37,7 +37,7 @@
 func TestCheckStore(t *testing.T) {
 	g := NewWithT(t)
 	store := storestand.New()
-	endpoint, err := store.Open()
+	endpoint, err := store.OpenEndpoint()
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(endpoint.Close)
 	ports := gateway.Ports{Store: &platform.StoreClient{Address: endpoint.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}, Decode: platform.Decode}
@@ -54,7 +54,7 @@
 	g.Expect(CheckStore(context.Background(), env, ports)).To(Equal(ExitInvalid))
 	g.Expect(errOut.String()).To(ContainSubstring(`service "s" does not exist`))
 
-	endpoint.Set(storestand.Busy)
+	endpoint.SetFault(storestand.Busy)
 	env, _, _ = newEnv()
 	g.Expect(CheckStore(context.Background(), env, ports)).To(Equal(ExitUnavailable))
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -57,7 +57,7 @@
 	f.servingRouter("other", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until all routers are in a steady state
 	for _, seed := range seeds {
-		seed.door.Set(fault)
+		seed.door.SetFault(fault)
 	}
 	time.Sleep(200 * time.Millisecond)
 	return f, seeds
@@ -65,7 +65,7 @@
 
 func TestSeedsWithoutStoreLearnFromOtherRouters(t *testing.T) {
 	const margin = 500 * time.Millisecond // log timestamps have millisecond resolution
-	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Silent} {
+	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "throttled": storestand.Throttled, "silent": storestand.Hangs} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, seeds := newSeedOutageFleet(t, fault)
@@ -76,7 +76,7 @@
 			}
 			time.Sleep(time.Until(changedAt.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
-				seed.door.Set(storestand.Healthy)
+				seed.door.SetFault(storestand.Healthy)
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
@@ -122,7 +122,7 @@
 	previousSeed := f.servingRouter("former", asSeed)
 	follower := f.servingRouter("follower", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until it is in a steady state
-	follower.door.Set(storestand.Silent)
+	follower.door.SetFault(storestand.Hangs)
 	previousSeed.Kill()
 	f.router("seed", func(settings *gateway.Settings) {
 		asSeed(settings)
@@ -140,7 +140,7 @@
 // blockingStore returns the address of a proxy to the store that blocks calls for the kinds while
 // blocked is set, as it is at first.
 func blockingStore(f *fleet, kinds ...string) (blocked *atomic.Bool, address string) {
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(door.Close)
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: door.Address})
@@ -169,10 +169,10 @@
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
 	const window = 5 * time.Second
-	before := r.door.Calls()
+	before := r.door.CallCount()
 	for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(350 * time.Millisecond) {
 		f.store.Put("leases", "someone", map[string]any{"at": time.Now().UnixNano()})
 	}
 	maxReads := int(window/(900*time.Millisecond)) + 1
-	f.g.Expect(r.door.Calls() - before).To(BeNumerically("<=", 3*maxReads+2))
+	f.g.Expect(r.door.CallCount() - before).To(BeNumerically("<=", 3*maxReads+2))
 }
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -46,7 +46,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	door, err := f.store.Open()
+	door, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	proxy, err := faultproxy.Start(door.Address)
@@ -55,7 +55,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = proxy.Address })
 	for range 3 {
 		time.Sleep(time.Second)
-		proxy.Set(faultproxy.Mute)
+		proxy.SetMode(faultproxy.MuteExisting)
 	}
 	f.drainRunnerAndNameWeights()
 	f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
@@ -76,12 +76,12 @@
 			})
 			follower := f.servingRouter("follower", f.followerSettings(addresses))
 			time.Sleep(300 * time.Millisecond)
-			seed.door.LoseWatches(kind)
+			seed.door.AbandonWatches(kind)
 			f.drainRunnerAndNameWeights()
 			for _, r := range []*router{seed, follower} {
 				f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 			}
-			f.g.Expect(follower.door.Calls()).To(BeZero())
+			f.g.Expect(follower.door.CallCount()).To(BeZero())
 		})
 	}
 }
@@ -97,11 +97,11 @@
 		f.configure(1, defaultRoutes(), goodKey)
 		runner := f.runner("e1", "engines")
 		r := start(f)
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 		nameWeights(f, 2)
 		namedAt := time.Now()
 		time.Sleep(silence)
-		r.door.Set(storestand.Loses) // so that no router can make the runner update
+		r.door.SetFault(storestand.LosesResponses) // so that no router can make the runner update
 		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineWeightsNamed))
 		time.Sleep(time.Until(namedAt.Add(deadline)))
 		runsBefore := len(runner.Runs())
@@ -118,7 +118,7 @@
 		expectExpiry(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", withShortDeadline) })
 	})
 	t.Run("started", func(t *testing.T) {
-		expectExpiry(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", withShortDeadline, storestand.Silent) })
+		expectExpiry(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", withShortDeadline, storestand.Hangs) })
 	})
 }
 
@@ -138,13 +138,13 @@
 		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, metricsAddress
 	})
 	time.Sleep(time.Second)
-	r.door.AnswerAt(oldRevision, platform.KindConfig, platform.KindWeightVersions)
+	r.door.SetReplicaRevision(oldRevision, platform.KindConfig, platform.KindWeightVersions)
 	f.drainRunnerAndNameWeights()
 	namedAt := time.Now()
 	r.logs(lineDraining)
 	time.Sleep(time.Until(namedAt.Add(staleTime)))
 	f.g.Expect(f.fetchStatus(metricsAddress).ProofAgeMillis).To(BeNumerically(">", (staleTime - time.Second).Milliseconds()))
-	calls := r.door.Calls()
+	calls := r.door.CallCount()
 	r.door.CatchUp()
 	f.g.Expect(calls).To(BeNumerically("<", 40), "the router pauses between calls to the store")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -34,8 +34,8 @@
 // that response.
 func arrivalsAfterGrace(runner *runnerstand.Runner, announcedAt time.Time) int {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(announcedAt) {
-			return arrivalsAfter(runner, arrival.At.Add(leavingGrace))
+		if arrival.ReceivedAt.After(announcedAt) {
+			return arrivalsAfter(runner, arrival.ReceivedAt.Add(leavingGrace))
 		}
 	}
 	return 0
@@ -70,12 +70,12 @@
 	leaving := f.busiest(1)
 	announcedAt := announceLeaving(leaving...)
 	for _, r := range f.routers {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	f.sendLoad(f.routers, leavingGrace)
 	f.list(leaving[0], "ready")
 	for _, r := range f.routers {
-		r.door.Set(storestand.Healthy)
+		r.door.SetFault(storestand.Healthy)
 	}
 	f.sendLoad(f.routers, 3*time.Second)
 	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
@@ -92,26 +92,26 @@
 	r := f.servingRouter("r", nil)
 	r.logs(`"runner":"p2"`)
 	announceLeaving(other, leaving)
-	other.Announce()
+	other.SetResponseHeaders()
 	sendCalls := func(count int) {
 		for range count {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
 	sendCalls(10)
-	f.store.Remove(platform.KindRunners, leaving.ID)
+	f.store.Delete(platform.KindRunners, leaving.ID)
 	r.logs("runner removed")
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
-	before := leaving.Arrivals()
+	before := leaving.ArrivalCount()
 	sendCalls(20)
-	f.g.Expect(leaving.Arrivals()).To(Equal(before), "the same incarnation is still leaving")
-	leaving.Announce()
+	f.g.Expect(leaving.ArrivalCount()).To(Equal(before), "the same incarnation is still leaving")
+	leaving.SetResponseHeaders()
 	leaving.Restart()
 	f.list(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	sendCalls(20)
-	f.g.Expect(leaving.Arrivals()).To(BeNumerically(">", before), "a new incarnation is not leaving")
+	f.g.Expect(leaving.ArrivalCount()).To(BeNumerically(">", before), "a new incarnation is not leaving")
 }
 
 // A router that received the signal applies it without any other router, and also after its machine
@@ -124,7 +124,7 @@
 	announcedAt := announceLeaving(leaving...)
 	f.sendLoad(f.routers, time.Second)
 	f.routers[0].Kill()
-	f.routers[1].door.Set(storestand.Silent)
+	f.routers[1].door.SetFault(storestand.Hangs)
 	f.routers[1].clock.suspend(time.Second)
 	f.sendLoad(f.routers[1:], leavingGrace+time.Second)
 	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -75,10 +75,10 @@
 	defer p.mutex.Unlock()
 	config := runnerstand.Config{
 		ID: fmt.Sprintf("e%d", len(p.runners)), Service: p.service,
-		Poison: runnerstand.Poison{Prefix: poisonBody, After: 60 * time.Millisecond, Silent: p.silent, Ended: p.runnerCrashed},
+		Poison: runnerstand.Poison{Prefix: poisonBody, CrashDelay: 60 * time.Millisecond, NoResponse: p.silent, OnCrash: p.runnerCrashed},
 	}
 	if p.service == "engines" {
-		config.Model, config.Version, config.Events, config.EventTime = modelName, 1, 4, 40*time.Millisecond
+		config.Model, config.Version, config.EventCount, config.EventInterval = modelName, 1, 4, 40*time.Millisecond
 	}
 	p.runners = append(p.runners, p.startRunner(config))
 }
@@ -94,7 +94,7 @@
 		case <-p.t.Context().Done():
 			return
 		}
-		p.store.Remove(platform.KindRunners, runner.ID)
+		p.store.Delete(platform.KindRunners, runner.ID)
 		p.startNext()
 	})
 }
@@ -125,7 +125,7 @@
 	defer p.mutex.Unlock()
 	for _, runner := range p.runners {
 		for _, run := range runner.Runs() {
-			if run.Body == poisonBody && run.Began.After(moment) {
+			if run.Body == poisonBody && run.StartedAt.After(moment) {
 				count++
 			}
 		}
@@ -266,11 +266,11 @@
 	p := newPoisonedFleet(t, 1, false)
 	p.startRouters(1)
 	queueing := p.runners[0]
-	queueing.Queue(3 * time.Second)
-	queueing.Behave(runnerstand.Queues)
+	queueing.SetQueueTime(3 * time.Second)
+	queueing.SetBehaviour(runnerstand.Queues)
 	answers := make(chan answer, 1)
 	go func() { answers <- p.routers[1].call("/once/x", withBody(poisonBody)) }()
-	p.g.Eventually(queueing.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
+	p.g.Eventually(queueing.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.list(queueing, "draining")
 	for range 6 {
 		p.startNext()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -115,7 +115,7 @@
 	p.routers[0].Kill()
 	next := p.routerAt("r2", nil, storestand.Busy)
 	time.Sleep(300 * time.Millisecond)
-	next.door.Set(storestand.Healthy)
+	next.door.SetFault(storestand.Healthy)
 	next.logs("configuration in force")
 	p.g.Eventually(next.log.String, 3*time.Second, 5*time.Millisecond).Should(ContainSubstring("content is not sent any more"))
 	p.g.Expect(next.call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
@@ -149,14 +149,14 @@
 	p := newPoisonedFleet(t, 8, false)
 	p.routers = []*router{p.servingRouter("r1", nil)}
 	survivor := p.engine("survivor", 1)
-	survivor.Behave(runnerstand.Pauses)
+	survivor.SetBehaviour(runnerstand.Pauses)
 	for _, runner := range p.runners {
 		p.list(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
 	answers := make(chan answer, 1)
 	go func() { answers <- p.routers[0].call("/once/x", withBody(poisonBody)) }()
-	p.g.Eventually(survivor.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
+	p.g.Eventually(survivor.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.list(survivor, "draining")
 	for _, runner := range p.runners {
 		p.list(runner, "ready")
@@ -164,7 +164,7 @@
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":false`) }, time.Second).Should(BeNumerically(">=", 16))
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
-	survivor.Resume()
+	survivor.ResumeStreams()
 	p.g.Expect((<-answers).status).To(Equal(http.StatusOK))
 	p.routers[0].logs("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
@@ -179,7 +179,7 @@
 		detectedAt := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
 		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: detectedAt.Add(-time.Millisecond), DetectedAt: detectedAt})
 	}
-	door, err := p.store.Open()
+	door, err := p.store.OpenEndpoint()
 	p.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(door.Close)
 	client := &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -55,7 +55,7 @@
 	}
 	time.Sleep(1200 * time.Millisecond) // Long enough for two pulls.
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Fails)
+		runner.SetBehaviour(runnerstand.Fails)
 	}
 	total := 0
 	for _, r := range routers {
@@ -79,7 +79,7 @@
 func TestFollowerPullsFromSeedsWithoutReadingStore(t *testing.T) {
 	f, _, follower := newSeededFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Consistently(follower.door.Calls, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
+	f.g.Consistently(follower.door.CallCount, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
@@ -93,15 +93,15 @@
 	f, seeds, follower := newSeededFleet(t)
 	runner := f.runner("e1", "engines")
 	nameWeights(f, 2)
-	f.g.Eventually(runner.Version, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
+	f.g.Eventually(runner.WeightVersion, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Eventually(func() int { return follower.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
-	f.g.Expect(follower.door.Calls()).To(Equal(0))
+	f.g.Expect(follower.door.CallCount()).To(Equal(0))
 
 	for _, seed := range seeds {
 		seed.Kill()
 	}
 	nameWeights(f, 3)
-	f.g.Eventually(runner.Version, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "without seeds the follower takes the lease itself")
+	f.g.Eventually(runner.WeightVersion, 8*time.Second, 20*time.Millisecond).Should(Equal(uint64(3)), "without seeds the follower takes the lease itself")
 }
 
 func TestFollowerFallsBackToOtherSeedThenStore(t *testing.T) {
@@ -112,16 +112,16 @@
 		follower.settled(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(follower.door.Calls()).To(BeNumerically(">", 0), "without seeds the follower reads the store")
+	f.g.Expect(follower.door.CallCount()).To(BeNumerically(">", 0), "without seeds the follower reads the store")
 }
 
 // Guards against a seed that loses the store while it serves others, and then leaves its followers
 // or itself with an old configuration.
 func TestSeedWithoutStoreAccessIsNotReliedOn(t *testing.T) {
-	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Silent} {
+	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Hangs} {
 		t.Run(name, func(t *testing.T) {
 			f, seeds, follower := newSeededFleet(t)
-			seeds[0].door.Set(fault)
+			seeds[0].door.SetFault(fault)
 			failedAt := time.Now()
 			f.configure(2, defaultRoutes(), "key-two")
 			for _, r := range []*router{follower, seeds[0], seeds[1]} {
@@ -136,7 +136,7 @@
 func TestRouterStartsFromPeersWhileStoreIsDown(t *testing.T) {
 	f, seeds, _ := newSeededFleet(t)
 	addresses := seeds[0].seeds
-	restarted := f.routerAt("restarted", f.followerSettings(addresses), storestand.Silent)
+	restarted := f.routerAt("restarted", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Eventually(restarted.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(restarted.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
@@ -146,7 +146,7 @@
 func TestPeersCannotProveConfigurationWithoutStore(t *testing.T) {
 	f, seeds, follower := newSeededFleet(t)
 	for _, r := range append(seeds, follower) {
-		r.door.Set(storestand.Silent)
+		r.door.SetFault(storestand.Hangs)
 	}
 	f.g.Eventually(func() bool {
 		ready := false
@@ -165,16 +165,16 @@
 	seed := f.routerAt("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = addresses[0], addresses
 	}, storestand.Busy)
-	first := f.routerAt("first", f.followerSettings(addresses), storestand.Silent)
+	first := f.routerAt("first", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	seed.door.Set(storestand.Healthy)
+	seed.door.SetFault(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "the seed is pulled from again soon after it has a configuration")
 	f.configure(2, defaultRoutes(), "key-two")
 	seed.settled(2)
-	second := f.routerAt("second", f.followerSettings(addresses), storestand.Silent)
+	second := f.routerAt("second", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Eventually(second.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(second.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized))
 }
@@ -201,7 +201,7 @@
 	for i := range 6 {
 		r := f.router(fmt.Sprint("r", i), f.followerSettings(seeds))
 		f.g.Eventually(r.isReady, 150*time.Millisecond, 2*time.Millisecond).Should(BeTrue())
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.door.CallCount()).To(BeZero())
 	}
 }
 
@@ -222,7 +222,7 @@
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(got.after).To(BeNumerically("<", startWait))
 
-	alone := f.routerAt("alone", f.followerSettings(seeds), storestand.Silent)
+	alone := f.routerAt("alone", f.followerSettings(seeds), storestand.Hangs)
 	for range 2 {
 		got = alone.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -35,7 +35,7 @@
 func refuseWithBackoff(runners []*runnerstand.Runner) {
 	announce(runners, platform.HeaderRetryAfter, backoffSeconds)
 	for _, runner := range runners {
-		runner.Behave(runnerstand.Sheds)
+		runner.SetBehaviour(runnerstand.Sheds)
 	}
 }
 
@@ -58,9 +58,9 @@
 func maxArrivalsInBackoff(runner *runnerstand.Runner, since time.Time) (highest int) {
 	byRouter := map[string][]time.Time{}
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(since) {
+		if arrival.ReceivedAt.After(since) {
 			router := arrival.Path[strings.LastIndex(arrival.Path, "/"):]
-			byRouter[router] = append(byRouter[router], arrival.At)
+			byRouter[router] = append(byRouter[router], arrival.ReceivedAt)
 		}
 	}
 	for _, arrivals := range byRouter {
@@ -100,7 +100,7 @@
 				f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 			}
 			for _, runner := range resting {
-				runner.Behave(runnerstand.Well)
+				runner.SetBehaviour(runnerstand.Normal)
 			}
 			time.Sleep(backoffTime)
 			got = f.sendLoadByRouter(2 * time.Second)
@@ -133,7 +133,7 @@
 	for _, value := range []string{"-3", "NaN", "soon", "1e999"} {
 		announce(f.engines, platform.HeaderRetryAfter, value)
 		for _, engine := range f.engines {
-			engine.BehaveOnce(runnerstand.Sheds)
+			engine.SetBehaviourOnce(runnerstand.Sheds)
 		}
 		f.sendLoad(f.routers, time.Second)
 		got := f.sendLoad(f.routers, time.Second)
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -21,8 +21,8 @@
 func newFleetWithLostRunner(t *testing.T) (*restorableFleet, *runnerstand.Runner) {
 	f := newRestorableFleet(t, 3, nil)
 	f.plain.Close()
-	f.store.Remove(platform.KindRunners, f.plain.ID)
-	backup := f.store.Copy()
+	f.store.Delete(platform.KindRunners, f.plain.ID)
+	backup := f.store.Backup()
 	joined := f.runner("joined", "plain")
 	f.writeUnrelated(lostWrites)
 	f.awaitServing()
@@ -74,9 +74,9 @@
 		r.logs(`"runner":"leaving"`)
 		r.logs(`"runner":"gone"`)
 	}
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.list(leaving, "draining")
-	f.store.Remove(platform.KindRunners, gone.ID)
+	f.store.Delete(platform.KindRunners, gone.ID)
 	f.writeUnrelated(lostWrites)
 	for _, r := range f.routers {
 		r.logs(`"draining":true`)
@@ -92,7 +92,7 @@
 		f.g.Expect([]int{len(leaving.Runs()), len(gone.Runs())}).To(Equal(runsBefore))
 	}
 
-	f.store.Put(platform.KindRunners, gone.ID, gone.Entry("ready"))
+	f.store.Put(platform.KindRunners, gone.ID, gone.DirectoryEntry("ready"))
 	f.g.Eventually(func() int {
 		f.routers[0].call("/safe/x", nil)
 		return len(gone.Runs())
@@ -104,7 +104,7 @@
 func TestRunsAndStreamsContinueDuringRestore(t *testing.T) {
 	t.Parallel()
 	f := newRestorableFleet(t, 3, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
 	for _, engine := range f.engines {
@@ -146,23 +146,23 @@
 	proxies := []*faultproxy.Proxy{f.proxyTo(seed.seeds[0]), f.proxyTo(bound)}
 	setProxies := func(mode faultproxy.Mode) {
 		for _, proxy := range proxies {
-			proxy.Set(mode)
+			proxy.SetMode(mode)
 		}
 	}
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.Seeds, settings.PeerAddress, settings.PeerBindAddress = []string{proxies[0].Address}, proxies[1].Address, bound
 	})
 	follower.logs(`"runner":"gone"`)
-	follower.door.Set(storestand.Reset)
+	follower.door.SetFault(storestand.Reset)
 	setProxies(faultproxy.Reset)
-	f.store.Remove(platform.KindRunners, removed.ID)
+	f.store.Delete(platform.KindRunners, removed.ID)
 	seed.logs("runner removed")
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	seed.logs(`"event":829`)
 	time.Sleep(listingTime)
-	seed.door.Set(storestand.Throttled)
+	seed.door.SetFault(storestand.Throttled)
 	f.writeUnrelated(3)
-	follower.door.Set(storestand.Healthy)
+	follower.door.SetFault(storestand.Healthy)
 	follower.logs(`"missing":1`)
 	setProxies(faultproxy.Pass)
 
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -37,8 +37,8 @@
 		count++
 	})
 	f.plain.Close()
-	f.store.Remove(platform.KindRunners, f.plain.ID)
-	backup := f.store.Copy()
+	f.store.Delete(platform.KindRunners, f.plain.ID)
+	backup := f.store.Backup()
 	f.runner("joined", "plain")
 	f.configure(2, routesWith("fresh"), goodKey)
 	nameWeights(f.fleet, 2)
@@ -93,13 +93,13 @@
 	var seeds []string
 	for _, seed := range f.seeds {
 		proxy := f.proxyTo(seed)
-		proxy.Set(faultproxy.Reset)
+		proxy.SetMode(faultproxy.Reset)
 		proxies, seeds = append(proxies, proxy), append(seeds, proxy.Address)
 	}
 	restarted := f.startRouter(loopback.FreeAddress(), seeds)
 	f.g.Eventually(restarted.isReady, learnTimeout, 5*time.Millisecond).Should(BeTrue(), "it serves the state of the store")
 	for _, proxy := range proxies {
-		proxy.Set(faultproxy.Pass)
+		proxy.SetMode(faultproxy.Pass)
 	}
 	f.awaitNewerState(restarted)
 }
@@ -128,7 +128,7 @@
 	f := &restorableFleet{fleet: newFleet(t)}
 	f.configure(1, defaultRoutes(), goodKey)
 	f.plain = f.runner("p1", "plain")
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	seed := loopback.FreeAddress()
 	proxy := f.proxyTo(seed)
 	// No router knows more than the store, so both retry the transfer until its timeout.
@@ -140,8 +140,8 @@
 	countSeedFound := func() int { return strings.Count(follower.log.String(), `"store":false`) }
 	for range 4 {
 		before := countSeedFound()
-		proxy.Set(faultproxy.Mute)
-		proxy.Set(faultproxy.Pass)
+		proxy.SetMode(faultproxy.MuteExisting)
+		proxy.SetMode(faultproxy.Pass)
 		f.g.Eventually(countSeedFound, revisionPropagationTime, 5*time.Millisecond).Should(BeNumerically(">", before), "the seed answers again")
 	}
 }
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -66,13 +66,13 @@
 // setStoreFault sets how the store treats the calls of all routers.
 func (f *restorableFleet) setStoreFault(fault storestand.Fault) {
 	for _, r := range f.routers {
-		r.door.Set(fault)
+		r.door.SetFault(fault)
 	}
 }
 
 // restore takes the store down for the downtime and restores it from the backup. It calls
 // afterRestore, if not nil, before the store is available again.
-func (f *restorableFleet) restore(backup storestand.Copy, downtime time.Duration, afterRestore func()) {
+func (f *restorableFleet) restore(backup storestand.Backup, downtime time.Duration, afterRestore func()) {
 	f.setStoreFault(storestand.Reset)
 	time.Sleep(downtime)
 	f.store.Restore(backup)
@@ -113,7 +113,7 @@
 func (f *restorableFleet) awaitWeights(version uint64) {
 	f.t.Helper()
 	for _, engine := range f.engines {
-		f.g.Eventually(engine.Version, weightUpdateTimeout, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
+		f.g.Eventually(engine.WeightVersion, weightUpdateTimeout, 10*time.Millisecond).Should(Equal(version), "weights of %s", engine.ID)
 	}
 }
 
@@ -169,7 +169,7 @@
 			t.Run(fmt.Sprintf("%s, %d routers", name, routers), func(t *testing.T) {
 				t.Parallel()
 				f := newRestorableFleet(t, routers, nil)
-				backup := f.store.Copy()
+				backup := f.store.Backup()
 				nameWeights(f.fleet, 2)
 				f.awaitWeights(2)
 				f.writeUnrelated(lostWrites)
@@ -195,7 +195,7 @@
 		t.Run(fmt.Sprintf("%d routers", routers), func(t *testing.T) {
 			t.Parallel()
 			f := newRestorableFleet(t, routers, nil)
-			backup := f.store.Copy()
+			backup := f.store.Backup()
 			f.writeUnrelated(lostWrites)
 			time.Sleep(revisionPropagationTime)
 			var changed time.Time
@@ -211,7 +211,7 @@
 			f.awaitConfiguration(changed, "/fresh/x", "key-two")
 			f.awaitWeights(2)
 			f.plain.Close()
-			f.store.Remove(platform.KindRunners, f.plain.ID)
+			f.store.Delete(platform.KindRunners, f.plain.ID)
 			f.awaitServing()
 			f.g.Expect(joined.Runs()).NotTo(BeEmpty(), "the added runner gets requests")
 		})
@@ -223,7 +223,7 @@
 func TestCallersAreServedDuringStoreRestore(t *testing.T) {
 	t.Parallel()
 	f := newRestorableFleet(t, 3, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.configure(2, routesWith("fresh"), goodKey)
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
@@ -266,7 +266,7 @@
 	f.g.Expect(rejected.Load()).To(BeZero())
 	f.g.Expect(acceptedRemovedKey.Load()).To(BeZero(), "calls accepted with the removed key")
 	for _, engine := range f.engines {
-		f.g.Expect(engine.Version()).To(Equal(uint64(2)))
+		f.g.Expect(engine.WeightVersion()).To(Equal(uint64(2)))
 	}
 }
 
@@ -274,7 +274,7 @@
 func TestChangesTakeEffectAfterTwoRestores(t *testing.T) {
 	t.Parallel()
 	f := newRestorableFleet(t, 3, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.writeUnrelated(lostWrites)
 	time.Sleep(revisionPropagationTime)
 	for range 2 {
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -28,11 +28,11 @@
 	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
 	content := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
-	runner.Behave(runnerstand.BreaksOff)
+	runner.SetBehaviour(runnerstand.TruncatesResponse)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
 	f.expectMetric(metricsAddress, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
 	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+content), Not(ContainSubstring("runner ended while requests were running"))))
-	runner.Behave(runnerstand.Dies)
+	runner.SetBehaviour(runnerstand.Terminates)
 	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
 	r.logs("runner ended while requests were running")
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + content + `"]`))
@@ -52,15 +52,15 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("e1", "engines")
-	runner.Behave(runnerstand.Pauses)
+	runner.SetBehaviour(runnerstand.Pauses)
 	if inResponse {
-		runner.Announce(platform.HeaderServerLeaving, "1")
+		runner.SetResponseHeaders(platform.HeaderServerLeaving, "1")
 	}
 	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
 	done := make(chan answer)
 	go func() { done <- r.call("/once/x", nil) }()
-	f.g.Eventually(runner.Arrivals).Should(Equal(1))
+	f.g.Eventually(runner.ArrivalCount).Should(Equal(1))
 	if inResponse {
 		r.logs(`"leaving":true`)
 	} else {
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -83,14 +83,14 @@
 
 // busiest returns the runners that got the most requests.
 func (f *signalFleet) busiest(count int) []*runnerstand.Runner {
-	order := slices.SortedFunc(slices.Values(f.engines), func(a, b *runnerstand.Runner) int { return cmp.Compare(b.Arrivals(), a.Arrivals()) })
+	order := slices.SortedFunc(slices.Values(f.engines), func(a, b *runnerstand.Runner) int { return cmp.Compare(b.ArrivalCount(), a.ArrivalCount()) })
 	return order[:count]
 }
 
 // announce makes the runners add the headers to all their responses.
 func announce(runners []*runnerstand.Runner, headers ...string) {
 	for _, runner := range runners {
-		runner.Announce(headers...)
+		runner.SetResponseHeaders(headers...)
 	}
 }
 
@@ -112,8 +112,8 @@
 func maxArrivalsInWindow(runner *runnerstand.Runner, after time.Time) (highest int) {
 	var times []time.Time
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(after) {
-			times = append(times, arrival.At)
+		if arrival.ReceivedAt.After(after) {
+			times = append(times, arrival.ReceivedAt)
 		}
 	}
 	first := 0
@@ -129,7 +129,7 @@
 // arrivalsAfter returns the number of requests that reached the runner after the given time.
 func arrivalsAfter(runner *runnerstand.Runner, after time.Time) (count int) {
 	for _, arrival := range runner.ArrivalLog() {
-		if arrival.At.After(after) {
+		if arrival.ReceivedAt.After(after) {
 			count++
 		}
 	}
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -33,7 +33,7 @@
 	runner, proxy := f.runnerBehindProxy("p1")
 	r := f.servingRouter("r1", nil)
 	f.openIdleConnections(r, runner, idle)
-	proxy.Set(faultproxy.Mute)
+	proxy.SetMode(faultproxy.MuteExisting)
 	statuses := callConcurrently(r, 3*idle, interval)
 	f.g.Expect(statuses[int(detectionTime/interval):]).To(HaveEach(http.StatusOK), "%v", statuses)
 }
@@ -64,8 +64,8 @@
 	for round := 0; round < maxRounds && !detected(); round++ {
 		time.Sleep(5 * time.Second) // silence on a younger connection counts as a slow router
 		f.openIdleConnections(r, runner, idle)
-		seedProxy.Set(faultproxy.Mute)
-		runnerProxy.Set(faultproxy.Mute)
+		seedProxy.SetMode(faultproxy.MuteExisting)
+		runnerProxy.SetMode(faultproxy.MuteExisting)
 		for start := time.Now(); time.Since(start) < time.Second && !detected(); {
 			time.Sleep(time.Millisecond)
 		}
@@ -80,7 +80,7 @@
 	proxy, err := faultproxy.Start(runner.Address)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(proxy.Close)
-	entry := runner.Entry("ready")
+	entry := runner.DirectoryEntry("ready")
 	entry["address"] = proxy.Address
 	f.store.Put(platform.KindRunners, id, entry)
 	return runner, proxy
@@ -88,9 +88,9 @@
 
 // openIdleConnections leaves the router with the given number of idle connections to the runner.
 func (f *fleet) openIdleConnections(r *router, runner *runnerstand.Runner, count int) {
-	runner.Behave(runnerstand.Delays)
+	runner.SetBehaviour(runnerstand.Delays)
 	f.g.Expect(callConcurrently(r, count, 0)).To(HaveEach(http.StatusOK))
-	runner.Behave(runnerstand.Well)
+	runner.SetBehaviour(runnerstand.Normal)
 }
 
 // callConcurrently starts calls at the interval and returns the status of each.
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -26,15 +26,15 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			f := newRestorableFleet(t, 1, func(settings *gateway.Settings) { settings.ConfigLease = 3 * time.Second })
-			f.restore(f.store.Copy(), storeDowntime/8, nil)
+			f.restore(f.store.Backup(), storeDowntime/8, nil)
 			f.awaitNewEra()
 			f.awaitServing()
-			f.store.WriteEra(write)
+			f.store.SetEraFormat(write)
 			f.configure(2, defaultRoutes(), goodKey)
 			r := f.routers[0]
 			f.g.Eventually(func() int { return r.call("/safe/x", withKey("key-two")).status }, 3*time.Second, 10*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
 			f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 500*time.Millisecond, 10*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
-			f.store.WriteEra(func(era uint64) string { return strconv.FormatUint(era, 10) })
+			f.store.SetEraFormat(func(era uint64) string { return strconv.FormatUint(era, 10) })
 			f.awaitServing()
 			f.g.Expect(r.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized))
 		})
@@ -45,7 +45,7 @@
 func TestStoreWithoutEraIsRead(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.store.WriteEra(func(uint64) string { return "" })
+	f.store.SetEraFormat(func(uint64) string { return "" })
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
@@ -59,7 +59,7 @@
 	t.Parallel()
 	const routers = 12
 	f := newRestorableFleet(t, routers, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.configure(2, routesWith("fresh"), goodKey)
 	f.writeUnrelated(lostWrites)
 	time.Sleep(revisionPropagationTime)
@@ -78,7 +78,7 @@
 	t.Parallel()
 	metricsAddress := loopback.FreeAddress()
 	f := newRestorableFleet(t, 1, func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.configure(2, routesWith("fresh"), goodKey)
 	f.runner("joined", "plain")
 	f.writeUnrelated(lostWrites)
@@ -102,7 +102,7 @@
 // storeCalls returns the number of store calls of all routers.
 func (f *restorableFleet) storeCalls() (count int) {
 	for _, r := range f.routers {
-		count += r.door.Calls()
+		count += r.door.CallCount()
 	}
 	return count
 }
@@ -113,18 +113,18 @@
 	t.Parallel()
 	p := newPoisonedFleet(t, 8, false)
 	p.startRouters(3)
-	backup := p.store.Copy()
+	backup := p.store.Backup()
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
 	for _, r := range p.routers {
-		r.door.Set(storestand.Reset)
+		r.door.SetFault(storestand.Reset)
 	}
 	p.store.Restore(backup)
 	p.g.Expect(p.store.Specs(platform.KindQuarantines)).To(BeEmpty())
 	for _, r := range p.routers {
-		r.door.Set(storestand.Healthy)
+		r.door.SetFault(storestand.Healthy)
 	}
 	p.expectStoredCrashes(3)
 	time.Sleep(time.Second)
-	p.g.Expect(p.store.Writes(platform.KindQuarantines)).To(BeNumerically("<=", 2), "records are not written by all routers")
+	p.g.Expect(p.store.WriteCount(platform.KindQuarantines)).To(BeNumerically("<=", 2), "records are not written by all routers")
 }
--- /dev/null
+++ b/internal/lab/runnerstand/responses.go
@@ -0,0 +1,67 @@
+package runnerstand
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/clovertiller/clovertiller/platform"
+)
+
+// writeBody writes a response that is not a stream. TruncatesResponse breaks the connection after
+// the first bytes of it.
+func (r *Runner) writeBody(writer http.ResponseWriter, behaviour Behaviour, run Run) {
+	text := "answer to " + run.RequestID
+	writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	if behaviour == TruncatesResponse {
+		fmt.Fprint(writer, text[:4])
+		_ = http.NewResponseController(writer).Flush()
+		panic(http.ErrAbortHandler)
+	}
+	fmt.Fprint(writer, text)
+}
+
+// formatEvent returns the server-sent event with the id.
+func formatEvent(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
+
+// writeStream sends the events after the last one that the caller received. If the caller names a
+// backup runner, that runner gets a KV copy of the run. TruncatesResponse breaks the connection in
+// the middle of the second event that is sent.
+func (r *Runner) writeStream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
+	if backup := request.Header.Get(platform.HeaderKVBackup); backup != "" && r.FindPeer != nil {
+		if peer := r.FindPeer(backup); peer != nil {
+			peer.storeKVCopy(request.Header.Get(platform.HeaderRequestID))
+		}
+	}
+	lastReceived, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
+	writer.Header().Set("Content-Type", "text/event-stream")
+	controller := http.NewResponseController(writer)
+	for id := lastReceived + 1; id <= r.EventCount; id++ {
+		time.Sleep(r.EventInterval)
+		event := formatEvent(id)
+		if behaviour == TruncatesResponse && id == lastReceived+2 {
+			fmt.Fprint(writer, strings.TrimSuffix(event, "iece "+strconv.Itoa(id)+"\n\n"))
+			_ = controller.Flush()
+			panic(http.ErrAbortHandler)
+		}
+		fmt.Fprint(writer, event)
+		if controller.Flush() != nil {
+			return
+		}
+		switch behaviour {
+		case Terminates:
+			r.Close()
+			panic(http.ErrAbortHandler)
+		case StopsResponding:
+			r.listener.Close()
+			<-request.Context().Done()
+			return
+		case Pauses:
+			if id == lastReceived+1 {
+				r.pauseStream(request)
+			}
+		}
+	}
+}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -47,22 +47,22 @@
 // The seeds run one after the other, so that at most four gateways run at the same time.
 func TestSoakFixedSeeds(t *testing.T) {
 	for _, seed := range fixedSeeds {
-		runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: seed, Duration: faultDuration})
+		runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: seed, FaultDuration: faultDuration})
 	}
 }
 
 func TestSoakPoison(t *testing.T) {
 	runSeed(t, soak.Settings{
-		Program: []string{buildCommand(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, Duration: poisonDuration, Poison: true, Suspensions: true,
+		Program: []string{buildCommand(t, "clovertiller-lab"), "gateway"}, Seed: poisonSeed, FaultDuration: poisonDuration, Poison: true, Suspensions: true,
 	})
 }
 
 func TestSoakRunnerSignals(t *testing.T) {
-	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: signalSeed, Duration: signalDuration, Signals: true})
+	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: signalSeed, FaultDuration: signalDuration, Signals: true})
 }
 
 func TestSoakStoreRestores(t *testing.T) {
-	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: restoreSeed, Duration: restoreDuration, Restores: true})
+	runSeed(t, soak.Settings{Program: []string{buildCommand(t, "clovertiller-gateway")}, Seed: restoreSeed, FaultDuration: restoreDuration, Restores: true})
 }
 
 // buildCommand builds the command with the given name and returns the path of the program.
