--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -53,7 +53,7 @@
 mutant "5 peers do not give configuration" internal/control/control.go 's/revision >= c.store.Revision\(\) \{/revision >= 0 {/' ./test/prove -ginkgo.focus "one restart, platform down: true"
 mutant "5 every router reads from the platform" internal/node/watch.go 's/watchersPerZone = 2/watchersPerZone = 99/' ./test/prove -ginkgo.focus "few reads of the platform"
 mutant "6 older states apply" internal/config/store.go 's/delta.Through <= s.revision/delta.Through == s.revision/' ./internal/config
-mutant "6 deletions before a list are taken as known" internal/config/store.go 's/\ts.horizon = max\(s.horizon, delta.Through\)\n//' ./internal/config
+mutant "6 deletions before a list are taken as known" internal/config/store.go 's/\ts.compactedThrough = max\(s.compactedThrough, delta.Through\)\n//' ./internal/config
 mutant "6 a lost answer is an error" internal/platform/client.go 's/case sameSpec\(current.Spec, object.Spec\):/case current == nil:/' ./test/prove -ginkgo.focus "reading back"
 mutant "7 a lapsed lease is still believed" internal/lease/lease.go 's/ \|\| !now.Before\(c.validUntil\)//' ./internal/lease
 mutant "7 a lease is taken without waiting" internal/lease/lease.go 's/now.Sub\(c.changedAt\) >= c.takeoverDelay/now.Sub(c.changedAt) >= 0/' ./internal/lease
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -11,52 +11,55 @@
 	Tier v1.TierSpec
 }
 
-// Runner is a runner with its name and whether its machine is leaving.
+// Runner is a configured runner.
 type Runner struct {
 	Name string
 	Spec *v1.RunnerSpec
-	// Leaving is true when the machine list says that the runner's machine leaves.
+	// Leaving is set if the machine list marks the runner's machine as leaving.
 	Leaving bool
 }
 
-// Snapshot is an immutable typed view of a Store, read without locks.
+// Snapshot is an immutable, typed view of a Store. It can be read concurrently without locks. Maps
+// are keyed by object name unless their name says otherwise.
 type Snapshot struct {
-	Revision   uint64
-	Tenants    map[string]*Tenant
-	ByKeyHash  map[string]*Tenant
-	Models     map[string]*v1.ModelSpec
-	Adapters   map[string]*v1.AdapterSpec
-	Pools      map[string]*v1.PoolSpec
-	Weights    map[string]*v1.WeightVersionSpec
-	Runners    map[string]*Runner
-	ByPool     map[string][]*Runner
-	Machines   map[string]*v1.MachineSpec
-	Assignment v1.ClaimAssignmentSpec
+	// Revision is the store revision from which the snapshot was built.
+	Revision         uint64
+	Tenants          map[string]*Tenant
+	TenantsByKeyHash map[string]*Tenant
+	Models           map[string]*v1.ModelSpec
+	Adapters         map[string]*v1.AdapterSpec
+	Pools            map[string]*v1.PoolSpec
+	WeightVersions   map[string]*v1.WeightVersionSpec
+	Runners          map[string]*Runner
+	RunnersByPool    map[string][]*Runner
+	Machines         map[string]*v1.MachineSpec
+	Assignment       v1.ClaimAssignmentSpec
 }
 
-// NewSnapshot builds the typed view of the store.
+// NewSnapshot returns a snapshot of the current contents of the store.
 func NewSnapshot(store *Store) *Snapshot {
 	snapshot := &Snapshot{
-		Revision:  uint64(store.revision),
-		Tenants:   map[string]*Tenant{},
-		ByKeyHash: map[string]*Tenant{},
-		Models:    map[string]*v1.ModelSpec{},
-		Adapters:  map[string]*v1.AdapterSpec{},
-		Pools:     map[string]*v1.PoolSpec{},
-		Weights:   map[string]*v1.WeightVersionSpec{},
-		Runners:   map[string]*Runner{},
-		ByPool:    map[string][]*Runner{},
-		Machines:  map[string]*v1.MachineSpec{},
+		Revision:         uint64(store.revision),
+		Tenants:          map[string]*Tenant{},
+		TenantsByKeyHash: map[string]*Tenant{},
+		Models:           map[string]*v1.ModelSpec{},
+		Adapters:         map[string]*v1.AdapterSpec{},
+		Pools:            map[string]*v1.PoolSpec{},
+		WeightVersions:   map[string]*v1.WeightVersionSpec{},
+		Runners:          map[string]*Runner{},
+		RunnersByPool:    map[string][]*Runner{},
+		Machines:         map[string]*v1.MachineSpec{},
 	}
 	tiers := map[string]v1.TierSpec{}
 	for key, current := range store.objects {
-		snapshot.add(key, current.spec, tiers)
+		snapshot.addObject(key, current.spec, tiers)
 	}
-	snapshot.resolve(tiers)
+	snapshot.resolveReferences(tiers)
 	return snapshot
 }
 
-func (s *Snapshot) add(key v1.Key, spec v1.Spec, tiers map[string]v1.TierSpec) {
+// addObject adds an object to the map of its kind. Tiers are added to tiers.
+func (s *Snapshot) addObject(key v1.Key, spec v1.Spec, tiers map[string]v1.TierSpec) {
 	switch spec := spec.(type) {
 	case *v1.TierSpec:
 		tiers[key.Name] = *spec
@@ -69,7 +72,7 @@
 	case *v1.PoolSpec:
 		s.Pools[key.Name] = spec
 	case *v1.WeightVersionSpec:
-		s.Weights[key.Name] = spec
+		s.WeightVersions[key.Name] = spec
 	case *v1.RunnerSpec:
 		s.Runners[key.Name] = &Runner{Name: key.Name, Spec: spec}
 	case *v1.MachineSpec:
@@ -79,27 +82,29 @@
 	}
 }
 
-func (s *Snapshot) resolve(tiers map[string]v1.TierSpec) {
+// resolveReferences sets the tier of each tenant and the Leaving flag of each runner, and fills
+// TenantsByKeyHash and RunnersByPool.
+func (s *Snapshot) resolveReferences(tiers map[string]v1.TierSpec) {
 	for _, tenant := range s.Tenants {
 		tier, found := tiers[tenant.Spec.Tier]
 		if !found {
-			tier = lowestTier()
+			tier = fallbackTier()
 		}
 		tenant.Tier = tier
 		for _, hash := range tenant.Spec.KeyHashes {
-			s.ByKeyHash[hash] = tenant
+			s.TenantsByKeyHash[hash] = tenant
 		}
 	}
 	for _, runner := range s.Runners {
 		machine := s.Machines[runner.Spec.Machine]
 		runner.Leaving = machine != nil && machine.State == v1.MachineLeaving
-		s.ByPool[runner.Spec.Pool] = append(s.ByPool[runner.Spec.Pool], runner)
+		s.RunnersByPool[runner.Spec.Pool] = append(s.RunnersByPool[runner.Spec.Pool], runner)
 	}
 }
 
-// lowestTier serves tenants whose tier was deleted under them: last in line,
-// but not refused.
-func lowestTier() v1.TierSpec {
+// fallbackTier returns the tier of tenants whose own tier does not exist, for example because it
+// was deleted. It has the lowest priority, so that their requests are queued last but not refused.
+func fallbackTier() v1.TierSpec {
 	tier := v1.TierSpec{Priority: 100}
 	tier.SetDefaults()
 	return tier
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -1,11 +1,11 @@
-// Package config holds the accepted configuration of a node and the rules by
-// which it spreads: objects apply only at a higher version, deletions leave
-// tombstones, and peers repair each other by revision.
+// Package config implements the replicated configuration store of a node. An object is replaced
+// only by a higher version of itself, deletions are kept as tombstones, and nodes exchange the
+// changes after a given revision to catch up with each other.
 //
-// The store has no I/O and no clock. The platform's revision orders all
-// changes: a store "at revision R" holds the effect of every change up to R.
-// Only a full delta leads from one era of the platform's store into the next,
-// as what the former one wrote last is not in the next one's history.
+// The package has no I/O and no clock. The platform's revision orders all changes: a store at
+// revision R holds the effect of every change up to R. A store moves from one era of the platform's
+// store to the next only by a full delta, because the last changes of the earlier era may be missing
+// from the history of the later one.
 package config
 
 import (
@@ -15,12 +15,13 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// MaxTombstones bounds the remembered deletions. A peer that is older than the
-// oldest forgotten deletion is sent a full delta.
+// MaxTombstones is the maximum number of tombstones that a store keeps. A peer whose revision is
+// older than a removed tombstone is sent a full delta.
 const MaxTombstones = 4096
 
-// Delta is a set of changes. It holds every change in (From, Through], or, when
-// Full, every live object at Through.
+// Delta is a set of changes. It holds all changes in (From, Through]; a change that a later one to
+// the same object supersedes may be left out. If Full is set, it holds every live object at Through
+// instead.
 type Delta struct {
 	From    storerev.Revision
 	Through storerev.Revision
@@ -28,36 +29,37 @@
 	Objects []v1.Object
 }
 
-// Outcome says what applying a delta did.
+// Outcome is the result of Store.Apply.
 type Outcome int
 
-// The outcomes of applying a delta.
 const (
 	// Applied means that the store moved to the delta's Through revision.
 	Applied Outcome = iota
-	// Stale means that the store was already at or past the delta.
+	// Stale means that the store already was at the delta's Through revision or a later one.
 	Stale
-	// Gap means that changes before the delta are missing; they must be pulled.
+	// Gap means that the store lacks changes that precede the delta. They must be requested first.
 	Gap
 )
 
 // entry is one live object with its decoded spec.
 type entry struct {
 	object v1.Object
-	spec   v1.Spec
-	// fault is set when the stored object cannot be used; spec is then the last
-	// usable one, or nil.
-	fault string
+	// spec is the last valid spec, or nil if there was none. It is nil in opaque stores.
+	spec v1.Spec
+	// invalidReason tells why the spec of object is invalid. It is empty if the spec is valid.
+	invalidReason string
 }
 
 // Store is the configuration of one node. It is not safe for concurrent use.
 type Store struct {
-	revision   storerev.Revision
-	objects    map[v1.Key]*entry
+	revision storerev.Revision
+	objects  map[v1.Key]*entry
+	// tombstones maps deleted objects to the revisions of their deletions.
 	tombstones map[v1.Key]storerev.Revision
-	// horizon is the revision up to which deletions may be unknown here.
-	horizon storerev.Revision
-	// opaque stores keep specs as they are and do not validate them.
+	// compactedThrough is the revision up to which tombstones may be missing. The store cannot
+	// return the separate changes after an earlier revision.
+	compactedThrough storerev.Revision
+	// opaque is set if specs are neither decoded nor validated.
 	opaque bool
 }
 
@@ -66,24 +68,24 @@
 	return &Store{objects: map[v1.Key]*entry{}, tombstones: map[v1.Key]storerev.Revision{}}
 }
 
-// NewOpaqueStore returns an empty store of objects whose specs are not the
-// product's own types: they are kept and spread but not decoded.
+// NewOpaqueStore returns an empty store that keeps the specs of objects undecoded. It is used for
+// objects whose specs are not types of package v1.
 func NewOpaqueStore() *Store {
 	store := NewStore()
 	store.opaque = true
 	return store
 }
 
-// Revision returns the platform revision through which the store is complete.
+// Revision returns the platform revision up to which the store holds all changes.
 func (s *Store) Revision() storerev.Revision { return s.revision }
 
 // Len returns the number of live objects.
 func (s *Store) Len() int { return len(s.objects) }
 
-// Apply takes a delta from the platform or from a peer.
+// Apply applies a delta from the platform or from a peer.
 //
-// Invariant: the version of an object in the store never decreases, and a
-// deleted object does not come back at or below the version of its deletion.
+// Invariant: the version of an object in the store never decreases, and a deleted object is not
+// restored by a version at or below that of its deletion.
 func (s *Store) Apply(delta Delta) Outcome {
 	if delta.Through <= s.revision {
 		return Stale
@@ -102,8 +104,8 @@
 	return Applied
 }
 
-// applyFull removes what the list no longer has. Only a list newer than the
-// store may do that, which Apply has checked.
+// applyFull applies a full delta and deletes the objects that it lacks. Only a delta that is newer
+// than the store may delete them; Apply has checked that.
 func (s *Store) applyFull(delta Delta) {
 	present := make(map[v1.Key]bool, len(delta.Objects))
 	for _, object := range delta.Objects {
@@ -111,26 +113,28 @@
 		s.applyObject(object)
 	}
 	for key, current := range s.objects {
-		if !present[key] && revisionOf(current.object) <= delta.Through {
+		if !present[key] && lastChangeRevision(current.object) <= delta.Through {
 			s.applyObject(v1.Object{Kind: key.Kind, Name: key.Name, Version: uint64(delta.Through), Deleted: true})
 		}
 	}
 	s.revision = delta.Through
-	// A list does not tell what was deleted before it, so changes from before it
-	// can no longer be given to peers one by one.
-	s.horizon = max(s.horizon, delta.Through)
+	// A full delta does not tell which objects were deleted before it, so peers at earlier revisions
+	// need a full delta too.
+	s.compactedThrough = max(s.compactedThrough, delta.Through)
 }
 
-// revisionOf returns the revision at which the object last changed.
-func revisionOf(object v1.Object) storerev.Revision { return storerev.Revision(object.Version) }
+// lastChangeRevision returns the revision at which the object last changed.
+func lastChangeRevision(object v1.Object) storerev.Revision { return storerev.Revision(object.Version) }
 
+// applyObject applies one changed or deleted object if it is newer than the stored object and its
+// tombstone.
 func (s *Store) applyObject(object v1.Object) {
-	key, revision := object.Key(), revisionOf(object)
+	key, revision := object.Key(), lastChangeRevision(object)
 	if s.tombstones[key] >= revision {
 		return
 	}
 	current := s.objects[key]
-	if current != nil && revisionOf(current.object) >= revision {
+	if current != nil && lastChangeRevision(current.object) >= revision {
 		return
 	}
 	if object.Deleted {
@@ -147,52 +151,54 @@
 	s.objects[key] = newEntry(object, current)
 }
 
-// newEntry decodes the object. A faulty object keeps the last usable spec in
-// force, so that bad input from another writer never empties a route.
+// newEntry returns the entry of an object with its decoded spec. If the spec is invalid, the entry
+// keeps the spec of the previous entry, so that an invalid write by another client of the platform
+// does not take a working route out of service.
 func newEntry(object v1.Object, previous *entry) *entry {
 	object.Status = nil
-	created := &entry{object: object}
+	updated := &entry{object: object}
 	spec, err := v1.DecodeSpec(object)
 	if err == nil {
-		if faults := spec.Validate(); len(faults) == 0 {
-			created.spec = spec
-			return created
+		if validationErrors := spec.Validate(); len(validationErrors) == 0 {
+			updated.spec = spec
+			return updated
 		} else {
-			created.fault = faults[0].String()
+			updated.invalidReason = validationErrors[0].String()
 		}
 	} else {
-		created.fault = err.Error()
+		updated.invalidReason = err.Error()
 	}
 	if previous != nil {
-		created.spec = previous.spec
+		updated.spec = previous.spec
 	}
-	return created
+	return updated
 }
 
+// trimTombstones removes the older half of the tombstones if there are more than MaxTombstones.
 func (s *Store) trimTombstones() {
 	if len(s.tombstones) <= MaxTombstones {
 		return
 	}
-	versions := make([]storerev.Revision, 0, len(s.tombstones))
-	for _, version := range s.tombstones {
-		versions = append(versions, version)
+	revisions := make([]storerev.Revision, 0, len(s.tombstones))
+	for _, revision := range s.tombstones {
+		revisions = append(revisions, revision)
 	}
-	slices.Sort(versions)
-	s.horizon = max(s.horizon, versions[len(versions)/2])
-	for key, version := range s.tombstones {
-		if version <= versions[len(versions)/2] {
+	slices.Sort(revisions)
+	s.compactedThrough = max(s.compactedThrough, revisions[len(revisions)/2])
+	for key, revision := range s.tombstones {
+		if revision <= revisions[len(revisions)/2] {
 			delete(s.tombstones, key)
 		}
 	}
 }
 
-// Since returns the changes after the revision, or a full delta when they are
-// no longer all known.
+// Since returns the changes after the revision. It returns a full delta if the revision is 0 or if
+// tombstones of later deletions may have been removed.
 func (s *Store) Since(revision storerev.Revision) Delta {
 	delta := Delta{From: revision, Through: s.revision}
-	delta.Full = revision < s.horizon || revision == 0
+	delta.Full = revision < s.compactedThrough || revision == 0
 	for _, current := range s.objects {
-		if delta.Full || revisionOf(current.object) > revision {
+		if delta.Full || lastChangeRevision(current.object) > revision {
 			delta.Objects = append(delta.Objects, current.object)
 		}
 	}
@@ -200,15 +206,15 @@
 		delta.From = 0
 		return delta
 	}
-	for key, version := range s.tombstones {
-		if version > revision {
-			delta.Objects = append(delta.Objects, v1.Object{Kind: key.Kind, Name: key.Name, Version: uint64(version), Deleted: true})
+	for key, deletedAt := range s.tombstones {
+		if deletedAt > revision {
+			delta.Objects = append(delta.Objects, v1.Object{Kind: key.Kind, Name: key.Name, Version: uint64(deletedAt), Deleted: true})
 		}
 	}
 	return delta
 }
 
-// Object returns a live object.
+// Object returns a live object. It returns false if there is none with the key.
 func (s *Store) Object(key v1.Key) (v1.Object, bool) {
 	current := s.objects[key]
 	if current == nil {
@@ -226,9 +232,9 @@
 	return objects
 }
 
-// Replace puts the objects in place of those of the same names, whatever their revisions. They
-// are newer states of what the platform's store lists at these revisions, as it came back from
-// a copy.
+// Replace replaces the stored objects that have the same keys, without comparing revisions. It is
+// used after the platform's store was restored from a backup: the given objects are newer states of
+// what the restored store lists at the same revisions.
 func (s *Store) Replace(objects []v1.Object) {
 	for _, object := range objects {
 		delete(s.objects, object.Key())
@@ -237,22 +243,22 @@
 	}
 }
 
-// RemoveOlder removes the objects that were written last before the revision and returns them
-// as deleted. They do not come back at the revisions that they had.
-func (s *Store) RemoveOlder(revision storerev.Revision) []v1.Object {
+// DeleteOlderThan deletes the objects that last changed before the revision and returns the
+// deletions. The tombstones keep them from being restored at the revisions that they had.
+func (s *Store) DeleteOlderThan(revision storerev.Revision) []v1.Object {
 	var removed []v1.Object
 	for key, current := range s.objects {
-		if revisionOf(current.object) < revision {
+		if lastChangeRevision(current.object) < revision {
 			removed = append(removed, v1.Object{Kind: key.Kind, Name: key.Name, Version: current.object.Version, Deleted: true})
 			delete(s.objects, key)
-			s.tombstones[key] = revisionOf(current.object)
+			s.tombstones[key] = lastChangeRevision(current.object)
 		}
 	}
 	s.trimTombstones()
 	return removed
 }
 
-// Version returns the version of a live object, or 0.
+// Version returns the version of a live object, or 0 if there is none with the key.
 func (s *Store) Version(key v1.Key) uint64 {
 	if current := s.objects[key]; current != nil {
 		return current.object.Version
@@ -260,15 +266,15 @@
 	return 0
 }
 
-// Fault returns why the stored object is not in use, or "".
-func (s *Store) Fault(key v1.Key) string {
+// InvalidReason returns why the spec of the stored object is invalid, or "" if it is valid.
+func (s *Store) InvalidReason(key v1.Key) string {
 	if current := s.objects[key]; current != nil {
-		return current.fault
+		return current.invalidReason
 	}
 	return ""
 }
 
-// Runner returns the spec of a configured runner.
+// Runner returns the last valid spec of a configured runner. It returns false if there is none.
 func (s *Store) Runner(name string) (*v1.RunnerSpec, bool) {
 	current := s.objects[v1.Key{Kind: v1.KindRunner, Name: name}]
 	if current == nil {
@@ -278,17 +284,17 @@
 	return spec, usable
 }
 
-// Deleted tells whether the object is known to have existed and been deleted.
-func (s *Store) Deleted(key v1.Key) bool {
+// IsDeleted reports whether the store has a tombstone for the object.
+func (s *Store) IsDeleted(key v1.Key) bool {
 	_, deleted := s.tombstones[key]
 	return deleted
 }
 
-// Keys returns the keys and versions of all live objects.
-func (s *Store) Keys() map[v1.Key]uint64 {
-	keys := make(map[v1.Key]uint64, len(s.objects))
+// Versions returns the versions of all live objects.
+func (s *Store) Versions() map[v1.Key]uint64 {
+	versions := make(map[v1.Key]uint64, len(s.objects))
 	for key, current := range s.objects {
-		keys[key] = current.object.Version
+		versions[key] = current.object.Version
 	}
-	return keys
+	return versions
 }
--- a/internal/config/store_property_test.go
+++ b/internal/config/store_property_test.go
@@ -13,95 +13,97 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// authority is the platform: the ordered log of all accepted changes.
-type authority struct {
-	log []v1.Object
+// changeLog simulates the platform's store: the ordered log of all accepted changes. The change at
+// index i has revision i+1.
+type changeLog struct {
+	changes []v1.Object
 }
 
-func (a *authority) change(t *rapid.T) {
+func (l *changeLog) appendChange(t *rapid.T) {
 	name := fmt.Sprintf("tier-%d", rapid.IntRange(0, 4).Draw(t, "name"))
-	object := v1.Object{Kind: v1.KindTier, Name: name, Version: uint64(len(a.log) + 1)}
+	object := v1.Object{Kind: v1.KindTier, Name: name, Version: uint64(len(l.changes) + 1)}
 	if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
 		object.Deleted = true
 	} else {
-		object.Spec, _ = json.Marshal(v1.TierSpec{Priority: len(a.log) % 100, MaxWaitMillis: 1})
+		object.Spec, _ = json.Marshal(v1.TierSpec{Priority: len(l.changes) % 100, MaxWaitMillis: 1})
 	}
-	a.log = append(a.log, object)
+	l.changes = append(l.changes, object)
 }
 
-// stateAt returns the live objects at a revision.
-func (a *authority) stateAt(revision storerev.Revision) map[v1.Key]uint64 {
-	state := map[v1.Key]uint64{}
-	for _, object := range a.log[:revision] {
+// versionsAt returns the versions of the objects that are live at a revision.
+func (l *changeLog) versionsAt(revision storerev.Revision) map[v1.Key]uint64 {
+	versions := map[v1.Key]uint64{}
+	for _, object := range l.changes[:revision] {
 		if object.Deleted {
-			delete(state, object.Key())
+			delete(versions, object.Key())
 		} else {
-			state[object.Key()] = object.Version
+			versions[object.Key()] = object.Version
 		}
 	}
-	return state
+	return versions
 }
 
-func (a *authority) listAt(revision storerev.Revision) Delta {
+// fullDeltaAt returns what a list call returned at the revision.
+func (l *changeLog) fullDeltaAt(revision storerev.Revision) Delta {
 	delta := Delta{Through: revision, Full: true}
-	for key, version := range a.stateAt(revision) {
-		delta.Objects = append(delta.Objects, a.log[version-1])
+	for key, version := range l.versionsAt(revision) {
+		delta.Objects = append(delta.Objects, l.changes[version-1])
 		_ = key
 	}
 	return delta
 }
 
-// TestStoresFollowThePlatformAndNeverRevert feeds stores from lists, older
-// lists, watch batches and each other, with losses and repeats, and checks that
-// a store at revision R holds exactly the platform's state at R, and that R
-// never decreases.
-func TestStoresFollowThePlatformAndNeverRevert(t *testing.T) {
+// TestStoresMatchThePlatformAndNeverRevert applies current and outdated full deltas, watch batches
+// and deltas of other stores, some of them lost or repeated. It checks that a store at revision R
+// holds exactly the platform's state at R, and that R never decreases.
+func TestStoresMatchThePlatformAndNeverRevert(t *testing.T) {
 	testkit.Properties(3000)
 	rapid.Check(t, func(t *rapid.T) {
-		platform := &authority{}
+		platform := &changeLog{}
 		stores := []*Store{NewStore(), NewStore(), NewStore()}
-		highest := make([]storerev.Revision, len(stores))
+		highestRevisions := make([]storerev.Revision, len(stores))
 		var inFlight []Delta
-		pick := func(name string) int { return rapid.IntRange(0, len(stores)-1).Draw(t, name) }
-		anyRevision := func() storerev.Revision {
-			return storerev.Revision(rapid.IntRange(0, len(platform.log)).Draw(t, "revision"))
+		pickStore := func(name string) int { return rapid.IntRange(0, len(stores)-1).Draw(t, name) }
+		drawRevision := func() storerev.Revision {
+			return storerev.Revision(rapid.IntRange(0, len(platform.changes)).Draw(t, "revision"))
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"change":      platform.change,
-			"change more": platform.change,
-			"list":        func(*rapid.T) { stores[pick("store")].Apply(platform.listAt(anyRevision())) },
+			"change":      platform.appendChange,
+			"change more": platform.appendChange,
+			"list":        func(*rapid.T) { stores[pickStore("store")].Apply(platform.fullDeltaAt(drawRevision())) },
 			"watch": func(*rapid.T) {
-				store := stores[pick("store")]
-				through := max(anyRevision(), store.Revision())
-				store.Apply(Delta{From: store.Revision(), Through: through, Objects: slices.Clone(platform.log[store.Revision():through])})
+				store := stores[pickStore("store")]
+				through := max(drawRevision(), store.Revision())
+				store.Apply(Delta{From: store.Revision(), Through: through, Objects: slices.Clone(platform.changes[store.Revision():through])})
 			},
-			"answer a pull": func(*rapid.T) { inFlight = append(inFlight, stores[pick("from")].Since(anyRevision())) },
+			"answer a pull": func(*rapid.T) { inFlight = append(inFlight, stores[pickStore("from")].Since(drawRevision())) },
 			"deliver": func(t *rapid.T) {
 				if len(inFlight) > 0 {
-					stores[pick("to")].Apply(rapid.SampledFrom(inFlight).Draw(t, "delta"))
+					stores[pickStore("to")].Apply(rapid.SampledFrom(inFlight).Draw(t, "delta"))
 				}
 			},
 			"": func(t *rapid.T) {
-				for i, store := range stores {
-					if store.Revision() < highest[i] {
-						t.Fatalf("store %d went back from %d to %d", i, highest[i], store.Revision())
+				for storeIndex, store := range stores {
+					if store.Revision() < highestRevisions[storeIndex] {
+						t.Fatalf("the revision of store %d decreased from %d to %d", storeIndex, highestRevisions[storeIndex], store.Revision())
 					}
-					highest[i] = store.Revision()
-					checkState(t, i, store, platform.stateAt(store.Revision()))
+					highestRevisions[storeIndex] = store.Revision()
+					checkVersions(t, storeIndex, store, platform.versionsAt(store.Revision()))
 				}
 			},
 		})
 	})
 }
 
-func checkState(t *rapid.T, number int, store *Store, want map[v1.Key]uint64) {
-	got := store.Keys()
+// checkVersions fails the test if the live objects of the store are not those in want.
+func checkVersions(t *rapid.T, storeIndex int, store *Store, want map[v1.Key]uint64) {
+	got := store.Versions()
 	if len(got) != len(want) {
-		t.Fatalf("store %d at %d has %v, want %v", number, store.Revision(), got, want)
+		t.Fatalf("store %d at revision %d has versions %v, want %v", storeIndex, store.Revision(), got, want)
 	}
 	for key, version := range want {
 		if got[key] != version {
-			t.Fatalf("store %d at %d has %s at %d, want %d", number, store.Revision(), key, got[key], version)
+			t.Fatalf("store %d at revision %d has %s at version %d, want %d", storeIndex, store.Revision(), key, got[key], version)
 		}
 	}
 }
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -133,7 +133,7 @@
 		known, listed := c.stores[RunnerObjects].Object(object.Key())
 		revision, returned := unused[object.Name]
 		stillUnused := listed && returned && storerev.Revision(known.Version) == revision
-		if stillUnused || c.stores[RunnerObjects].Deleted(object.Key()) {
+		if stillUnused || c.stores[RunnerObjects].IsDeleted(object.Key()) {
 			c.returned[object.Name] = storerev.Revision(object.Version)
 		}
 	}
@@ -190,7 +190,7 @@
 
 // dropMissing drops the runners whose entries nobody has written again in the era.
 func (c *copies) dropMissing(runners *config.Store) {
-	for _, gone := range runners.RemoveOlder(storerev.StartOf(runners.Revision().Era())) {
+	for _, gone := range runners.DeleteOlderThan(storerev.StartOf(runners.Revision().Era())) {
 		c.gateway.putObjectInForce(RunnerObjects, gone)
 	}
 }
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -191,7 +191,7 @@
 		case found && writtenBefore(kind, known, object) && c.precedes(kind, known, object):
 			object.Version = known.Version
 			newer = append(newer, object)
-		case !found && !store.Deleted(object.Key()) && ofEarlierEra(object, store.Revision()):
+		case !found && !store.IsDeleted(object.Key()) && ofEarlierEra(object, store.Revision()):
 			newer = append(newer, object)
 		}
 	}
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -269,7 +269,7 @@
 // holderState reports whether a holder's process is known to have ended and whether its node is
 // leaving. A holder that only fails to respond counts as neither.
 func (n *Node) holderState(holder v1.ClaimHolder) (ended, leaving bool) {
-	if n.control.Store().Deleted(v1.Key{Kind: v1.KindMachine, Name: holder.Node}) {
+	if n.control.Store().IsDeleted(v1.Key{Kind: v1.KindMachine, Name: holder.Node}) {
 		return true, false
 	}
 	member, found := n.control.Members().Member(holder.Node)
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -162,7 +162,7 @@
 			continue
 		}
 		desired := rollout.Model{Name: name, WeightVersion: model.WeightVersion}
-		if weights := snapshot.Weights[model.WeightVersion]; weights != nil {
+		if weights := snapshot.WeightVersions[model.WeightVersion]; weights != nil {
 			desired.Source = weights.Source
 		}
 		for adapter, spec := range snapshot.Adapters {
@@ -182,7 +182,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var runners []rollout.Runner
-	for _, runner := range snapshot.ByPool[pool] {
+	for _, runner := range snapshot.RunnersByPool[pool] {
 		report, _ := n.control.Fleet().Get(runner.Name)
 		runners = append(runners, rollout.Runner{Name: runner.Name, Role: string(runner.Spec.Role), Leaving: runner.Leaving, Report: report})
 	}
@@ -228,7 +228,7 @@
 	n := c.node
 	n.mutex.Lock()
 	revision := n.minRevision()
-	keys := n.control.Store().Keys()
+	keys := n.control.Store().Versions()
 	statuses := map[v1.Key]v1.Status{}
 	for key, version := range keys {
 		if slices.Contains(v1.OperatorKinds, key.Kind) {
@@ -262,7 +262,7 @@
 // of minRevision. The caller must hold n.mutex.
 func (n *Node) resourceStatus(key v1.Key, version, revision uint64) v1.Status {
 	accepted := v1.Condition{Type: v1.ConditionAccepted, State: v1.ConditionTrue}
-	if fault := n.control.Store().Fault(key); fault != "" {
+	if fault := n.control.Store().InvalidReason(key); fault != "" {
 		accepted = v1.Condition{Type: v1.ConditionAccepted, State: v1.ConditionFalse, Reason: "Invalid", Message: fault}
 	}
 	inForce := v1.Condition{Type: v1.ConditionInForce, State: v1.ConditionTrue, Reason: "AllRouters"}
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -181,7 +181,7 @@
 		return
 	}
 	var runners []string
-	for _, runner := range snapshot.ByPool[model.Pool] {
+	for _, runner := range snapshot.RunnersByPool[model.Pool] {
 		runners = append(runners, runner.Name)
 	}
 	n.mutex.Lock()
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -88,7 +88,7 @@
 		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "a bearer key is required", runState: attempt.NotRun}
 	}
 	digest := sha256.Sum256([]byte(key))
-	tenant := snapshot.ByKeyHash[hex.EncodeToString(digest[:])]
+	tenant := snapshot.TenantsByKeyHash[hex.EncodeToString(digest[:])]
 	if tenant == nil {
 		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "the key is not known", runState: attempt.NotRun}
 	}
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -66,7 +66,7 @@
 	if pool == nil {
 		return &wire.PlaceResponse{Refused: true, NoRunner: true, Reason: placement.NoRunner.String(), RetryAfterMillis: 1000}
 	}
-	query := newQuery(request, pool, snapshot.ByPool[request.GetPool()])
+	query := newQuery(request, pool, snapshot.RunnersByPool[request.GetPool()])
 	now := time.Now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
