--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -77,13 +77,13 @@
 // forgetRunners drops the reports of runners that are no longer configured.
 func (c *Core) forgetRunners() {
 	var gone []string
-	c.fleet.All(func(report fleet.Report) {
+	c.fleet.ForEach(func(report fleet.Report) {
 		if c.store.Version(v1.Key{Kind: v1.KindRunner, Name: report.Runner}) == 0 {
 			gone = append(gone, report.Runner)
 		}
 	})
 	for _, runner := range gone {
-		c.fleet.Forget(runner)
+		c.fleet.Remove(runner)
 		delete(c.dirty, runner)
 	}
 }
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -155,7 +155,7 @@
 // Unix milliseconds.
 func reportLoad(report *wire.RunnerReport) fleet.Load {
 	load := LoadFromWire(report.GetLoad())
-	load.AsOf = loadAsOf(report.GetSequence())
+	load.MeasuredAt = loadAsOf(report.GetSequence())
 	return load
 }
 
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -17,10 +17,10 @@
 	if known, found := c.fleet.Get(report.Runner); found && known.Incarnation == report.Incarnation {
 		report.Sequence = max(report.Sequence, known.Sequence+1)
 	}
-	report.Load.AsOf = loadAsOf(report.Sequence)
+	report.Load.MeasuredAt = loadAsOf(report.Sequence)
 	change := c.applyReport(report)
 	switch change {
-	case fleet.ChangeIncarnation, fleet.ChangeDuty:
+	case fleet.ChangeIncarnation, fleet.ChangeStatus:
 		c.broadcast([]fleet.Report{report})
 	case fleet.ChangeLoad:
 		c.dirty[report.Runner] = true
@@ -108,7 +108,7 @@
 func (c *Core) ownReports() []fleet.Report {
 	self := c.members.Self().ID
 	var reports []fleet.Report
-	c.fleet.All(func(report fleet.Report) {
+	c.fleet.ForEach(func(report fleet.Report) {
 		zone := ""
 		if spec, found := c.store.Runner(report.Runner); found {
 			zone = spec.Zone
@@ -149,6 +149,6 @@
 		return
 	}
 	var reports []fleet.Report
-	c.fleet.All(func(report fleet.Report) { reports = append(reports, report) })
+	c.fleet.ForEach(func(report fleet.Report) { reports = append(reports, report) })
 	c.sendTo(member, reportsEnvelope(reports))
 }
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -402,7 +402,7 @@
 		state = fleet.Loading
 	}
 	load := one.model.Load()
-	load.AsOf = r.now
+	load.MeasuredAt = r.now
 	return fleet.Report{
 		Runner: one.name, Incarnation: one.incarnation, State: state, Connected: true, Role: "serve",
 		Model: r.settings.Deployment.Model, WeightVersion: one.version, Load: load,
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -139,7 +139,7 @@
 		return
 	}
 	load := control.LoadFromWire(result.GetLoad())
-	load.AsOf = time.Now()
+	load.MeasuredAt = time.Now()
 	n.control.Fleet().UpdateLoad(holder.Runner, holder.Incarnation, load)
 	if ownsFamily {
 		n.shard.AddProvisional(time.Now(), holder, anchorsFromWire(result.GetAnchors()))
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -118,7 +118,7 @@
 			Name: runner.Name, Leaving: runner.Leaving, Standby: runner.Standby, Report: report,
 			CachedTokens: cached[cacheindex.Holder{Runner: runner.Name, Incarnation: report.Incarnation}],
 		}
-		candidate.PendingTokens, candidate.PendingRequests = p.Pending.Unreported(now, runner.Name, query.Request.Priority, report.Load.AsOf)
+		candidate.PendingTokens, candidate.PendingRequests = p.Pending.Unreported(now, runner.Name, query.Request.Priority, report.Load.MeasuredAt)
 		candidate.ComputedTokens = computedTokens(now, report.Load)
 		candidates = append(candidates, candidate)
 	}
@@ -136,6 +136,6 @@
 // computedTokens estimates how many prompt tokens an engine has computed since its load was
 // reported.
 func computedTokens(now time.Time, load fleet.Load) int {
-	age := min(max(now.Sub(load.AsOf), 0), maxExtrapolationAge)
+	age := min(max(now.Sub(load.MeasuredAt), 0), maxExtrapolationAge)
 	return int(age.Seconds() * float64(prefillRate(load)))
 }
