--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -172,7 +172,7 @@
 }
 
 func (c *Core) stepMembership(now time.Time, message membership.Message) {
-	first := !c.members.KnowsOthers()
+	first := !c.members.KnowsPeers()
 	c.members.Step(now, message)
 	c.drainMembership()
 	sender := message.Sender
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,52 +10,55 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// gossip is a change still to be carried on messages.
-type gossip struct {
-	id    string
-	sends int
+// queuedUpdate is a member whose change is still to be piggybacked on messages.
+type queuedUpdate struct {
+	id             string
+	remainingSends int
 }
 
-// enqueue makes a change ride on the next messages.
-func (c *Core) enqueue(id string) {
-	c.queue = slices.DeleteFunc(c.queue, func(g gossip) bool { return g.id == id })
+// enqueueUpdate queues the change of a member for the next messages. The number of times that it is
+// sent grows with the logarithm of the number of members, as in SWIM.
+func (c *Core) enqueueUpdate(id string) {
+	c.updateQueue = slices.DeleteFunc(c.updateQueue, func(update queuedUpdate) bool { return update.id == id })
 	sends := 3 * bits.Len(uint(len(c.members)+1))
-	c.queue = append(c.queue, gossip{id: id, sends: sends})
+	c.updateQueue = append(c.updateQueue, queuedUpdate{id: id, remainingSends: sends})
 }
 
-// listSends is how often a change that was learnt from a list is carried on:
-// whoever lacks it can get the list too.
-const listSends = 2
+// maxSendsFromList is the maximum number of times that a change learnt from a list is sent. Other
+// nodes that lack the change can request the list too.
+const maxSendsFromList = 2
 
-// shorten makes a change that was just learnt from a list ride on few messages,
-// so that a start of all nodes does not fill heartbeats for minutes.
-func (c *Core) shorten(id string) {
-	for i := range c.queue {
-		if c.queue[i].id == id {
-			c.queue[i].sends = min(c.queue[i].sends, listSends)
+// limitSends limits the sends of a change that was just learnt from a list, so that the changes after
+// a start of all nodes do not fill the heartbeats for minutes.
+func (c *Core) limitSends(id string) {
+	for i := range c.updateQueue {
+		if c.updateQueue[i].id == id {
+			c.updateQueue[i].remainingSends = min(c.updateQueue[i].remainingSends, maxSendsFromList)
 		}
 	}
 }
 
-// takeUpdates returns the changes to carry, those sent least first.
+// takeUpdates returns the member updates for the next message and counts them as sent. Updates that
+// were sent least often come first.
 func (c *Core) takeUpdates() []Member {
-	count := min(len(c.queue), c.settings.MaxUpdates)
+	count := min(len(c.updateQueue), c.settings.MaxUpdatesPerMessage)
 	if count == 0 {
 		return nil
 	}
-	slices.SortStableFunc(c.queue, func(a, b gossip) int { return cmp.Compare(b.sends, a.sends) })
+	slices.SortStableFunc(c.updateQueue, func(a, b queuedUpdate) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
 	updates := make([]Member, 0, count)
 	for i := range count {
-		if known := c.members[c.queue[i].id]; known != nil {
-			updates = append(updates, known.member)
+		if record := c.members[c.updateQueue[i].id]; record != nil {
+			updates = append(updates, record.member)
 		}
-		c.queue[i].sends--
+		c.updateQueue[i].remainingSends--
 	}
-	c.queue = slices.DeleteFunc(c.queue, func(g gossip) bool { return g.sends <= 0 })
+	c.updateQueue = slices.DeleteFunc(c.updateQueue, func(update queuedUpdate) bool { return update.remainingSends <= 0 })
 	return updates
 }
 
-func (c *Core) message(kind MessageKind, sequence uint64) Message {
+// newMessage returns a message of this node. Probes and acks carry member updates and zone statuses.
+func (c *Core) newMessage(kind MessageKind, sequence uint64) Message {
 	message := Message{Kind: kind, Sequence: sequence, Sender: c.self, ViewHash: c.viewHash()}
 	if kind == Probe || kind == Ack {
 		message.Updates = c.takeUpdates()
@@ -64,6 +67,7 @@
 	return message
 }
 
+// zoneStatuses returns the statuses of all zones for which a status was ever set.
 func (c *Core) zoneStatuses() []ZoneStatus {
 	var statuses []ZoneStatus
 	for _, zone := range c.zones {
@@ -74,24 +78,25 @@
 	return statuses
 }
 
-// send queues a message. A member that is suspected or held dead is always told
-// so, as it alone can refute it; without this, a node that everybody had
-// forgotten to tell would stay out for good.
+// send queues a message. If the receiver is recorded as suspect or dead, the message carries that
+// record, because only the receiver can refute it. Without this, a receiver that is no longer in any
+// update queue would be excluded for good.
 func (c *Core) send(to, address string, message Message) {
-	if known := c.members[to]; known != nil && known.member.State >= Suspect {
-		message.Updates = append(message.Updates, known.member)
+	if record := c.members[to]; record != nil && record.member.State >= Suspect {
+		message.Updates = append(message.Updates, record.member)
 	}
 	c.ready.Messages = append(c.ready.Messages, Outgoing{To: to, Address: address, Message: message})
 }
 
-func (c *Core) viewHash() uint64 { return c.derive().viewHash }
+func (c *Core) viewHash() uint64 { return c.currentView().hash }
 
-// hashView is the exclusive or of one hash a member, so that it does not depend on order.
+// hashView returns the XOR of the hashes of all members that are not dead. It does not depend on
+// their order.
 func (c *Core) hashView() uint64 {
 	hash := memberHash(c.self)
-	for _, known := range c.members {
-		if known.member.State != Dead {
-			hash ^= memberHash(known.member)
+	for _, record := range c.members {
+		if record.member.State != Dead {
+			hash ^= memberHash(record.member)
 		}
 	}
 	return hash
@@ -101,12 +106,12 @@
 	return rendezvous.Weight(member.ID, member.Incarnation) ^ xxhash.Sum64String(member.ID)
 }
 
-// list returns all known members, the dead ones too while they are remembered:
-// another zone that missed the news learns it here.
-func (c *Core) list() []Member {
+// allMembers returns all members with a record, including this node. It includes dead members, so
+// that a zone that missed their death learns it from the list.
+func (c *Core) allMembers() []Member {
 	members := []Member{c.self}
-	for _, known := range c.members {
-		members = append(members, known.member)
+	for _, record := range c.members {
+		members = append(members, record.member)
 	}
 	return members
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,31 +1,32 @@
-// Package membership keeps each node's view of the other nodes: random
-// round-robin heartbeats inside a zone, suspicion that the suspect can refute,
-// changes carried on heartbeats, and two relays a zone that probe other zones.
+// Package membership maintains each node's view of the other nodes. Each node probes the peers of
+// its zone in a random round-robin order. A member that does not acknowledge a probe becomes a
+// suspect and can refute that. Changes are piggybacked on probes and acks. Two relays per zone probe
+// the other zones.
 //
-// The core is a state machine without I/O, clock or goroutines: Step takes a
-// message, Tick the time, and TakeReady gives what is to be sent. The protocol
-// follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
-// Infection-style Process Group Membership Protocol", 2002), with the suspicion
-// mechanism of its section 4.2.
+// Core is a state machine without I/O, clock or goroutines. Step processes a message, Tick advances
+// the time, and TakeReady returns the messages to send. The protocol follows SWIM (Das, Gupta,
+// Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+// 2002), with the suspicion mechanism of its section 4.2.
 package membership
 
-// State is what a node believes of another one.
+// State is the state of a member as another node sees it.
 type State uint8
 
-// The states of a member, in order of precedence at equal incarnation and refutation.
+// The states of a member. Among records of equal incarnation and refutation, a later state takes
+// precedence over an earlier one.
 const (
-	// Alive members answer heartbeats.
+	// Alive members acknowledge probes.
 	Alive State = iota
-	// Leaving members finish their work and take no new duties.
+	// Leaving members are shutting down: they finish their requests and are given no new duties.
 	Leaving
-	// Suspect members have missed heartbeats and may still refute it.
+	// Suspect members did not acknowledge a probe and can still refute the suspicion.
 	Suspect
-	// Dead members did not refute in time. Only a higher incarnation or
-	// refutation brings one back.
+	// Dead members did not refute the suspicion in time. They return only with a higher incarnation
+	// or refutation.
 	Dead
 )
 
-// String returns the state's name.
+// String returns the name of the state, which appears in logs.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -48,14 +49,15 @@
 	PeerAddress string
 	// Incarnation is the start time of the node's process in Unix milliseconds.
 	Incarnation uint64
-	// Refutation is raised by the member itself to overrule older beliefs.
+	// Refutation is incremented by the member itself to overrule earlier states. SWIM calls it the
+	// incarnation number.
 	Refutation uint32
 	State      State
-	// Revision is the configuration revision last heard to be in force there.
+	// Revision is the configuration revision in force on the node, as last reported by it.
 	Revision uint64
 }
 
-// supersedes tells whether belief a about a member overrules belief b.
+// supersedes reports whether record a of a member takes precedence over record b of it.
 func supersedes(a, b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -66,26 +68,25 @@
 	return a.State > b.State
 }
 
-// ZoneStatus is the belief of a zone's relays about another zone.
+// ZoneStatus is the reachability of another zone as observed by the relays of this zone.
 type ZoneStatus struct {
 	Zone        string
 	Unreachable bool
-	// ObservedMillis is when the relay saw it, in Unix milliseconds; the later one wins.
+	// ObservedMillis is the time of the observation in Unix milliseconds. The latest status wins.
 	ObservedMillis int64
 }
 
-// MessageKind names a membership message.
+// MessageKind is the kind of a membership message.
 type MessageKind uint8
 
-// The membership messages.
 const (
-	// Probe asks for an Ack.
+	// Probe is a heartbeat that requests an Ack.
 	Probe MessageKind = iota
-	// Ack answers a Probe of the same Sequence.
+	// Ack acknowledges the Probe with the same Sequence.
 	Ack
-	// ListRequest asks for a List.
+	// ListRequest requests a List.
 	ListRequest
-	// List holds all members the sender knows, in Updates.
+	// List carries all members that the sender has a record of in Updates.
 	List
 )
 
@@ -96,42 +97,46 @@
 	Sender   Member
 	Updates  []Member
 	Zones    []ZoneStatus
-	// ViewHash summarises the sender's member list for its own zone's peers.
+	// ViewHash is a hash of the sender's members that are not dead. If it differs from the
+	// receiver's hash, the receiver requests a list.
 	ViewHash uint64
 }
 
 // Outgoing is a message with its destination.
 type Outgoing struct {
-	// To is the node's ID, or "" when only its address is known (a seed).
+	// To is the ID of the destination, or "" if only its address is known, as for seeds.
 	To      string
 	Address string
 	Message Message
 }
 
-// EventKind names a change of belief.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The membership events.
 const (
+	// EventJoined means that a node or a new incarnation of it was added.
 	EventJoined EventKind = iota
+	// EventChanged means that the state or refutation of a member changed.
 	EventChanged
-	EventForgotten
+	// EventRemoved means that the record of a dead member was removed.
+	EventRemoved
 	EventZoneUnreachable
 	EventZoneReachable
-	// EventDuplicateID means that another process runs under this node's ID.
+	// EventDuplicateID means that another process uses this node's ID.
 	EventDuplicateID
-	// EventPaused means that this node itself did not run for a while.
+	// EventPaused means that this node itself did not run for longer than ProbeTimeout.
 	EventPaused
 )
 
-// Event is a change of belief, for logs and for the node's other parts.
+// Event is a change in the membership view. Zone is set only for zone events, Member only for the
+// others.
 type Event struct {
 	Kind   EventKind
 	Member Member
 	Zone   string
 }
 
-// Ready is what the core wants done.
+// Ready holds the messages to send and the events that occurred.
 type Ready struct {
 	Messages []Outgoing
 	Events   []Event
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -244,7 +244,7 @@
 			n.log.Log(events.MemberJoined, fields)
 		case membership.EventChanged:
 			n.log.Log(events.MemberChanged, fields)
-		case membership.EventForgotten:
+		case membership.EventRemoved:
 			n.log.Log(events.MemberRemoved, fields)
 		case membership.EventZoneUnreachable:
 			n.log.Log(events.ZoneUnreachable, fields)
