--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -10,40 +10,41 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// ---- configuration ----
-
-// ApplyFromPlatform takes a list or a batch of changes read from the platform.
+// ApplyFromPlatform applies a full list or a batch of changes that was read from the platform.
 func (c *Core) ApplyFromPlatform(now time.Time, delta config.Delta) config.Outcome {
 	return c.applyDelta(now, delta, "")
 }
 
+// applyDelta applies a delta from a peer, or from the platform if from is "". It forwards new
+// changes to other peers and requests missing ones from the sender.
 func (c *Core) applyDelta(now time.Time, delta config.Delta, from string) config.Outcome {
-	before := c.store.Revision()
+	previousRevision := c.store.Revision()
 	outcome := c.store.Apply(delta)
 	switch outcome {
 	case config.Applied:
 		c.members.SetRevision(uint64(c.store.Revision()))
 		c.ready.ConfigChanged = true
-		c.forgetRunners()
-		c.passOn(before, from)
+		c.removeUnconfiguredRunners()
+		c.forwardChanges(previousRevision, from)
 	case config.Gap:
-		if address, found := c.Address(from); found {
-			c.pull(now, from, address)
+		if address, found := c.NodeAddress(from); found {
+			c.pullConfig(now, from, address)
 		}
 	}
 	return outcome
 }
 
-// passOn gives a change to a few random peers of the zone, once; heartbeats
-// repair what this misses.
-func (c *Core) passOn(before storerev.Revision, from string) {
-	if before == 0 {
-		// A first full copy is nobody else's news.
+// forwardChanges sends the changes after the previous revision to up to ConfigFanout random peers of
+// the zone that have not reported the current revision yet. Peers that miss them learn of the new
+// revision by heartbeats and request it.
+func (c *Core) forwardChanges(previousRevision storerev.Revision, from string) {
+	if previousRevision == 0 {
+		// The first full copy after a start is not a change, so it is not forwarded.
 		return
 	}
 	peers := c.members.PeersInZone()
 	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	envelope := deltaEnvelope(c.store.Since(before))
+	envelope := deltaEnvelope(c.store.Since(previousRevision))
 	sent := 0
 	for _, peer := range peers {
 		if peer.ID == from || storerev.Revision(peer.Revision) >= c.store.Revision() {
@@ -57,16 +58,20 @@
 	}
 }
 
-func (c *Core) pull(now time.Time, node, address string) {
+// pullConfig requests the changes after the current revision from a node, unless another request was
+// sent within MinPullInterval.
+func (c *Core) pullConfig(now time.Time, node, address string) {
 	if now.Before(c.nextPull) {
 		return
 	}
-	c.nextPull = now.Add(c.settings.PullInterval)
+	c.nextPull = now.Add(c.settings.MinPullInterval)
 	pull := &wire.ConfigPull{FromRevision: uint64(c.store.Revision())}
 	c.send(node, address, &wire.Envelope{Body: &wire.Envelope_ConfigPull{ConfigPull: pull}})
 }
 
-func (c *Core) answerPull(node string, revision storerev.Revision) {
+// answerConfigPull sends the changes after the revision to the node that requested them. It sends
+// nothing if there are none or if the node is not a known member.
+func (c *Core) answerConfigPull(node string, revision storerev.Revision) {
 	member, found := c.members.Member(node)
 	if !found || revision >= c.store.Revision() {
 		return
@@ -74,16 +79,16 @@
 	c.sendTo(member, deltaEnvelope(c.store.Since(revision)))
 }
 
-// forgetRunners drops the reports of runners that are no longer configured.
-func (c *Core) forgetRunners() {
-	var gone []string
+// removeUnconfiguredRunners removes the reports of runners that are no longer configured.
+func (c *Core) removeUnconfiguredRunners() {
+	var unconfigured []string
 	c.fleet.ForEach(func(report fleet.Report) {
 		if c.store.Version(v1.Key{Kind: v1.KindRunner, Name: report.Runner}) == 0 {
-			gone = append(gone, report.Runner)
+			unconfigured = append(unconfigured, report.Runner)
 		}
 	})
-	for _, runner := range gone {
+	for _, runner := range unconfigured {
 		c.fleet.Remove(runner)
-		delete(c.dirty, runner)
+		delete(c.dirtyRunners, runner)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,9 +1,8 @@
-// Package control is the control plane of one node: membership, configuration
-// and runner reports, as one state machine without I/O, clock or goroutines.
+// Package control implements the control plane of one node: membership, replication of the
+// configuration, and runner reports.
 //
-// The node's shell and tests both drive it: Step takes
-// a message, Tick the time, and TakeReady gives what is to be sent and what has
-// changed.
+// Core is a state machine without I/O, clock or goroutines. Package node drives it: Step processes a
+// message, Tick advances the time, and TakeReady returns the messages to send and what has changed.
 package control
 
 import (
@@ -18,52 +17,54 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Settings of the control plane.
+// Settings are the parameters of the control plane.
 type Settings struct {
 	Membership membership.Settings
-	// ConfigFanout is to how many peers of its zone a node passes a change on.
+	// ConfigFanout is the maximum number of peers of its zone to which a node forwards a
+	// configuration change.
 	ConfigFanout int
-	// PullInterval is the least time between two pulls of missing changes.
-	PullInterval time.Duration
-	// LoadBytesPerSecond bounds what a node spends on reports of runner load.
-	LoadBytesPerSecond int
-	// LoadInterval is the least time between two reports of runner load.
-	LoadInterval time.Duration
-	// DutyRepeat is how often all reports are sent again, to repair losses.
-	DutyRepeat time.Duration
-	// ReportPeers bounds to how many nodes a load report goes; 0 means all of
-	// the region. Changes of duty always go to all of the region.
-	ReportPeers int
+	// MinPullInterval is the minimum time between two requests for missing configuration changes.
+	MinPullInterval time.Duration
+	// MaxLoadBytesPerSecond is the maximum rate at which a node sends load reports of its runners.
+	MaxLoadBytesPerSecond int
+	// LoadReportInterval is the minimum time between two messages with load reports.
+	LoadReportInterval time.Duration
+	// ReportRepeatInterval is the interval at which a node resends the reports of all its runners
+	// within the load byte rate, in case earlier ones were lost.
+	ReportRepeatInterval time.Duration
+	// MaxLoadReportPeers is the maximum number of nodes to which a load report is sent; 0 means all
+	// usable nodes of the region. Reports of status changes always go to all of them.
+	MaxLoadReportPeers int
 }
 
 // DefaultSettings returns the settings used in production.
 func DefaultSettings() Settings {
 	return Settings{
-		Membership:         membership.DefaultSettings(),
-		ConfigFanout:       3,
-		PullInterval:       200 * time.Millisecond,
-		LoadBytesPerSecond: 16 << 10,
-		LoadInterval:       100 * time.Millisecond,
-		DutyRepeat:         10 * time.Second,
+		Membership:            membership.DefaultSettings(),
+		ConfigFanout:          3,
+		MinPullInterval:       200 * time.Millisecond,
+		MaxLoadBytesPerSecond: 16 << 10,
+		LoadReportInterval:    100 * time.Millisecond,
+		ReportRepeatInterval:  10 * time.Second,
 	}
 }
 
-// Send is a message with its destination. To is "" when only the address is known.
-type Send struct {
+// Outgoing is a message with its destination. To is the node ID, or "" if only the address is known.
+type Outgoing struct {
 	To       string
 	Address  string
 	Envelope *wire.Envelope
 }
 
-// Ready is what the core wants done and what has changed.
+// Ready holds the messages to send and the changes since the last call of TakeReady.
 type Ready struct {
-	Sends  []Send
-	Events []membership.Event
-	// ConfigChanged is true when the configuration moved to a newer revision.
+	Messages []Outgoing
+	Events   []membership.Event
+	// ConfigChanged is set if the configuration moved to a newer revision.
 	ConfigChanged bool
-	// DutiesChanged is true when runners' homes or index owners may have moved.
-	DutiesChanged bool
-	// NewIncarnations lists runners whose engine process is another one.
+	// OwnersChanged is set if the homes of runners or the owners of index shards may have changed.
+	OwnersChanged bool
+	// NewIncarnations holds the reports of runners that are new or run another engine process.
 	NewIncarnations []fleet.Report
 }
 
@@ -75,29 +76,33 @@
 	store    *config.Store
 	fleet    *fleet.Table
 
-	usable []string
-	// byZone holds the usable nodes of each zone asked for since they changed.
-	byZone map[string][]string
-	// joined are nodes of the region that are to be told of this node's runners.
-	joined     []membership.Member
-	nextPull   time.Time
-	dirty      map[string]bool
-	loadTokens float64
-	lastTick   time.Time
-	nextLoad   time.Time
-	nextRepeat time.Time
-	ready      Ready
+	usableNodes []string
+	// usableByZone caches the usable nodes of a zone. refreshUsable clears it.
+	usableByZone map[string][]string
+	// joinedMembers are nodes of the region that joined since the last tick. They are sent the
+	// reports of this node's runners.
+	joinedMembers []membership.Member
+	// nextPull is the earliest time of the next request for configuration changes.
+	nextPull time.Time
+	// dirtyRunners are the runners whose current report is still to be sent.
+	dirtyRunners map[string]bool
+	// loadByteBudget is the number of bytes that may be spent on load reports now.
+	loadByteBudget float64
+	lastTick       time.Time
+	nextLoadReport time.Time
+	nextRepeat     time.Time
+	ready          Ready
 }
 
 // New returns the control plane of the node self.
 func New(self membership.Member, seeds []string, settings Settings, random *rand.Rand) *Core {
 	c := &Core{
-		settings: settings,
-		random:   random,
-		members:  membership.NewCore(self, seeds, settings.Membership, random),
-		store:    config.NewStore(),
-		fleet:    fleet.NewTable(),
-		dirty:    map[string]bool{},
+		settings:     settings,
+		random:       random,
+		members:      membership.NewCore(self, seeds, settings.Membership, random),
+		store:        config.NewStore(),
+		fleet:        fleet.NewTable(),
+		dirtyRunners: map[string]bool{},
 	}
 	c.refreshUsable()
 	return c
@@ -109,10 +114,10 @@
 // Store returns the configuration.
 func (c *Core) Store() *config.Store { return c.store }
 
-// Fleet returns the runner table.
+// Fleet returns the table of runner reports.
 func (c *Core) Fleet() *fleet.Table { return c.fleet }
 
-// TakeReady returns what is to be done, and clears it.
+// TakeReady returns the messages and changes since the last call, and clears them.
 func (c *Core) TakeReady() Ready {
 	c.drainMembership()
 	ready := c.ready
@@ -124,26 +129,27 @@
 func (c *Core) Tick(now time.Time) {
 	c.members.Tick(now)
 	c.drainMembership()
-	c.tellJoined()
-	c.earnLoadBytes(now)
+	c.sendReportsToJoined()
+	c.refillLoadByteBudget(now)
 	if !now.Before(c.nextRepeat) {
-		c.nextRepeat = now.Add(c.settings.DutyRepeat)
-		c.markOwnDirty()
+		c.nextRepeat = now.Add(c.settings.ReportRepeatInterval)
+		c.markOwnRunnersDirty()
 	}
-	if !now.Before(c.nextLoad) {
-		c.nextLoad = now.Add(c.settings.LoadInterval)
+	if !now.Before(c.nextLoadReport) {
+		c.nextLoadReport = now.Add(c.settings.LoadReportInterval)
 		c.reportLoads()
 	}
 }
 
-// Leave announces a planned stop.
+// Leave announces to other nodes that this node is shutting down.
 func (c *Core) Leave(now time.Time) {
 	c.members.Leave(now)
 	c.refreshUsable()
-	c.ready.DutiesChanged = true
+	c.ready.OwnersChanged = true
 }
 
-// Step takes a message from another node. Messages of other kinds are not its concern.
+// Step processes a message from another node. It ignores kinds of messages that do not belong to the
+// control plane.
 func (c *Core) Step(now time.Time, envelope *wire.Envelope) {
 	switch body := envelope.GetBody().(type) {
 	case *wire.Envelope_Heartbeat:
@@ -159,11 +165,11 @@
 			Updates: membersFromWire(body.MemberList.GetMembers()),
 		})
 	case *wire.Envelope_ConfigPull:
-		c.answerPull(envelope.GetFrom(), storerev.Revision(body.ConfigPull.GetFromRevision()))
+		c.answerConfigPull(envelope.GetFrom(), storerev.Revision(body.ConfigPull.GetFromRevision()))
 	case *wire.Envelope_ConfigDelta:
 		c.applyDelta(now, DeltaFromWire(body.ConfigDelta), envelope.GetFrom())
 	case *wire.Envelope_FleetPull:
-		c.sendFleet(envelope.GetFrom())
+		c.answerFleetPull(envelope.GetFrom())
 	case *wire.Envelope_RunnerReports:
 		for _, report := range body.RunnerReports.GetReports() {
 			c.applyReport(reportFromWire(report))
@@ -171,21 +177,24 @@
 	}
 }
 
+// stepMembership processes a membership message, and requests the configuration and the runner
+// reports from its sender if this node lacks them.
 func (c *Core) stepMembership(now time.Time, message membership.Message) {
-	first := !c.members.KnowsPeers()
+	firstPeer := !c.members.KnowsPeers()
 	c.members.Step(now, message)
 	c.drainMembership()
 	sender := message.Sender
-	if first && sender.ID != c.members.Self().ID {
-		// The first peer heard of after a start is asked for what this node lost.
+	if firstPeer && sender.ID != c.members.Self().ID {
+		// After a start the node has no runner reports. It requests them from the first peer.
 		c.send(sender.ID, sender.PeerAddress, &wire.Envelope{Body: &wire.Envelope_FleetPull{FleetPull: &wire.FleetPull{}}})
 	}
 	if storerev.Revision(sender.Revision) > c.store.Revision() {
-		c.pull(now, sender.ID, sender.PeerAddress)
+		c.pullConfig(now, sender.ID, sender.PeerAddress)
 	}
 }
 
-// drainMembership turns the membership's outputs into the core's own.
+// drainMembership moves the messages and events of the membership core to c.ready and applies the
+// events.
 func (c *Core) drainMembership() {
 	ready := c.members.TakeReady()
 	for _, outgoing := range ready.Messages {
@@ -197,56 +206,56 @@
 			continue
 		}
 		c.refreshUsable()
-		c.ready.DutiesChanged = true
+		c.ready.OwnersChanged = true
 		if event.Kind == membership.EventJoined && event.Member.Region == c.members.Self().Region {
-			c.joined = append(c.joined, event.Member)
+			c.joinedMembers = append(c.joinedMembers, event.Member)
 		}
 	}
 }
 
 func (c *Core) send(to, address string, envelope *wire.Envelope) {
-	c.ready.Sends = append(c.ready.Sends, Send{To: to, Address: address, Envelope: envelope})
+	c.ready.Messages = append(c.ready.Messages, Outgoing{To: to, Address: address, Envelope: envelope})
 }
 
 func (c *Core) sendTo(member membership.Member, envelope *wire.Envelope) {
 	c.send(member.ID, member.PeerAddress, envelope)
 }
 
-// refreshUsable recomputes the nodes of the region that may be given duties.
+// refreshUsable recomputes the usable nodes of the region and clears the cache by zone.
 func (c *Core) refreshUsable() {
 	region := c.members.Self().Region
-	c.usable = c.members.Usable(func(member membership.Member) bool { return member.Region == region })
-	c.byZone = map[string][]string{}
+	c.usableNodes = c.members.Usable(func(member membership.Member) bool { return member.Region == region })
+	c.usableByZone = map[string][]string{}
 }
 
 func (c *Core) usableInZone(zone string) []string {
-	nodes, known := c.byZone[zone]
-	if !known {
+	nodes, cached := c.usableByZone[zone]
+	if !cached {
 		nodes = c.members.UsableInZone(zone)
-		c.byZone[zone] = nodes
+		c.usableByZone[zone] = nodes
 	}
 	return nodes
 }
 
-// UsableNodes returns the nodes of the region that may be given duties.
-func (c *Core) UsableNodes() []string { return c.usable }
+// UsableNodes returns the sorted IDs of the nodes of the region that can be given duties.
+func (c *Core) UsableNodes() []string { return c.usableNodes }
 
-// ShardOf returns the node that owns the index of a prompt family, or "" when
-// no node can.
-func (c *Core) ShardOf(family uint64) string { return rendezvous.Owner(c.usable, family) }
+// ShardOwner returns the node that owns the index shard of a prompt family, or "" if there is no
+// usable node.
+func (c *Core) ShardOwner(family uint64) string { return rendezvous.Owner(c.usableNodes, family) }
 
-// HomeOf returns the node that reads a runner's events: one of the runner's
-// zone, or of the region when the zone has no usable node.
-func (c *Core) HomeOf(runner string, zone string) string {
+// RunnerHome returns the node that reads a runner's event stream and reports its status. It is a node
+// of the runner's zone, or of the region if the zone has no usable node.
+func (c *Core) RunnerHome(runner string, zone string) string {
 	inZone := c.usableInZone(zone)
 	if len(inZone) == 0 {
-		inZone = c.usable
+		inZone = c.usableNodes
 	}
 	return rendezvous.Owner(inZone, rendezvous.KeyOf(runner))
 }
 
-// Address returns a node's peer address.
-func (c *Core) Address(node string) (string, bool) {
+// NodeAddress returns the peer address of a node. It returns false if the node is not known.
+func (c *Core) NodeAddress(node string) (string, bool) {
 	member, found := c.members.Member(node)
 	return member.PeerAddress, found
 }
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -84,7 +84,7 @@
 	return &wire.Envelope{Body: &wire.Envelope_ConfigDelta{ConfigDelta: DeltaToWire(delta)}}
 }
 
-// DeltaToWire converts a set of changes.
+// DeltaToWire converts a delta to its wire format.
 func DeltaToWire(delta config.Delta) *wire.ConfigDelta {
 	converted := &wire.ConfigDelta{FromRevision: uint64(delta.From), ThroughRevision: uint64(delta.Through), Full: delta.Full}
 	for _, object := range delta.Objects {
@@ -95,7 +95,7 @@
 	return converted
 }
 
-// DeltaFromWire converts a set of changes.
+// DeltaFromWire converts a delta from its wire format.
 func DeltaFromWire(delta *wire.ConfigDelta) config.Delta {
 	converted := config.Delta{From: storerev.Revision(delta.GetFromRevision()), Through: storerev.Revision(delta.GetThroughRevision()), Full: delta.GetFull()}
 	for _, object := range delta.GetObjects() {
@@ -106,7 +106,7 @@
 	return converted
 }
 
-// LoadToWire converts a runner's load.
+// LoadToWire converts a load to its wire format, which has no MeasuredAt.
 func LoadToWire(load fleet.Load) *wire.Load {
 	converted := &wire.Load{
 		Running: uint32(load.Running), Waiting: uint32(load.Waiting),
@@ -118,7 +118,8 @@
 	return converted
 }
 
-// LoadFromWire converts a runner's load.
+// LoadFromWire converts a load from its wire format. It does not set MeasuredAt and ignores priority
+// classes that this version does not have.
 func LoadFromWire(load *wire.Load) fleet.Load {
 	converted := fleet.Load{
 		Running: int(load.GetRunning()), Waiting: int(load.GetWaiting()),
@@ -144,19 +145,22 @@
 	return fleet.Report{
 		Runner: report.GetRunner(), Incarnation: report.GetIncarnation(), Sequence: report.GetSequence(),
 		State: fleet.State(report.GetState()), Model: report.GetModel(), WeightVersion: report.GetWeightVersion(),
-		Adapters: report.GetAdapters(), Role: report.GetRole(), Connected: report.GetConnected(), Load: reportLoad(report),
+		Adapters: report.GetAdapters(), Role: report.GetRole(), Connected: report.GetConnected(), Load: loadFromReport(report),
 	}
 }
 
-// reportLag is the assumed age of an engine's load report when its home reads it.
-const reportLag = 200 * time.Millisecond
+// assumedLoadAge is the assumed age of a load when the runner's home reads it from the engine.
+const assumedLoadAge = 200 * time.Millisecond
 
-// reportLoad dates a report's load by its sequence, which is the home's clock in
-// Unix milliseconds.
-func reportLoad(report *wire.RunnerReport) fleet.Load {
+// loadFromReport converts the load of a report and derives MeasuredAt from the report's sequence.
+func loadFromReport(report *wire.RunnerReport) fleet.Load {
 	load := LoadFromWire(report.GetLoad())
-	load.MeasuredAt = loadAsOf(report.GetSequence())
+	load.MeasuredAt = loadMeasuredAt(report.GetSequence())
 	return load
 }
 
-func loadAsOf(sequence uint64) time.Time { return time.UnixMilli(int64(sequence)).Add(-reportLag) }
+// loadMeasuredAt returns the assumed time of measurement of a load from the sequence of its report,
+// which is the time of the report in Unix milliseconds on the home's clock.
+func loadMeasuredAt(sequence uint64) time.Time {
+	return time.UnixMilli(int64(sequence)).Add(-assumedLoadAge)
+}
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -8,25 +8,24 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// ---- runner reports ----
-
-// ObserveRunner takes what this node, as the runner's home, saw of it. A change
-// of duty is reported at once, a change of load within the byte budget.
+// ObserveRunner stores a report that this node made as the runner's home, and sets its sequence. A
+// change of status is sent to the region at once, a change of load within the byte budget.
 func (c *Core) ObserveRunner(now time.Time, report fleet.Report) {
 	report.Sequence = uint64(now.UnixMilli())
-	if known, found := c.fleet.Get(report.Runner); found && known.Incarnation == report.Incarnation {
-		report.Sequence = max(report.Sequence, known.Sequence+1)
+	if previous, found := c.fleet.Get(report.Runner); found && previous.Incarnation == report.Incarnation {
+		report.Sequence = max(report.Sequence, previous.Sequence+1)
 	}
-	report.Load.MeasuredAt = loadAsOf(report.Sequence)
+	report.Load.MeasuredAt = loadMeasuredAt(report.Sequence)
 	change := c.applyReport(report)
 	switch change {
 	case fleet.ChangeIncarnation, fleet.ChangeStatus:
 		c.broadcast([]fleet.Report{report})
 	case fleet.ChangeLoad:
-		c.dirty[report.Runner] = true
+		c.dirtyRunners[report.Runner] = true
 	}
 }
 
+// applyReport stores a report of this or another node.
 func (c *Core) applyReport(report fleet.Report) fleet.Change {
 	change := c.fleet.Apply(report)
 	if change == fleet.ChangeIncarnation {
@@ -43,11 +42,11 @@
 	return &wire.Envelope{Body: &wire.Envelope_RunnerReports{RunnerReports: converted}}
 }
 
-// reportPeers returns the other nodes of the region that runners are reported to.
-func (c *Core) reportPeers() []membership.Member {
+// otherUsableNodes returns the usable nodes of the region without this one.
+func (c *Core) otherUsableNodes() []membership.Member {
 	self := c.members.Self().ID
 	var peers []membership.Member
-	for _, id := range c.usable {
+	for _, id := range c.usableNodes {
 		if member, found := c.members.Member(id); found && id != self {
 			peers = append(peers, member)
 		}
@@ -55,42 +54,46 @@
 	return peers
 }
 
+// broadcast sends reports to all usable nodes of the region, regardless of the byte budget.
 func (c *Core) broadcast(reports []fleet.Report) {
 	envelope := reportsEnvelope(reports)
-	for _, peer := range c.reportPeers() {
+	for _, peer := range c.otherUsableNodes() {
 		c.sendTo(peer, envelope)
 	}
 }
 
-// reportBytes is the assumed size of one report on the wire.
-const reportBytes = 64
+// assumedReportBytes is the assumed size of one report on the wire.
+const assumedReportBytes = 64
 
-func (c *Core) earnLoadBytes(now time.Time) {
+// refillLoadByteBudget adds the bytes for the time since the last tick to the token bucket, which
+// holds at most those of one second.
+func (c *Core) refillLoadByteBudget(now time.Time) {
 	if !c.lastTick.IsZero() {
-		c.loadTokens += now.Sub(c.lastTick).Seconds() * float64(c.settings.LoadBytesPerSecond)
-		c.loadTokens = min(c.loadTokens, float64(c.settings.LoadBytesPerSecond))
+		c.loadByteBudget += now.Sub(c.lastTick).Seconds() * float64(c.settings.MaxLoadBytesPerSecond)
+		c.loadByteBudget = min(c.loadByteBudget, float64(c.settings.MaxLoadBytesPerSecond))
 	}
 	c.lastTick = now
 }
 
-// reportLoads sends the changed loads as far as the byte budget allows.
+// reportLoads sends the reports of dirty runners as far as the byte budget allows. The others stay
+// dirty.
 func (c *Core) reportLoads() {
-	if len(c.dirty) == 0 {
+	if len(c.dirtyRunners) == 0 {
 		return
 	}
-	peers := c.reportPeers()
-	if c.settings.ReportPeers > 0 && len(peers) > c.settings.ReportPeers {
+	peers := c.otherUsableNodes()
+	if c.settings.MaxLoadReportPeers > 0 && len(peers) > c.settings.MaxLoadReportPeers {
 		c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-		peers = peers[:c.settings.ReportPeers]
+		peers = peers[:c.settings.MaxLoadReportPeers]
 	}
-	cost := float64(reportBytes * max(len(peers), 1))
+	cost := float64(assumedReportBytes * max(len(peers), 1))
 	var reports []fleet.Report
-	for runner := range c.dirty {
-		if c.loadTokens < cost {
+	for runner := range c.dirtyRunners {
+		if c.loadByteBudget < cost {
 			break
 		}
-		c.loadTokens -= cost
-		delete(c.dirty, runner)
+		c.loadByteBudget -= cost
+		delete(c.dirtyRunners, runner)
 		if report, found := c.fleet.Get(runner); found {
 			reports = append(reports, report)
 		}
@@ -113,26 +116,28 @@
 		if spec, found := c.store.Runner(report.Runner); found {
 			zone = spec.Zone
 		}
-		if c.HomeOf(report.Runner, zone) == self {
+		if c.RunnerHome(report.Runner, zone) == self {
 			reports = append(reports, report)
 		}
 	})
 	return reports
 }
 
-func (c *Core) markOwnDirty() {
+// markOwnRunnersDirty marks all runners whose home this node is, so that their reports are sent again.
+func (c *Core) markOwnRunnersDirty() {
 	for _, report := range c.ownReports() {
-		c.dirty[report.Runner] = true
+		c.dirtyRunners[report.Runner] = true
 	}
 }
 
-// tellJoined sends this node's runners to the nodes that joined since the last tick.
-func (c *Core) tellJoined() {
-	if len(c.joined) == 0 {
+// sendReportsToJoined sends the reports of this node's runners to the nodes that joined since the
+// last tick.
+func (c *Core) sendReportsToJoined() {
+	if len(c.joinedMembers) == 0 {
 		return
 	}
-	joined := c.joined
-	c.joined = nil
+	joined := c.joinedMembers
+	c.joinedMembers = nil
 	reports := c.ownReports()
 	if len(reports) == 0 {
 		return
@@ -143,7 +148,8 @@
 	}
 }
 
-func (c *Core) sendFleet(node string) {
+// answerFleetPull sends all known runner reports to the node that requested them.
+func (c *Core) answerFleetPull(node string) {
 	member, found := c.members.Member(node)
 	if !found || c.fleet.Len() == 0 {
 		return
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -166,7 +166,7 @@
 // or the call fails.
 func (n *Node) callNode(ctx context.Context, node string, envelope *wire.Envelope) *wire.Envelope {
 	n.mutex.Lock()
-	address, found := n.control.Address(node)
+	address, found := n.control.NodeAddress(node)
 	n.mutex.Unlock()
 	if !found {
 		return nil
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -265,7 +265,7 @@
 		report, _ := n.control.Fleet().Get(name)
 		status.Runners = append(status.Runners, RunnerStatus{
 			Runner: name, State: report.State.String(), Connected: report.Connected, Model: report.Model,
-			WeightVersion: report.WeightVersion, Home: n.control.HomeOf(name, runner.Spec.Zone),
+			WeightVersion: report.WeightVersion, Home: n.control.RunnerHome(name, runner.Spec.Zone),
 			Incarnation: report.Incarnation, Running: report.Load.Running, Waiting: report.Load.Waiting,
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,7 +204,7 @@
 	ready := n.control.TakeReady()
 	sends := n.applyReady(ready)
 	n.mutex.Unlock()
-	for _, send := range append(ready.Sends, sends...) {
+	for _, send := range append(ready.Messages, sends...) {
 		// The protocols tolerate lost messages, so errors need no handling.
 		_ = n.transport.Send(send.To, send.Address, send.Envelope)
 	}
@@ -213,7 +213,7 @@
 
 // applyReady applies changes of the control plane to the node's other parts and returns further
 // messages to send. The caller must hold n.mutex.
-func (n *Node) applyReady(ready control.Ready) []control.Send {
+func (n *Node) applyReady(ready control.Ready) []control.Outgoing {
 	for _, report := range ready.NewIncarnations {
 		n.shard.Reset(cacheindex.Holder{Runner: report.Runner, Incarnation: report.Incarnation})
 	}
@@ -228,7 +228,7 @@
 			n.log.Log(events.NodeServing, events.Fields{"after_ms": time.Since(n.started).Milliseconds()})
 		}
 	}
-	if !ready.ConfigChanged && !ready.DutiesChanged {
+	if !ready.ConfigChanged && !ready.OwnersChanged {
 		return nil
 	}
 	sends := n.resendMovedAnchors(ready.Events)
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -39,8 +39,8 @@
 // request is still served.
 func (n *Node) place(ctx context.Context, request *wire.PlaceRequest) *wire.PlaceResponse {
 	n.mutex.Lock()
-	owner := n.control.ShardOf(request.GetFamily())
-	address, found := n.control.Address(owner)
+	owner := n.control.ShardOwner(request.GetFamily())
+	address, found := n.control.NodeAddress(owner)
 	n.mutex.Unlock()
 	if owner == n.settings.Node {
 		return n.placeLocally(request, true)
@@ -112,8 +112,8 @@
 // reportPlaceResult applies the outcome of a placement locally and sends it to the index owner.
 func (n *Node) reportPlaceResult(result *wire.PlaceResult) {
 	n.mutex.Lock()
-	owner := n.control.ShardOf(result.GetFamily())
-	address, found := n.control.Address(owner)
+	owner := n.control.ShardOwner(result.GetFamily())
+	address, found := n.control.NodeAddress(owner)
 	n.mutex.Unlock()
 	n.applyPlaceResult(result)
 	if found && owner != n.settings.Node {
@@ -128,7 +128,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	holder := cacheindex.Holder{Runner: result.GetRunner(), Incarnation: result.GetIncarnation()}
-	ownsFamily := n.control.ShardOf(result.GetFamily()) == n.settings.Node
+	ownsFamily := n.control.ShardOwner(result.GetFamily()) == n.settings.Node
 	if result.GetDraining() {
 		n.control.Fleet().MarkDraining(holder.Runner, holder.Incarnation)
 	}
--- a/internal/node/runnerevents.go
+++ b/internal/node/runnerevents.go
@@ -44,7 +44,7 @@
 	snapshot := n.snapshot.Load()
 	owned := map[string]bool{}
 	for name, runner := range snapshot.Runners {
-		if n.control.HomeOf(name, runner.Spec.Zone) != n.settings.Node {
+		if n.control.RunnerHome(name, runner.Spec.Zone) != n.settings.Node {
 			continue
 		}
 		owned[name] = true
@@ -123,7 +123,7 @@
 		return
 	}
 	newlyConnected, needsResync := false, false
-	var sends []control.Send
+	var sends []control.Outgoing
 	n.updateControl(func(now time.Time) {
 		if n.eventReaders[reader.runner] != reader {
 			return
@@ -180,7 +180,7 @@
 	if err != nil {
 		return
 	}
-	var sends []control.Send
+	var sends []control.Outgoing
 	n.updateControl(func(time.Time) {
 		if n.eventReaders[reader.runner] != reader || reader.tracker.Incarnation() != list.Incarnation {
 			return
@@ -201,10 +201,10 @@
 
 // routeChanges groups the changes by index owner. It applies those that this node owns and returns
 // the messages to the other owners. The caller must hold n.mutex.
-func (n *Node) routeChanges(reader *eventReader, changes cacheindex.Changes) []control.Send {
+func (n *Node) routeChanges(reader *eventReader, changes cacheindex.Changes) []control.Outgoing {
 	updatesByOwner := map[string][]*wire.IndexUpdate{}
 	updateFor := func(root uint64) *wire.IndexUpdate {
-		owner := n.control.ShardOf(root)
+		owner := n.control.ShardOwner(root)
 		updates := updatesByOwner[owner]
 		if len(updates) > 0 {
 			last := updates[len(updates)-1]
@@ -229,16 +229,16 @@
 
 // applyOwnUpdates applies the updates that this node owns and returns the messages to the other
 // owners. Updates for owners without a known address are dropped. The caller must hold n.mutex.
-func (n *Node) applyOwnUpdates(updatesByOwner map[string][]*wire.IndexUpdate) []control.Send {
-	var sends []control.Send
+func (n *Node) applyOwnUpdates(updatesByOwner map[string][]*wire.IndexUpdate) []control.Outgoing {
+	var sends []control.Outgoing
 	for owner, updates := range updatesByOwner {
 		for _, update := range updates {
 			if owner == n.settings.Node {
 				n.applyIndexUpdateLocked(update)
 				continue
 			}
-			if address, found := n.control.Address(owner); found {
-				sends = append(sends, control.Send{To: owner, Address: address, Envelope: &wire.Envelope{Body: &wire.Envelope_IndexUpdate{IndexUpdate: update}}})
+			if address, found := n.control.NodeAddress(owner); found {
+				sends = append(sends, control.Outgoing{To: owner, Address: address, Envelope: &wire.Envelope{Body: &wire.Envelope_IndexUpdate{IndexUpdate: update}}})
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 }
 
 // sendIndexUpdates sends the messages returned by routeChanges.
-func (n *Node) sendIndexUpdates(sends []control.Send) {
+func (n *Node) sendIndexUpdates(sends []control.Outgoing) {
 	for _, send := range sends {
 		// A lost index update lowers the cache hit rate until placement results repair the index.
 		_ = n.transport.Send(send.To, send.Address, send.Envelope)
@@ -256,7 +256,7 @@
 // resendMovedAnchors returns the messages with tracked anchors to the nodes that now own them:
 // anchors whose owner changed, and all anchors of an owner whose process has just joined. The
 // caller must hold n.mutex.
-func (n *Node) resendMovedAnchors(memberEvents []membership.Event) []control.Send {
+func (n *Node) resendMovedAnchors(memberEvents []membership.Event) []control.Outgoing {
 	usable := n.control.UsableNodes()
 	joined := map[string]bool{}
 	for _, event := range memberEvents {
@@ -269,7 +269,7 @@
 	}
 	previousOwners := n.indexOwners
 	n.indexOwners = slices.Clone(usable)
-	var sends []control.Send
+	var sends []control.Outgoing
 	for _, reader := range n.eventReaders {
 		moved := reader.tracker.Select(func(root uint64) bool {
 			owner := rendezvous.Owner(usable, root)
