--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -191,7 +191,7 @@
 		fmt.Fprintf(env.Out, "%s unchanged at version %d\n", manifest.Key, stored.Version)
 		return ExitOK
 	}
-	written, err := client.PutResolved(ctx, object)
+	written, err := client.PutWithReadBack(ctx, object)
 	if err != nil {
 		return env.failure(manifest.Key.String(), err)
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -225,7 +225,7 @@
 	if current, err := c.Client.Get(context.Background(), object.Key()); err == nil {
 		object.Version = current.Version
 	}
-	return c.Client.PutResolved(context.Background(), object)
+	return c.Client.PutWithReadBack(context.Background(), object)
 }
 
 // KeyHash returns the stored form of a tenant's bearer key.
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -230,7 +230,7 @@
 		n.installHandover(ctx, change.next, number, handover)
 	}
 	spec, _ := json.Marshal(v1.ClaimAssignmentSpec{Number: number, Holders: change.next})
-	stored, err := n.platform.PutResolved(ctx, v1.Object{Kind: assignmentKey.Kind, Name: assignmentKey.Name, Version: change.version, Spec: spec})
+	stored, err := n.platform.PutWithReadBack(ctx, v1.Object{Kind: assignmentKey.Kind, Name: assignmentKey.Name, Version: change.version, Spec: spec})
 	if errors.Is(err, platform.ErrConflict) {
 		// Another node has written the assignment. The watch will deliver it.
 		return
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,6 +1,5 @@
-// Package platform is the client of the platform's object API: versioned
-// objects, writes with version preconditions, and watches. docs/API.md
-// describes the protocol.
+// Package platform implements a client of the platform's object API: versioned objects, writes with
+// version preconditions, and watches. The protocol is described in docs/API.md.
 package platform
 
 import (
@@ -20,57 +19,58 @@
 	v1 "github.com/clovertiller/clovertiller/api/v1"
 )
 
-// Paths of the object API.
+// URL paths of the object API.
 const (
 	PathObjects = "/api/v1/objects"
 	PathStatus  = "/api/v1/status"
 	PathWatch   = "/api/v1/watch"
 )
 
-// Errors of the client.
+// Errors returned by the client.
 var (
-	// ErrConflict means that the object's version is not the one the write named.
+	// ErrConflict means that the object's version is not the one that the write requires.
 	ErrConflict = errors.New("the object has another version")
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("no such object")
-	// ErrGone means that changes after the asked revision are no longer kept.
+	// ErrGone means that the platform no longer has all changes after the requested revision.
 	ErrGone = errors.New("the revision is too old to watch from")
-	// ErrUnavailable means that the platform did not answer; a write may or may
-	// not have taken effect.
+	// ErrUnavailable means that the platform did not respond or responded with an unexpected status
+	// or a malformed body. A write may or may not have taken effect.
 	ErrUnavailable = errors.New("the platform did not answer")
 )
 
-// Times of the client.
 const (
+	// requestTimeout is the timeout of all requests other than watches.
 	requestTimeout = 3 * time.Second
-	// WatchSilence is how long a watch may be silent; the platform sends a
+	// WatchIdleTimeout is the time without a message after which a watch ends. The platform sends a
 	// bookmark every second.
-	WatchSilence  = 5 * time.Second
-	maxReplyBytes = 64 << 20
+	WatchIdleTimeout = 5 * time.Second
+	// maxResponseBytes is the maximum size of a response body, except for watches.
+	maxResponseBytes = 64 << 20
 )
 
-// List is the answer to a list call.
+// List is the response to a list request: all objects at a revision.
 type List struct {
 	Revision uint64      `json:"revision"`
 	Items    []v1.Object `json:"items"`
 }
 
-// WatchBatch is one message of a watch: every change up to Revision that was
-// not sent before. Without objects it is a bookmark.
+// WatchBatch is one message of a watch. It holds every change up to Revision that the watch has not
+// sent yet. A batch without objects is a bookmark.
 type WatchBatch struct {
 	Revision uint64      `json:"revision"`
 	Objects  []v1.Object `json:"objects,omitempty"`
 }
 
-// Client talks to the platform at one base address.
+// Client is a client of the platform at one address. It is safe for concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// NewClient returns a client of the object API at address (IP:port).
+// NewClient returns a client of the object API at the address, in the form IP:port.
 func NewClient(address string) *Client {
-	return &Client{base: "http://" + address, http: &http.Client{}}
+	return &Client{baseURL: "http://" + address, httpClient: &http.Client{}}
 }
 
 // List reads all objects.
@@ -91,8 +91,9 @@
 	return object, nil
 }
 
-// Put writes an object at the version it carries (0 creates it) and returns it
-// with its new version. On ErrUnavailable the outcome is not known.
+// Put writes an object if its version on the platform equals object.Version, where 0 means that it
+// does not exist yet. It returns the object with its new version. If Put returns ErrUnavailable, the
+// write may or may not have taken effect.
 func (c *Client) Put(ctx context.Context, object v1.Object) (*v1.Object, error) {
 	stored := &v1.Object{}
 	if err := c.do(ctx, http.MethodPut, objectPath(PathObjects, object.Key()), object, stored); err != nil {
@@ -101,12 +102,13 @@
 	return stored, nil
 }
 
-// PutResolved writes an object like Put. When the answer is lost it reads the
-// object back instead of writing again: it returns the stored object if it has
-// the wanted content at a newer version, ErrConflict if another write is in
-// its place, and ErrUnavailable if the write did not take effect or reading
-// back failed too; in that case it is safe to write again at the same version.
-func (c *Client) PutResolved(ctx context.Context, object v1.Object) (*v1.Object, error) {
+// PutWithReadBack writes an object like Put. If the response is lost, it reads the object instead of
+// writing it again. It then returns
+//   - the stored object, if it has the written spec at a newer version,
+//   - ErrConflict, if another write took effect instead,
+//   - ErrUnavailable, if the write did not take effect or the read failed too. It is then safe to
+//     write again at the same version.
+func (c *Client) PutWithReadBack(ctx context.Context, object v1.Object) (*v1.Object, error) {
 	stored, err := c.Put(ctx, object)
 	if !errors.Is(err, ErrUnavailable) {
 		return stored, err
@@ -125,6 +127,7 @@
 	return nil, ErrConflict
 }
 
+// sameSpec reports whether two JSON values are equal apart from white space.
 func sameSpec(a, b json.RawMessage) bool {
 	var compactA, compactB bytes.Buffer
 	if json.Compact(&compactA, a) != nil || json.Compact(&compactB, b) != nil {
@@ -133,35 +136,35 @@
 	return bytes.Equal(compactA.Bytes(), compactB.Bytes())
 }
 
-// Delete removes an object at the given version.
+// Delete deletes an object if its version on the platform equals version.
 func (c *Client) Delete(ctx context.Context, key v1.Key, version uint64) error {
 	path := objectPath(PathObjects, key) + "?version=" + strconv.FormatUint(version, 10)
 	return c.do(ctx, http.MethodDelete, path, nil, nil)
 }
 
-// PutStatus writes an object's status. It does not change the object's version.
+// PutStatus writes the status of an object. It does not change the object's version.
 func (c *Client) PutStatus(ctx context.Context, key v1.Key, status v1.Status) error {
 	return c.do(ctx, http.MethodPut, objectPath(PathStatus, key), status, nil)
 }
 
-// Watch calls visit for each batch of changes after the revision, until the
-// context or the connection ends. It returns ErrGone when a list is needed.
-func (c *Client) Watch(ctx context.Context, from uint64, visit func(WatchBatch)) error {
+// Watch calls handle for each batch of changes after fromRevision until ctx or the connection ends.
+// It always returns an error. ErrGone means that the caller must read the full state by List first.
+func (c *Client) Watch(ctx context.Context, fromRevision uint64, handle func(WatchBatch)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(WatchSilence, cancel)
-	defer watchdog.Stop()
-	path := PathWatch + "?from=" + strconv.FormatUint(from, 10)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	idleTimer := time.AfterFunc(WatchIdleTimeout, cancel)
+	defer idleTimer.Stop()
+	path := PathWatch + "?from=" + strconv.FormatUint(fromRevision, 10)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return ErrUnavailable
 	}
 	defer response.Body.Close()
-	if err := statusError(response); err != nil {
+	if err := errorFromStatus(response); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(response.Body)
@@ -170,8 +173,8 @@
 		if err := decoder.Decode(&batch); err != nil {
 			return ErrUnavailable
 		}
-		watchdog.Reset(WatchSilence)
-		visit(batch)
+		idleTimer.Reset(WatchIdleTimeout)
+		handle(batch)
 	}
 }
 
@@ -179,7 +182,9 @@
 	return prefix + "/" + url.PathEscape(string(key.Kind)) + "/" + url.PathEscape(key.Name)
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body, reply any) error {
+// do sends a request with the JSON encoding of body, if not nil, and decodes the response into result,
+// if not nil.
+func (c *Client) do(ctx context.Context, method, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var reader io.Reader
@@ -190,28 +195,29 @@
 		}
 		reader = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return ErrUnavailable
 	}
 	defer response.Body.Close()
-	if err := statusError(response); err != nil {
+	if err := errorFromStatus(response); err != nil {
 		return err
 	}
-	if reply == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(result); err != nil {
 		return ErrUnavailable
 	}
 	return nil
 }
 
-func statusError(response *http.Response) error {
+// errorFromStatus returns the error that corresponds to the status of a response, or nil on success.
+func errorFromStatus(response *http.Response) error {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		return nil
--- a/test/prove/config_test.go
+++ b/test/prove/config_test.go
@@ -158,7 +158,7 @@
 				go func() {
 					defer group.Done()
 					spec, _ := json.Marshal(v1.PoolSpec{MaxLoading: 2, HitWeight: float64(writer+1) + float64(round)/100, AnchorStride: 1, BlockBytes: 64, MinServingPercent: 50})
-					_, errs[writer] = c.Client.PutResolved(context.Background(), v1.Object{Kind: key.Kind, Name: key.Name, Version: current.Version, Spec: spec})
+					_, errs[writer] = c.Client.PutWithReadBack(context.Background(), v1.Object{Kind: key.Kind, Name: key.Name, Version: current.Version, Spec: spec})
 				}()
 			}
 			group.Wait()
