--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -51,7 +51,7 @@
 }
 
 // mergeMember applies a member update if it supersedes the current record. Updates about this node
-// itself are refuted instead.
+// itself go to refute. The death of a member without a record is ignored.
 func (c *Core) mergeMember(now time.Time, update Member) {
 	if update.ID == c.self.ID {
 		c.refute(update)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -172,8 +172,8 @@
 		return
 	}
 	for name, zone := range c.zones {
-		silent := now.Sub(zone.lastContact) >= c.settings.ZoneTimeout && zone.failedProbes >= minFailedZoneProbes
-		if silent && !zone.status.Unreachable {
+		lostContact := now.Sub(zone.lastContact) >= c.settings.ZoneTimeout && zone.failedProbes >= minFailedZoneProbes
+		if lostContact && !zone.status.Unreachable {
 			c.setZoneStatus(now, ZoneStatus{Zone: name, Unreachable: true, ObservedMillis: now.UnixMilli()})
 		}
 	}
