--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -203,7 +203,7 @@
 		fmt.Fprintf(env.Out, "%s unchanged at version %d\n", manifest.Key, stored.Version)
 		return ExitOK
 	}
-	written, err := client.PutResolved(ctx, object)
+	written, err := client.PutWithReadBack(ctx, object)
 	if err != nil {
 		return env.reportError(manifest.Key.String(), err)
 	}
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -134,7 +134,7 @@
 		known, found := c.stores[RunnerObjects].Object(object.Key())
 		revision, wasPending := pending[object.Name]
 		stillPending := found && wasPending && storerev.Revision(known.Version) == revision
-		if stillPending || c.stores[RunnerObjects].Deleted(object.Key()) {
+		if stillPending || c.stores[RunnerObjects].IsDeleted(object.Key()) {
 			c.reappeared[object.Name] = storerev.Revision(object.Version)
 		}
 	}
@@ -192,7 +192,7 @@
 
 // removeMissing removes the runners whose entries were not rewritten in this era.
 func (c *copies) removeMissing(runners *config.Store) {
-	for _, removed := range runners.RemoveOlder(storerev.StartOf(runners.Revision().Era())) {
+	for _, removed := range runners.DeleteOlderThan(storerev.StartOf(runners.Revision().Era())) {
 		c.gateway.applyObject(RunnerObjects, removed)
 	}
 }
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -192,7 +192,7 @@
 		case found && notRewritten(kind, known, object) && c.precedes(kind, known, object):
 			object.Version = known.Version
 			newer = append(newer, object)
-		case !found && !store.Deleted(object.Key()) && isFromEarlierEra(object, store.Revision()):
+		case !found && !store.IsDeleted(object.Key()) && isFromEarlierEra(object, store.Revision()):
 			newer = append(newer, object)
 		}
 	}
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -166,7 +166,7 @@
 // or the call fails.
 func (n *Node) callNode(ctx context.Context, node string, envelope *wire.Envelope) *wire.Envelope {
 	n.mutex.Lock()
-	address, found := n.control.Address(node)
+	address, found := n.control.NodeAddress(node)
 	n.mutex.Unlock()
 	if !found {
 		return nil
@@ -230,7 +230,7 @@
 		n.installHandover(ctx, change.next, number, handover)
 	}
 	spec, _ := json.Marshal(v1.ClaimAssignmentSpec{Number: number, Holders: change.next})
-	stored, err := n.platform.PutResolved(ctx, v1.Object{Kind: assignmentKey.Kind, Name: assignmentKey.Name, Version: change.version, Spec: spec})
+	stored, err := n.platform.PutWithReadBack(ctx, v1.Object{Kind: assignmentKey.Kind, Name: assignmentKey.Name, Version: change.version, Spec: spec})
 	if errors.Is(err, platform.ErrConflict) {
 		// Another node has written the assignment. The watch will deliver it.
 		return
@@ -269,7 +269,7 @@
 // holderState reports whether a holder's process is known to have ended and whether its node is
 // leaving. A holder that only fails to respond counts as neither.
 func (n *Node) holderState(holder v1.ClaimHolder) (ended, leaving bool) {
-	if n.control.Store().Deleted(v1.Key{Kind: v1.KindMachine, Name: holder.Node}) {
+	if n.control.Store().IsDeleted(v1.Key{Kind: v1.KindMachine, Name: holder.Node}) {
 		return true, false
 	}
 	member, found := n.control.Members().Member(holder.Node)
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -88,7 +88,7 @@
 		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "a bearer key is required", runState: attempt.NotRun}
 	}
 	digest := sha256.Sum256([]byte(key))
-	tenant := snapshot.ByKeyHash[hex.EncodeToString(digest[:])]
+	tenant := snapshot.TenantsByKeyHash[hex.EncodeToString(digest[:])]
 	if tenant == nil {
 		return nil, &apiError{status: http.StatusUnauthorized, code: codeInvalidAPIKey, param: "Authorization", message: "the key is not known", runState: attempt.NotRun}
 	}
@@ -265,7 +265,7 @@
 		report, _ := n.control.Fleet().Get(name)
 		status.Runners = append(status.Runners, RunnerStatus{
 			Runner: name, State: report.State.String(), Connected: report.Connected, Model: report.Model,
-			WeightVersion: report.WeightVersion, Home: n.control.HomeOf(name, runner.Spec.Zone),
+			WeightVersion: report.WeightVersion, Home: n.control.RunnerHome(name, runner.Spec.Zone),
 			Incarnation: report.Incarnation, Running: report.Load.Running, Waiting: report.Load.Waiting,
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,7 +204,7 @@
 	ready := n.control.TakeReady()
 	sends := n.applyReady(ready)
 	n.mutex.Unlock()
-	for _, send := range append(ready.Sends, sends...) {
+	for _, send := range append(ready.Messages, sends...) {
 		// The protocols tolerate lost messages, so errors need no handling.
 		_ = n.transport.Send(send.To, send.Address, send.Envelope)
 	}
@@ -213,7 +213,7 @@
 
 // applyReady applies changes of the control plane to the node's other parts and returns further
 // messages to send. The caller must hold n.mutex.
-func (n *Node) applyReady(ready control.Ready) []control.Send {
+func (n *Node) applyReady(ready control.Ready) []control.Outgoing {
 	for _, report := range ready.NewIncarnations {
 		n.shard.Reset(cacheindex.Holder{Runner: report.Runner, Incarnation: report.Incarnation})
 	}
@@ -228,7 +228,7 @@
 			n.log.Log(events.NodeServing, events.Fields{"after_ms": time.Since(n.started).Milliseconds()})
 		}
 	}
-	if !ready.ConfigChanged && !ready.DutiesChanged {
+	if !ready.ConfigChanged && !ready.OwnersChanged {
 		return nil
 	}
 	sends := n.resendMovedAnchors(ready.Events)
@@ -244,7 +244,7 @@
 			n.log.Log(events.MemberJoined, fields)
 		case membership.EventChanged:
 			n.log.Log(events.MemberChanged, fields)
-		case membership.EventForgotten:
+		case membership.EventRemoved:
 			n.log.Log(events.MemberRemoved, fields)
 		case membership.EventZoneUnreachable:
 			n.log.Log(events.ZoneUnreachable, fields)
