--- a/internal/lab/cluster/calls.go
+++ b/internal/lab/cluster/calls.go
@@ -15,38 +15,41 @@
 	"github.com/clovertiller/clovertiller/internal/lab/load"
 )
 
-// Call is one completion request of a test.
+// Call is a completion request that a test sends.
 type Call struct {
 	Tenant    string
 	Prompt    string
 	MaxTokens int
-	// Key makes the call unrepeatable when it is not empty.
-	Key string
+	// IdempotencyKey makes the request unrepeatable unless it is empty.
+	IdempotencyKey string
 }
 
-// NewKey returns a key made now.
-func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
+// NewIdempotencyKey returns a key that is valid from now on. It is a UUIDv7, which contains
+// its creation time.
+func NewIdempotencyKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Outcome is what a caller was told.
+// Outcome is the result of a Call as its client saw it.
 type Outcome struct {
-	// Status is the HTTP status, 0 when no answer came.
-	Status   int
-	Answer   load.Answer
+	// Status is the HTTP status, or 0 without a response.
+	Status     int
+	Completion load.Answer
+	// Code and RunState are those of the error in the response; both are empty without one.
 	Code     string
 	RunState string
-	// RetryAfter is the Retry-After header.
+	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
-	// Runner is the runner that gave the first token.
+	// Runner is the name of the runner that produced the first token.
 	Runner string
-	Sent   time.Time
-	Took   time.Duration
-	Error  error
+	SentAt time.Time
+	// Elapsed is the time from sending the request to the end of the response.
+	Elapsed time.Duration
+	Err     error
 }
 
-// Complete tells whether the whole answer came.
-func (o Outcome) Complete() bool { return o.Status == http.StatusOK && o.Answer.Done }
+// Complete reports whether the whole completion was received.
+func (o Outcome) Complete() bool { return o.Status == http.StatusOK && o.Completion.Done }
 
-type completionBody struct {
+type completionRequest struct {
 	Model         string        `json:"model"`
 	Prompt        string        `json:"prompt"`
 	MaxTokens     int           `json:"max_tokens"`
@@ -58,62 +61,64 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error struct {
 		Code     string `json:"code"`
 		RunState string `json:"run_state"`
 	} `json:"error"`
 }
 
-// Do sends a streamed completion request to a router and reads its answer.
+// Do sends a streaming completion request to the router with the given index and reads the
+// response to its end.
 func (c *Cluster) Do(ctx context.Context, router int, call Call) Outcome {
-	body, _ := json.Marshal(completionBody{Model: Model, Prompt: call.Prompt, MaxTokens: call.MaxTokens, Stream: true, StreamOptions: streamOptions{true}})
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Routers[router].HTTP+"/v1/completions", bytes.NewReader(body))
+	body, _ := json.Marshal(completionRequest{Model: Model, Prompt: call.Prompt, MaxTokens: call.MaxTokens, Stream: true, StreamOptions: streamOptions{true}})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Routers[router].HTTPAddress+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		return Outcome{Error: err}
+		return Outcome{Err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+load.KeyOf(call.Tenant))
-	if call.Key != "" {
-		request.Header.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
-	start := time.Now()
+	sentAt := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return Outcome{Error: err, Took: time.Since(start)}
+		return Outcome{Err: err, Elapsed: time.Since(sentAt)}
 	}
 	defer response.Body.Close()
 	outcome := Outcome{
 		Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After"),
-		Runner: response.Header.Get("X-Clovertiller-Runner"), Sent: start,
+		Runner: response.Header.Get("X-Clovertiller-Runner"), SentAt: sentAt,
 	}
 	if response.StatusCode == http.StatusOK {
-		outcome.Answer = load.ReadStream(response.Body, start)
-		outcome.Answer.WeightVersion = response.Header.Get("X-Clovertiller-Weight-Version")
-		outcome.Code, outcome.RunState = outcome.Answer.ErrorCode, outcome.Answer.ErrorRunState
+		outcome.Completion = load.ReadStream(response.Body, sentAt)
+		outcome.Completion.WeightVersion = response.Header.Get("X-Clovertiller-Weight-Version")
+		outcome.Code, outcome.RunState = outcome.Completion.ErrorCode, outcome.Completion.ErrorRunState
 	} else {
-		var refused errorAnswer
+		var failure errorResponse
 		content, _ := io.ReadAll(response.Body)
-		if json.Unmarshal(content, &refused) == nil {
-			outcome.Code, outcome.RunState = refused.Error.Code, refused.Error.RunState
+		if json.Unmarshal(content, &failure) == nil {
+			outcome.Code, outcome.RunState = failure.Error.Code, failure.Error.RunState
 		}
 	}
-	outcome.Took = time.Since(start)
+	outcome.Elapsed = time.Since(sentAt)
 	return outcome
 }
 
-// Expected returns the text that an engine must produce for a call.
-func Expected(call Call, weightVersion string) string {
+// ExpectedText returns the text that an engine with these weights produces for a call.
+func ExpectedText(call Call, weightVersion string) string {
 	prompt := enginemodel.Prompt{Model: Model, WeightVersion: weightVersion, Text: call.Prompt}
 	length, _ := prompt.Length(call.MaxTokens)
 	return prompt.Output(0, length)
 }
 
-// Exact tells whether a complete outcome has the whole right text.
-func Exact(call Call, outcome Outcome) bool {
-	return outcome.Complete() && outcome.Answer.Text == Expected(call, outcome.Answer.WeightVersion)
+// HasExpectedText reports whether the outcome is complete and its text is correct.
+func HasExpectedText(call Call, outcome Outcome) bool {
+	return outcome.Complete() && outcome.Completion.Text == ExpectedText(call, outcome.Completion.WeightVersion)
 }
 
-// RunsOf returns how often a prompt was run, counted where it survives engines.
-func (c *Cluster) RunsOf(prompt string) int {
+// RunCount returns how often engines started to run a prompt. The platform process keeps the
+// count, so that it survives the engines.
+func (c *Cluster) RunCount(prompt string) int {
 	return c.Platform.Runs()[engineserver.PromptDigest(prompt)]
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs real router and engine processes around an embedded
-// stand-in of the platform, for failure tests. Only tests use it.
+// Package cluster runs router and simulated engine processes against a simulated platform in
+// the test's own process. Only failure tests use it.
 package cluster
 
 import (
@@ -29,16 +29,16 @@
 	"github.com/clovertiller/clovertiller/internal/platform"
 )
 
-// Zones of the cluster.
+// Zones are the zones over which routers and engines are distributed.
 var Zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Binaries are the built programs.
+// Binaries holds the paths of the executables of a cluster.
 type Binaries struct {
 	Router string
 	Lab    string
 }
 
-// Build builds the programs into a directory.
+// Build compiles the executables into a directory.
 func Build(directory string) (Binaries, error) {
 	binaries := Binaries{Router: filepath.Join(directory, "clovertiller"), Lab: filepath.Join(directory, "clovertiller-lab")}
 	build := exec.Command("go", "build", "-o", directory+"/", "github.com/clovertiller/clovertiller/cmd/...")
@@ -48,22 +48,22 @@
 	return binaries, nil
 }
 
-// Process is one real process that may be stopped, frozen and started again
-// under the same addresses.
+// Process is a child process that can be stopped, suspended and restarted with the same
+// arguments. Its output goes to a log file.
 type Process struct {
 	Name    string
 	binary  string
 	args    []string
-	log     *os.File
+	logFile *os.File
 	command *exec.Cmd
 	done    chan struct{}
 }
 
-// Start runs the process.
+// Start starts the process, for the first time or again after its end.
 func (p *Process) Start() error {
 	p.command = exec.Command(p.binary, p.args...)
-	p.command.Stderr = p.log
-	p.command.Stdout = p.log
+	p.command.Stderr = p.logFile
+	p.command.Stdout = p.logFile
 	if err := p.command.Start(); err != nil {
 		return trace.Wrap(err)
 	}
@@ -71,7 +71,7 @@
 	p.done = done
 	command := p.command
 	go func() {
-		// How the process ended shows in what the tests check.
+		// The exit status doesn't matter: the tests check the effects of the exit.
 		_ = command.Wait()
 		close(done)
 	}()
@@ -80,80 +80,84 @@
 
 func (p *Process) signal(signal syscall.Signal) {
 	if p.command != nil {
-		// A process that has ended needs no signal.
+		// The error means that the process has already exited.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Terminate asks the process to stop as planned.
+// Terminate sends SIGTERM, which starts an orderly shutdown, and doesn't wait for it.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Freeze stops the process without ending it.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Pause sends SIGSTOP, which suspends the process until Resume.
+func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
+// Resume sends SIGCONT, which continues a paused process.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Router is one router process.
+// Router is a router process.
 type Router struct {
 	Process
-	HTTP string
-	Peer string
-	Zone string
+	HTTPAddress string
+	PeerAddress string
+	Zone        string
 }
 
-// Engine is one engine process.
+// Engine is the process of a simulated engine.
 type Engine struct {
 	Process
-	Address string
-	Runner  string
-	Pool    string
-	Zone    string
+	Address    string
+	RunnerName string
+	Pool       string
+	Zone       string
 }
 
-// Cluster is a set of processes around one platform stand-in.
+// Cluster is a set of routers and engines that share a simulated platform.
 type Cluster struct {
-	Platform *platformserver.Server
-	Client   *platform.Client
-	Routers  []*Router
-	Engines  []*Engine
-	binaries Binaries
-	logs     string
+	Platform     *platformserver.Server
+	Client       *platform.Client
+	Routers      []*Router
+	Engines      []*Engine
+	binaries     Binaries
+	logDirectory string
 }
 
-// Settings shape a cluster.
+// Settings configures a cluster.
 type Settings struct {
 	Routers int
-	// Engines is the number of engines in the one pool.
-	Engines  int
-	Weights  platformserver.Settings
-	Blocks   int
-	EventLag int
+	// Engines is the number of engines. All of them are in the same pool.
+	Engines          int
+	PlatformSettings platformserver.Settings
+	// CacheBlocks is the capacity of each engine's cache; 0 means the engine's default.
+	CacheBlocks int
+	// EventLagMillis delays the engines' cache events and load reports, in milliseconds.
+	EventLagMillis int
 }
 
-// Names of the one pool, model and weights that every cluster starts with.
+// Names of the pool, the model and its initial weight version in every cluster.
 const (
-	Pool    = "pool"
-	Model   = "model"
-	Weights = "v1"
+	Pool                 = "pool"
+	Model                = "model"
+	InitialWeightVersion = "v1"
 )
 
-// New starts a cluster and writes its resources; it does not wait for it.
-func New(binaries Binaries, logs string, settings Settings) (*Cluster, error) {
+// New starts the processes of a cluster and writes its objects to the platform. It doesn't
+// wait until the cluster is ready. If it fails after starting the platform, it also returns
+// the incomplete cluster, which the caller must close.
+func New(binaries Binaries, logDirectory string, settings Settings) (*Cluster, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	c := &Cluster{Platform: platformserver.Start(listener, settings.Weights), binaries: binaries, logs: logs}
+	c := &Cluster{Platform: platformserver.Start(listener, settings.PlatformSettings), binaries: binaries, logDirectory: logDirectory}
 	c.Client = platform.NewClient(c.Platform.Address())
 	for i := range settings.Engines {
 		if err := c.addEngine(i, settings); err != nil {
@@ -161,34 +165,34 @@
 		}
 	}
 	for i := range settings.Routers {
-		c.Routers = append(c.Routers, &Router{HTTP: loopback.FreeAddress(), Peer: loopback.FreeAddress(), Zone: Zones[i%len(Zones)]})
+		c.Routers = append(c.Routers, &Router{HTTPAddress: loopback.FreeAddress(), PeerAddress: loopback.FreeAddress(), Zone: Zones[i%len(Zones)]})
 	}
 	for i, router := range c.Routers {
 		if err := c.startRouter(i, router); err != nil {
 			return c, err
 		}
 	}
-	return c, c.writeResources()
+	return c, c.writeInitialObjects()
 }
 
 func (c *Cluster) newProcess(name, binary string, args ...string) (Process, error) {
-	log, err := os.Create(filepath.Join(c.logs, name+".log"))
+	logFile, err := os.Create(filepath.Join(c.logDirectory, name+".log"))
 	if err != nil {
 		return Process{}, trace.ConvertSystemError(err)
 	}
-	return Process{Name: name, binary: binary, args: args, log: log}, nil
+	return Process{Name: name, binary: binary, args: args, logFile: logFile}, nil
 }
 
-func (c *Cluster) addEngine(number int, settings Settings) error {
-	engine := &Engine{Address: loopback.FreeAddress(), Runner: fmt.Sprintf("runner-%d", number), Pool: Pool, Zone: Zones[number%len(Zones)]}
-	args := []string{"engine", "--listen", engine.Address, "--platform", c.Platform.Address(), "--model", Model, "--weights", Weights}
-	if settings.Blocks > 0 {
-		args = append(args, "--blocks", fmt.Sprint(settings.Blocks))
+func (c *Cluster) addEngine(index int, settings Settings) error {
+	engine := &Engine{Address: loopback.FreeAddress(), RunnerName: fmt.Sprintf("runner-%d", index), Pool: Pool, Zone: Zones[index%len(Zones)]}
+	args := []string{"engine", "--listen", engine.Address, "--platform", c.Platform.Address(), "--model", Model, "--weights", InitialWeightVersion}
+	if settings.CacheBlocks > 0 {
+		args = append(args, "--blocks", fmt.Sprint(settings.CacheBlocks))
 	}
-	if settings.EventLag > 0 {
-		args = append(args, "--event-lag", fmt.Sprint(settings.EventLag))
+	if settings.EventLagMillis > 0 {
+		args = append(args, "--event-lag", fmt.Sprint(settings.EventLagMillis))
 	}
-	process, err := c.newProcess(engine.Runner, c.binaries.Lab, args...)
+	process, err := c.newProcess(engine.RunnerName, c.binaries.Lab, args...)
 	if err != nil {
 		return err
 	}
@@ -197,14 +201,14 @@
 	return engine.Start()
 }
 
-func (c *Cluster) startRouter(number int, router *Router) error {
-	name := fmt.Sprintf("router-%d", number)
+func (c *Cluster) startRouter(index int, router *Router) error {
+	name := fmt.Sprintf("router-%d", index)
 	args := []string{
-		"router", "--node", name, "--zone", router.Zone, "--http", router.HTTP, "--peer", router.Peer,
+		"router", "--node", name, "--zone", router.Zone, "--http", router.HTTPAddress, "--peer", router.PeerAddress,
 		"--platform", c.Platform.Address(), "--fault-endpoint",
 	}
 	for _, other := range c.Routers {
-		args = append(args, "--seed", other.Peer)
+		args = append(args, "--seed", other.PeerAddress)
 	}
 	process, err := c.newProcess(name, c.binaries.Router, args...)
 	if err != nil {
@@ -214,7 +218,7 @@
 	return router.Start()
 }
 
-// Write stores a resource over whatever version is stored.
+// Write stores an object on the platform and replaces any stored version of it.
 func (c *Cluster) Write(kind v1.Kind, name string, spec v1.Spec) (*v1.Object, error) {
 	spec.SetDefaults()
 	encoded, err := json.Marshal(spec)
@@ -228,57 +232,57 @@
 	return c.Client.PutResolved(context.Background(), object)
 }
 
-// KeyHash returns the stored form of a tenant's bearer key.
-func KeyHash(tenant string) string {
+// APIKeyHash returns the hash by which a tenant's API key is stored in its spec.
+func APIKeyHash(tenant string) string {
 	digest := sha256.Sum256([]byte(load.KeyOf(tenant)))
 	return hex.EncodeToString(digest[:])
 }
 
-// Tenants that every cluster starts with.
+// Tenants are the names of the tenants in every cluster.
 var Tenants = []string{"one", "two"}
 
-func (c *Cluster) writeResources() error {
-	type resource struct {
+func (c *Cluster) writeInitialObjects() error {
+	type initialObject struct {
 		kind v1.Kind
 		name string
 		spec v1.Spec
 	}
-	resources := []resource{
+	objects := []initialObject{
 		{v1.KindTier, "gold", &v1.TierSpec{MaxWaitMillis: 10000}},
 		{v1.KindPool, Pool, &v1.PoolSpec{MaxLoading: 2, MinServingPercent: 50}},
-		{v1.KindWeightVersion, Weights, &v1.WeightVersionSpec{Model: Model, Source: Weights}},
+		{v1.KindWeightVersion, InitialWeightVersion, &v1.WeightVersionSpec{Model: Model, Source: InitialWeightVersion}},
 		{v1.KindWeightVersion, "v2", &v1.WeightVersionSpec{Model: Model, Source: "v2"}},
-		{v1.KindModel, Model, &v1.ModelSpec{Pool: Pool, WeightVersion: Weights}},
+		{v1.KindModel, Model, &v1.ModelSpec{Pool: Pool, WeightVersion: InitialWeightVersion}},
 	}
 	for _, tenant := range Tenants {
-		spec := &v1.TenantSpec{Tier: "gold", KeyHashes: []string{KeyHash(tenant)}, RequestsPerSecond: 10000, MaxConcurrent: 10000}
-		resources = append(resources, resource{v1.KindTenant, tenant, spec})
+		spec := &v1.TenantSpec{Tier: "gold", KeyHashes: []string{APIKeyHash(tenant)}, RequestsPerSecond: 10000, MaxConcurrent: 10000}
+		objects = append(objects, initialObject{v1.KindTenant, tenant, spec})
 	}
 	for _, engine := range c.Engines {
-		spec := &v1.RunnerSpec{Pool: Pool, Zone: engine.Zone, Address: engine.Address, Machine: "machine-" + engine.Runner}
-		resources = append(resources, resource{v1.KindRunner, engine.Runner, spec})
+		spec := &v1.RunnerSpec{Pool: Pool, Zone: engine.Zone, Address: engine.Address, Machine: "machine-" + engine.RunnerName}
+		objects = append(objects, initialObject{v1.KindRunner, engine.RunnerName, spec})
 	}
-	for _, r := range resources {
-		if _, err := c.Write(r.kind, r.name, r.spec); err != nil {
-			return trace.Wrap(err, "write %s/%s", r.kind, r.name)
+	for _, object := range objects {
+		if _, err := c.Write(object.kind, object.name, object.spec); err != nil {
+			return trace.Wrap(err, "write %s/%s", object.kind, object.name)
 		}
 	}
 	return nil
 }
 
-// Status reads a router's status, or returns nil when it does not answer.
+// Status returns the status of a router, or nil if the router doesn't respond.
 func (c *Cluster) Status(router int) *node.Status {
-	status, err := cli.FetchStatus(context.Background(), c.Routers[router].HTTP)
+	status, err := cli.FetchStatus(context.Background(), c.Routers[router].HTTPAddress)
 	if err != nil {
 		return nil
 	}
 	return status
 }
 
-// Settled tells whether every router sees all routers alive and all runners
-// serving, and whether claims are granted by the full number of holders.
-func (c *Cluster) Settled() bool {
-	granting := 0
+// Ready reports whether every router sees all routers alive and all runners connected and
+// serving, and whether at least three routers, or all if there are fewer, grant claims.
+func (c *Cluster) Ready() bool {
+	grantingRouters := 0
 	for i := range c.Routers {
 		status := c.Status(i)
 		if status == nil || len(status.Members) != len(c.Routers) || len(status.Runners) != len(c.Engines) {
@@ -295,31 +299,32 @@
 			}
 		}
 		if status.Granting {
-			granting++
+			grantingRouters++
 		}
 	}
-	return granting >= min(3, len(c.Routers))
+	return grantingRouters >= min(3, len(c.Routers))
 }
 
-// SetEngineFaults sets an engine's faults.
+// SetEngineFaults replaces the fault settings of the engine with the given index.
 func (c *Cluster) SetEngineFaults(engine int, faults engineserver.Faults) error {
 	return postJSON("http://"+c.Engines[engine].Address+engineserver.PathFaults, faults)
 }
 
-// Cut cuts routers off from each other: each router of one side from all of the other.
-func (c *Cluster) Cut(side ...int) error {
-	inside := map[int]bool{}
-	for _, router := range side {
-		inside[router] = true
+// Partition drops the messages between the given routers and all others. Without arguments
+// it removes the partition.
+func (c *Cluster) Partition(routers ...int) error {
+	inGroup := map[int]bool{}
+	for _, router := range routers {
+		inGroup[router] = true
 	}
 	for i, router := range c.Routers {
-		var cut []string
+		var blocked []string
 		for j, other := range c.Routers {
-			if len(side) > 0 && inside[i] != inside[j] {
-				cut = append(cut, other.Name)
+			if len(routers) > 0 && inGroup[i] != inGroup[j] {
+				blocked = append(blocked, other.Name)
 			}
 		}
-		if err := postJSON("http://"+router.HTTP+node.PathPartition, node.PartitionRequest{Nodes: cut}); err != nil {
+		if err := postJSON("http://"+router.HTTPAddress+node.PathPartition, node.PartitionRequest{Nodes: blocked}); err != nil {
 			return err
 		}
 	}
@@ -342,16 +347,16 @@
 	return nil
 }
 
-// RouterAddresses returns the routers' HTTP addresses.
+// RouterAddresses returns the HTTP addresses of the routers.
 func (c *Cluster) RouterAddresses() []string {
 	var addresses []string
 	for _, router := range c.Routers {
-		addresses = append(addresses, router.HTTP)
+		addresses = append(addresses, router.HTTPAddress)
 	}
 	return addresses
 }
 
-// Close ends all processes.
+// Close kills all processes and stops the platform.
 func (c *Cluster) Close() {
 	for _, router := range c.Routers {
 		if router.done != nil {
@@ -366,9 +371,10 @@
 	c.Platform.Close()
 }
 
-// Await polls until the condition holds, or returns false after the time.
-func Await(within time.Duration, condition func() bool) bool {
-	for deadline := time.Now().Add(within); time.Now().Before(deadline); {
+// WaitFor polls the condition until it holds and returns true, or returns false after the
+// timeout.
+func WaitFor(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		if condition() {
 			return true
 		}
--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -18,15 +18,15 @@
 		GinkgoHelper()
 		call := cluster.Call{Tenant: tenant, Prompt: prompt, MaxTokens: 10}
 		outcome := c.Do(context.Background(), 0, call)
-		Expect(cluster.Exact(call, outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
+		Expect(cluster.HasExpectedText(call, outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		return outcome
 	}
 
 	It("shares a prefix within a tenant and never between tenants", func() {
 		c := start(cluster.Settings{Routers: 1, Engines: 1})
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeZero())
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeNumerically(">", 200))
-		Expect(ask(c, "two", shared).Answer.CachedTokens).To(BeZero())
+		Expect(ask(c, "one", shared).Completion.CachedTokens).To(BeZero())
+		Expect(ask(c, "one", shared).Completion.CachedTokens).To(BeNumerically(">", 200))
+		Expect(ask(c, "two", shared).Completion.CachedTokens).To(BeZero())
 	})
 
 	It("uses nothing of an engine that crashed and came back under its address", func() {
@@ -39,10 +39,10 @@
 			status := c.Status(0)
 			return status != nil && status.Runners[0].Incarnation > before && status.Runners[0].Connected
 		})
-		Expect(ask(c, "one", shared).Answer.CachedTokens).To(BeZero())
+		Expect(ask(c, "one", shared).Completion.CachedTokens).To(BeZero())
 		// A dispatch that was meant for the process before is refused.
 		_, err := engineapi.NewClient().Generate(context.Background(), c.Engines[0].Address, &engineapi.GenerateRequest{
-			Request: "late", Attempt: 1, Incarnation: before, Model: cluster.Model, WeightVersion: cluster.Weights, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
+			Request: "late", Attempt: 1, Incarnation: before, Model: cluster.Model, WeightVersion: cluster.InitialWeightVersion, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
 		})
 		var refused *engineapi.RefusedError
 		Expect(errors.As(err, &refused)).To(BeTrue())
@@ -63,14 +63,14 @@
 			status := c.Status(0)
 			return status != nil && status.Runners[0].WeightVersion == "v2" && status.Runners[1].WeightVersion == "v2"
 		})
-		fresh := shared + "after the switch " + cluster.NewKey()
+		fresh := shared + "after the switch " + cluster.NewIdempotencyKey()
 		outcome := ask(c, "two", fresh)
-		Expect(outcome.Answer.WeightVersion).To(Equal("v2"))
-		Expect(outcome.Answer.CachedTokens).To(BeZero())
+		Expect(outcome.Completion.WeightVersion).To(Equal("v2"))
+		Expect(outcome.Completion.CachedTokens).To(BeZero())
 	})
 
 	It("stays right when cache events are lost and late", func() {
-		c := start(cluster.Settings{Routers: 2, Engines: 2, Blocks: 64})
+		c := start(cluster.Settings{Routers: 2, Engines: 2, CacheBlocks: 64})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{EventLoss: 0.5, EventLagMillis: 200})).To(Succeed())
 		}
--- a/test/prove/config_test.go
+++ b/test/prove/config_test.go
@@ -121,9 +121,9 @@
 	It("reaches a zone that was cut off once it heals, and never reverts there", func() {
 		c := start(cluster.Settings{Routers: 6, Engines: 1})
 		watched := watchRevisions(c)
-		Expect(c.Cut(2, 5)).To(Succeed())
+		Expect(c.Partition(2, 5)).To(Succeed())
 		everywhere(c, change(c, 1.5))
-		Expect(c.Cut()).To(Succeed())
+		Expect(c.Partition()).To(Succeed())
 		everywhere(c, change(c, 1.6))
 		watched.expectNoneWentBack()
 	})
--- a/test/prove/drain_test.go
+++ b/test/prove/drain_test.go
@@ -86,12 +86,12 @@
 		for i := range settings.Workload.Tenants {
 			for _, kind := range []string{"radio", "cards"} {
 				name := fmt.Sprintf("%s-%d", kind, i)
-				_, err := c.Write(v1.KindTenant, name, &v1.TenantSpec{Tier: "gold", KeyHashes: []string{cluster.KeyHash(name)}, RequestsPerSecond: 10000, MaxConcurrent: 1000})
+				_, err := c.Write(v1.KindTenant, name, &v1.TenantSpec{Tier: "gold", KeyHashes: []string{cluster.APIKeyHash(name)}, RequestsPerSecond: 10000, MaxConcurrent: 1000})
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
 		for _, model := range []string{"penyiar-lm", "llm-examen"} {
-			_, err := c.Write(v1.KindModel, model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: cluster.Weights})
+			_, err := c.Write(v1.KindModel, model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: cluster.InitialWeightVersion})
 			Expect(err).NotTo(HaveOccurred())
 		}
 		await("the models are served", func() bool {
@@ -152,9 +152,9 @@
 		expectAllExact(made, outcomes)
 		late := 0
 		for _, outcome := range outcomes {
-			if outcome.Sent.Sub(left) > noWorkAfter {
+			if outcome.SentAt.Sub(left) > noWorkAfter {
 				late++
-				Expect(outcome.Runner).NotTo(Equal(c.Engines[0].Runner), "work sent %s after the engine left", outcome.Sent.Sub(left))
+				Expect(outcome.Runner).NotTo(Equal(c.Engines[0].RunnerName), "work sent %s after the engine left", outcome.SentAt.Sub(left))
 			}
 		}
 		Expect(late).To(BeNumerically(">", 60))
--- a/test/prove/fence_test.go
+++ b/test/prove/fence_test.go
@@ -53,11 +53,11 @@
 
 var _ = Describe(promises[6], func() {
 	It("lets a woken holder of a lapsed lease do no harm", func() {
-		c := start(cluster.Settings{Routers: 4, Engines: 4, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := start(cluster.Settings{Routers: 4, Engines: 4, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
 		await("a lease is held", func() bool { spec, _ := holder(c); return spec.Holder != "" })
 		before, _ := holder(c)
 		frozen := routerNamed(c, before.Holder)
-		frozen.Freeze()
+		frozen.Pause()
 		await("another node holds the lease", func() bool {
 			now, _ := holder(c)
 			return now.Holder != before.Holder && now.Term > before.Term
@@ -78,8 +78,8 @@
 			}
 			return false
 		})
-		frozen.Thaw()
-		await("the woken router follows", func() bool { return c.Settled() })
+		frozen.Resume()
+		await("the woken router follows", func() bool { return c.Ready() })
 		Consistently(func() int { return served(c, "v2") }).WithTimeout(time.Second).Should(Equal(len(c.Engines)))
 	})
 
@@ -95,7 +95,7 @@
 	})
 
 	It("keeps loads and serving runners within the pool's limits", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 6, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := start(cluster.Settings{Routers: 3, Engines: 6, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
 		running := startTraffic(c, 8, func(i int) int { return i % 3 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -18,7 +18,7 @@
 	GinkgoHelper()
 	for i, call := range made {
 		expectTruth(c, call, outcomes[i])
-		Expect(c.RunsOf(call.Prompt)).To(BeNumerically("<=", 1), "runs of call %d", i)
+		Expect(c.RunCount(call.Prompt)).To(BeNumerically("<=", 1), "runs of call %d", i)
 	}
 }
 
@@ -115,7 +115,7 @@
 		for _, router := range c.Routers {
 			Expect(router.Start()).To(Succeed())
 		}
-		await("the routers serve", c.Settled)
+		await("the routers serve", c.Ready)
 		again := each(c, made, func(i int) int { return i % 3 })
 		expectAtMostOnce(c, made, again)
 		for _, outcome := range again {
@@ -125,13 +125,13 @@
 			call := holds(1)[0]
 			outcome := c.Do(context.Background(), 0, call)
 			expectAtMostOnce(c, []cluster.Call{call}, []cluster.Outcome{outcome})
-			return cluster.Exact(call, outcome)
+			return cluster.HasExpectedText(call, outcome)
 		})
 	})
 
 	It("refuses honestly on the cut-off side and serves on the other", func() {
 		c := start(cluster.Settings{Routers: 3, Engines: 3})
-		Expect(c.Cut(2)).To(Succeed())
+		Expect(c.Partition(2)).To(Succeed())
 		made := holds(10)
 		alone := each(c, made, func(int) int { return 2 })
 		for _, outcome := range alone {
@@ -144,12 +144,12 @@
 		outcomes := each(c, fresh, func(i int) int { return i % 2 })
 		expectAtMostOnce(c, fresh, outcomes)
 		for i, outcome := range outcomes {
-			Expect(cluster.Exact(fresh[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
+			Expect(cluster.HasExpectedText(fresh[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		}
-		Expect(c.Cut()).To(Succeed())
+		Expect(c.Partition()).To(Succeed())
 		await("the cut-off router takes new keys", func() bool {
 			call := holds(1)[0]
-			return cluster.Exact(call, c.Do(context.Background(), 2, call))
+			return cluster.HasExpectedText(call, c.Do(context.Background(), 2, call))
 		})
 	})
 
@@ -161,7 +161,7 @@
 			outcome := c.Do(context.Background(), (i+1)%3, call)
 			Expect(outcome.Status).To(Equal(409))
 			Expect(outcome.RunState).To(Equal("unknown"))
-			Expect(outcome.Took).To(BeNumerically("<", time.Second))
+			Expect(outcome.Elapsed).To(BeNumerically("<", time.Second))
 		}
 		expectAtMostOnce(c, made, make([]cluster.Outcome, len(made)))
 	})
@@ -190,7 +190,7 @@
 			number := c.Status(0).Assignment
 			c.Routers[victim].Kill()
 			Expect(c.Routers[victim].Start()).To(Succeed())
-			await("the routers are whole", c.Settled)
+			await("the routers are whole", c.Ready)
 			Expect(c.Status(0).Assignment).To(BeNumerically(">=", number))
 			await("a new key that two routers get at once is taken", func() bool {
 				call := holds(1)[0]
--- a/test/prove/restart_test.go
+++ b/test/prove/restart_test.go
@@ -23,8 +23,8 @@
 		call := calls(1)[0]
 		outcome := c.Do(context.Background(), router, call)
 		if outcome.Complete() {
-			Expect(cluster.Exact(call, outcome)).To(BeTrue())
-			return time.Since(begun) - outcome.Took + outcome.Answer.FirstToken, refusals
+			Expect(cluster.HasExpectedText(call, outcome)).To(BeTrue())
+			return time.Since(begun) - outcome.Elapsed + outcome.Completion.FirstToken, refusals
 		}
 		if outcome.Status != 0 {
 			refusals++
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -13,9 +13,9 @@
 func expectAllExact(made []cluster.Call, outcomes []cluster.Outcome) {
 	GinkgoHelper()
 	for i, outcome := range outcomes {
-		Expect(outcome.Error).NotTo(HaveOccurred())
-		Expect(outcome.Complete()).To(BeTrue(), "call %d: status %d %s %s after %d chunks", i, outcome.Status, outcome.Code, outcome.RunState, outcome.Answer.Chunks)
-		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(made[i], outcome.Answer.WeightVersion)))
+		Expect(outcome.Err).NotTo(HaveOccurred())
+		Expect(outcome.Complete()).To(BeTrue(), "call %d: status %d %s %s after %d chunks", i, outcome.Status, outcome.Code, outcome.RunState, outcome.Completion.Chunks)
+		Expect(outcome.Completion.Text).To(Equal(cluster.ExpectedText(made[i], outcome.Completion.WeightVersion)))
 	}
 }
 
@@ -54,9 +54,9 @@
 		finished := make(chan []cluster.Outcome)
 		go func() { finished <- each(c, made, func(i int) int { return i % 3 }) }()
 		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
-		c.Engines[1].Freeze()
+		c.Engines[1].Pause()
 		outcomes := <-finished
-		c.Engines[1].Thaw()
+		c.Engines[1].Resume()
 		expectAllExact(made, outcomes)
 		more := calls(20)
 		expectAllExact(more, each(c, more, func(i int) int { return i % 3 }))
@@ -68,7 +68,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		gone := make(chan cluster.Outcome)
 		go func() { gone <- c.Do(ctx, 0, call) }()
-		await("the request has begun", func() bool { return c.RunsOf(call.Prompt) == 1 })
+		await("the request has begun", func() bool { return c.RunCount(call.Prompt) == 1 })
 		cancel()
 		<-gone
 		await("the engine is idle", func() bool {
--- a/test/prove/suite_test.go
+++ b/test/prove/suite_test.go
@@ -47,13 +47,13 @@
 	c, err := cluster.New(binaries, logs, settings)
 	DeferCleanup(c.Close)
 	Expect(err).NotTo(HaveOccurred())
-	await("the cluster is whole", c.Settled)
+	await("the cluster is whole", c.Ready)
 	return c
 }
 
 func await(what string, condition func() bool) {
 	GinkgoHelper()
-	Expect(cluster.Await(settleTime, condition)).To(BeTrue(), "gave up waiting until %s", what)
+	Expect(cluster.WaitFor(settleTime, condition)).To(BeTrue(), "gave up waiting until %s", what)
 }
 
 // background returns a context that ends with the test.
@@ -67,7 +67,7 @@
 func calls(count int) []cluster.Call {
 	made := make([]cluster.Call, count)
 	for i := range made {
-		made[i] = cluster.Call{Tenant: "one", Prompt: shared + fmt.Sprintf("question %d of %s", i, cluster.NewKey()), MaxTokens: 60}
+		made[i] = cluster.Call{Tenant: "one", Prompt: shared + fmt.Sprintf("question %d of %s", i, cluster.NewIdempotencyKey()), MaxTokens: 60}
 	}
 	return made
 }
@@ -78,7 +78,7 @@
 func holds(count int) []cluster.Call {
 	made := calls(count)
 	for i := range made {
-		made[i].Key = cluster.NewKey()
+		made[i].IdempotencyKey = cluster.NewIdempotencyKey()
 	}
 	return made
 }
@@ -106,10 +106,10 @@
 func expectTruth(c *cluster.Cluster, call cluster.Call, outcome cluster.Outcome) {
 	GinkgoHelper()
 	if outcome.Complete() {
-		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(call, outcome.Answer.WeightVersion)))
+		Expect(outcome.Completion.Text).To(Equal(cluster.ExpectedText(call, outcome.Completion.WeightVersion)))
 	}
-	if outcome.RunState == "not_run" && call.Key != "" {
-		Expect(c.RunsOf(call.Prompt)).To(BeZero(), "said not run")
+	if outcome.RunState == "not_run" && call.IdempotencyKey != "" {
+		Expect(c.RunCount(call.Prompt)).To(BeZero(), "said not run")
 	}
 }
 
