--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -71,7 +71,7 @@
 	settings := platformserver.DefaultSettings()
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
 	subcommand.Duration(&settings.LoadTime, "", "load-time", "How long one load of weights takes.")
-	subcommand.Int(&settings.LoadsAtOnce, "", "loads-at-once", "How many loads run at full speed.")
+	subcommand.Int(&settings.ConcurrentLoads, "", "loads-at-once", "How many loads run at full speed.")
 	return command{subcommand, func(ctx context.Context) error {
 		listener, err := net.Listen("tcp", listen)
 		if err != nil {
--- a/internal/lab/cluster/calls.go
+++ b/internal/lab/cluster/calls.go
@@ -120,5 +120,5 @@
 // RunCount returns how often engines started to run a prompt. The platform process keeps the
 // count, so that it survives the engines.
 func (c *Cluster) RunCount(prompt string) int {
-	return c.Platform.Runs()[engineserver.PromptDigest(prompt)]
+	return c.Platform.RunCounts()[engineserver.PromptDigest(prompt)]
 }
--- a/internal/lab/platformserver/server.go
+++ b/internal/lab/platformserver/server.go
@@ -13,7 +13,8 @@
 	"github.com/clovertiller/clovertiller/internal/platform"
 )
 
-// Paths of the stand-in beside the object API.
+// Paths of the control interface for tests and of the weight store. They are served in addition
+// to the paths of the object API.
 const (
 	PathFaults   = "/lab/faults"
 	PathCounters = "/lab/counters"
@@ -22,100 +23,107 @@
 	PathWeights  = "/weights/"
 )
 
-// Sizes and times of the stand-in.
+// Intervals and limits of the server.
 const (
+	// bookmarkInterval is the maximum time between two batches of a watch; a batch without
+	// changes is a bookmark.
 	bookmarkInterval = time.Second
 	maxBodyBytes     = 1 << 20
 )
 
-// Settings are the weight store's speed.
+// Settings configures the speed of the weight store.
 type Settings struct {
-	// LoadTime is how long one load takes.
+	// LoadTime is how long a load takes at full speed.
 	LoadTime time.Duration
-	// LoadsAtOnce is how many loads run at full speed.
-	LoadsAtOnce int
+	// ConcurrentLoads is the number of concurrent loads up to which each runs at full speed.
+	// More loads share that throughput.
+	ConcurrentLoads int
 }
 
-// DefaultSettings returns the weight store of the larger of today's deployments.
+// DefaultSettings returns the speed of the weight store in the larger of the users' two current
+// deployments.
 func DefaultSettings() Settings {
-	return Settings{LoadTime: 500 * time.Millisecond, LoadsAtOnce: 3}
+	return Settings{LoadTime: 500 * time.Millisecond, ConcurrentLoads: 3}
 }
 
-// Server is the stand-in.
+// Server is a simulated platform.
 type Server struct {
-	settings Settings
-	store    *store
-	loading  atomic.Int64
-	// mostLoading is the highest number of loads seen at once.
-	mostLoading atomic.Int64
-	listener    net.Listener
-	http        *http.Server
+	settings    Settings
+	store       *store
+	activeLoads atomic.Int64
+	// maxActiveLoads is the highest value of activeLoads so far.
+	maxActiveLoads atomic.Int64
+	listener       net.Listener
+	http           *http.Server
 }
 
-// Start serves the stand-in on the listener until Close.
+// Start serves the platform's API on the listener until Close.
 func Start(listener net.Listener, settings Settings) *Server {
 	s := &Server{settings: settings, store: newStore(), listener: listener}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+platform.PathObjects, s.api(s.handleList))
-	mux.HandleFunc("GET "+platform.PathObjects+"/{kind}/{name}", s.api(s.handleGet))
-	mux.HandleFunc("PUT "+platform.PathObjects+"/{kind}/{name}", s.api(s.handlePut))
-	mux.HandleFunc("DELETE "+platform.PathObjects+"/{kind}/{name}", s.api(s.handleDelete))
-	mux.HandleFunc("PUT "+platform.PathStatus+"/{kind}/{name}", s.api(s.handleStatus))
-	mux.HandleFunc("GET "+platform.PathWatch, s.api(s.handleWatch))
+	mux.HandleFunc("GET "+platform.PathObjects, s.withFaults(s.handleList))
+	mux.HandleFunc("GET "+platform.PathObjects+"/{kind}/{name}", s.withFaults(s.handleGet))
+	mux.HandleFunc("PUT "+platform.PathObjects+"/{kind}/{name}", s.withFaults(s.handlePut))
+	mux.HandleFunc("DELETE "+platform.PathObjects+"/{kind}/{name}", s.withFaults(s.handleDelete))
+	mux.HandleFunc("PUT "+platform.PathStatus+"/{kind}/{name}", s.withFaults(s.handleStatus))
+	mux.HandleFunc("GET "+platform.PathWatch, s.withFaults(s.handleWatch))
 	mux.HandleFunc("POST "+PathFaults, s.handleFaults)
 	mux.HandleFunc("GET "+PathCounters, s.handleCounters)
 	mux.HandleFunc("POST "+PathMachines, s.handleMachines)
-	mux.HandleFunc("POST "+PathRuns, s.handleRun)
-	mux.HandleFunc("GET "+PathRuns, s.handleRuns)
+	mux.HandleFunc("POST "+PathRuns, s.handleRunReport)
+	mux.HandleFunc("GET "+PathRuns, s.handleRunCounts)
 	mux.HandleFunc("GET "+PathWeights+"{source}", s.handleWeights)
 	s.http = &http.Server{Handler: mux}
 	go s.http.Serve(listener)
 	return s
 }
 
-// Address returns the stand-in's IP:port.
+// Address returns the server's IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops the stand-in at once.
+// Close stops the server and closes all connections immediately.
 func (s *Server) Close() { s.http.Close() }
 
-// SetFaults replaces the fault settings.
+// SetFaults replaces the fault settings of the platform.
 func (s *Server) SetFaults(faults Faults) { s.store.setFaults(faults) }
 
-// Counters returns the counts of readers and writers.
+// Counters returns the number of requests per operation so far.
 func (s *Server) Counters() Counters {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
 	return s.store.counters
 }
 
-// SetMachine changes the machine list, visible after the lag.
+// SetMachine adds or replaces a machine of the machine list. The change becomes visible after
+// Faults.MachineLagMillis.
 func (s *Server) SetMachine(name string, spec v1.MachineSpec) {
 	encoded, _ := json.Marshal(spec)
 	s.store.setMachine(v1.Object{Kind: v1.KindMachine, Name: name, Spec: encoded})
 }
 
-// RemoveMachine takes a machine off the list, visible after the lag.
+// RemoveMachine removes a machine from the machine list. The change becomes visible after
+// Faults.MachineLagMillis.
 func (s *Server) RemoveMachine(name string) {
 	s.store.setMachine(v1.Object{Kind: v1.KindMachine, Name: name, Deleted: true})
 }
 
-// Runs returns how often each prompt was run, by the prompt's digest.
-func (s *Server) Runs() map[string]int {
+// RunCounts returns how often engines reported the start of a run, by prompt digest.
+func (s *Server) RunCounts() map[string]int {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
-	runs := make(map[string]int, len(s.store.runs))
-	for prompt, count := range s.store.runs {
-		runs[prompt] = count
+	counts := make(map[string]int, len(s.store.runCounts))
+	for digest, count := range s.store.runCounts {
+		counts[digest] = count
 	}
-	return runs
+	return counts
 }
 
-// MostLoading returns the highest number of weight loads seen at once.
-func (s *Server) MostLoading() int { return int(s.mostLoading.Load()) }
+// MaxActiveLoads returns the highest number of concurrent weight loads so far.
+func (s *Server) MaxActiveLoads() int { return int(s.maxActiveLoads.Load()) }
 
-// api applies the fault settings to a handler of the object API.
-func (s *Server) api(handler http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler of the object API so that it is delayed or fails as the fault
+// settings say.
+func (s *Server) withFaults(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		faults := s.store.currentFaults()
 		if faults.SlowMillis > 0 {
@@ -129,27 +137,27 @@
 	}
 }
 
-func keyOf(request *http.Request) v1.Key {
+func objectKey(request *http.Request) v1.Key {
 	return v1.Key{Kind: v1.Kind(request.PathValue("kind")), Name: request.PathValue("name")}
 }
 
-func reply(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	json.NewEncoder(writer).Encode(body)
 }
 
 func (s *Server) handleList(writer http.ResponseWriter, _ *http.Request) {
-	reply(writer, http.StatusOK, s.store.list())
+	writeJSON(writer, http.StatusOK, s.store.list())
 }
 
 func (s *Server) handleGet(writer http.ResponseWriter, request *http.Request) {
-	object, found := s.store.get(keyOf(request))
+	object, found := s.store.get(objectKey(request))
 	if !found {
 		http.Error(writer, "not found", http.StatusNotFound)
 		return
 	}
-	reply(writer, http.StatusOK, object)
+	writeJSON(writer, http.StatusOK, object)
 }
 
 func (s *Server) handlePut(writer http.ResponseWriter, request *http.Request) {
@@ -158,17 +166,17 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	key := keyOf(request)
+	key := objectKey(request)
 	object.Kind, object.Name, object.Deleted = key.Kind, key.Name, false
 	stored, accepted := s.store.put(object)
-	if s.store.takeLostAnswer() {
+	if s.store.consumeLostResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	if !accepted {
-		reply(writer, http.StatusConflict, stored)
+		writeJSON(writer, http.StatusConflict, stored)
 		return
 	}
-	reply(writer, http.StatusOK, stored)
+	writeJSON(writer, http.StatusOK, stored)
 }
 
 func (s *Server) handleDelete(writer http.ResponseWriter, request *http.Request) {
@@ -177,17 +185,17 @@
 		http.Error(writer, "version: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	found, matched := s.store.delete(keyOf(request), version)
-	if s.store.takeLostAnswer() {
+	found, versionMatched := s.store.delete(objectKey(request), version)
+	if s.store.consumeLostResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
 	case !found:
 		http.Error(writer, "not found", http.StatusNotFound)
-	case !matched:
+	case !versionMatched:
 		http.Error(writer, "conflict", http.StatusConflict)
 	default:
-		reply(writer, http.StatusOK, struct{}{})
+		writeJSON(writer, http.StatusOK, struct{}{})
 	}
 }
 
@@ -197,11 +205,11 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.store.putStatus(keyOf(request), status) {
+	if !s.store.putStatus(objectKey(request), status) {
 		http.Error(writer, "not found", http.StatusNotFound)
 		return
 	}
-	reply(writer, http.StatusOK, struct{}{})
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
@@ -213,17 +221,17 @@
 	s.store.mutex.Lock()
 	s.store.counters.Watches++
 	s.store.mutex.Unlock()
-	bookmark := time.NewTicker(bookmarkInterval)
-	defer bookmark.Stop()
+	bookmarks := time.NewTicker(bookmarkInterval)
+	defer bookmarks.Stop()
 	encoder := json.NewEncoder(writer)
 	started := false
 	for {
-		batch, changed, kept := s.store.since(revision)
-		if !kept && !started {
+		batch, changed, available := s.store.changesSince(revision)
+		if !available && !started {
 			http.Error(writer, "gone", http.StatusGone)
 			return
 		}
-		if !kept || s.store.currentFaults().Down {
+		if !available || s.store.currentFaults().Down {
 			return
 		}
 		started = true
@@ -234,7 +242,7 @@
 		revision = max(revision, batch.Revision)
 		select {
 		case <-changed:
-		case <-bookmark.C:
+		case <-bookmarks.C:
 		case <-request.Context().Done():
 			return
 		}
@@ -248,11 +256,11 @@
 		return
 	}
 	s.store.setFaults(faults)
-	reply(writer, http.StatusOK, faults)
+	writeJSON(writer, http.StatusOK, faults)
 }
 
 func (s *Server) handleCounters(writer http.ResponseWriter, _ *http.Request) {
-	reply(writer, http.StatusOK, s.Counters())
+	writeJSON(writer, http.StatusOK, s.Counters())
 }
 
 func (s *Server) handleMachines(writer http.ResponseWriter, request *http.Request) {
@@ -263,34 +271,35 @@
 	}
 	object.Kind = v1.KindMachine
 	s.store.setMachine(object)
-	reply(writer, http.StatusOK, object)
+	writeJSON(writer, http.StatusOK, object)
 }
 
-func (s *Server) handleRun(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleRunReport(writer http.ResponseWriter, request *http.Request) {
 	digest, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.store.countRun(string(digest))
-	reply(writer, http.StatusOK, struct{}{})
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-func (s *Server) handleRuns(writer http.ResponseWriter, _ *http.Request) {
-	reply(writer, http.StatusOK, s.Runs())
+func (s *Server) handleRunCounts(writer http.ResponseWriter, _ *http.Request) {
+	writeJSON(writer, http.StatusOK, s.RunCounts())
 }
 
-// handleWeights takes the time of a load, longer when too many run at once.
+// handleWeights responds after the time that a load takes, which grows in proportion to the
+// number of concurrent loads above Settings.ConcurrentLoads.
 func (s *Server) handleWeights(writer http.ResponseWriter, request *http.Request) {
-	active := s.loading.Add(1)
-	defer s.loading.Add(-1)
-	for most := s.mostLoading.Load(); active > most && !s.mostLoading.CompareAndSwap(most, active); most = s.mostLoading.Load() {
+	current := s.activeLoads.Add(1)
+	defer s.activeLoads.Add(-1)
+	for highest := s.maxActiveLoads.Load(); current > highest && !s.maxActiveLoads.CompareAndSwap(highest, current); highest = s.maxActiveLoads.Load() {
 	}
-	slowdown := max(float64(active)/float64(max(s.settings.LoadsAtOnce, 1)), 1)
+	slowdown := max(float64(current)/float64(max(s.settings.ConcurrentLoads, 1)), 1)
 	select {
 	case <-time.After(time.Duration(float64(s.settings.LoadTime) * slowdown)):
 	case <-request.Context().Done():
 		return
 	}
-	reply(writer, http.StatusOK, struct{}{})
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
--- a/internal/lab/platformserver/store.go
+++ b/internal/lab/platformserver/store.go
@@ -1,6 +1,6 @@
-// Package platformserver is a stand-in for the platform: an object API with
-// versions and watches, a machine list with a lag, a rate-limited weight store,
-// and fault settings. It is for tests, demonstrations and experiments only.
+// Package platformserver is a simulated platform: an object API with versions and watches, a
+// machine list with configurable lag, a weight store of limited throughput, and fault injection.
+// It is for tests, demonstrations and experiments only.
 package platformserver
 
 import (
@@ -11,26 +11,28 @@
 	"github.com/clovertiller/clovertiller/internal/platform"
 )
 
-// maxLog bounds the changes kept for watches; older revisions are gone.
-const maxLog = 5000
+// maxHistory is the maximum number of changes kept for watches. A watch from an older revision
+// fails with 410 Gone.
+const maxHistory = 5000
 
-// Faults are the settings by which tests make the platform fail.
+// Faults are the faults that the platform simulates.
 type Faults struct {
-	// Down makes every call fail.
+	// Down makes every request to the object API fail with status 503.
 	Down bool `json:"down"`
-	// SlowMillis delays every answer.
+	// SlowMillis delays every response of the object API, in milliseconds.
 	SlowMillis int `json:"slow_millis"`
-	// LoseAnswers is how many further writes take effect without an answer.
-	LoseAnswers int `json:"lose_answers"`
-	// Stale makes reads serve the state at StaleRevision, or, when that is 0, at
-	// the time the fault was set.
+	// LoseResponses is how many of the next writes are executed without a response: the
+	// connection is aborted instead.
+	LoseResponses int `json:"lose_answers"`
+	// Stale makes lists and watches serve the state at StaleRevision or, if that is 0, the
+	// state at the time when the fault was set.
 	Stale         bool   `json:"stale"`
 	StaleRevision uint64 `json:"stale_revision"`
-	// MachineLagMillis delays the visibility of machine list changes.
+	// MachineLagMillis delays the visibility of machine list changes, in milliseconds.
 	MachineLagMillis int `json:"machine_lag_millis"`
 }
 
-// Counters count the platform's readers.
+// Counters holds the number of requests per operation of the object API.
 type Counters struct {
 	Lists   int `json:"lists"`
 	Gets    int `json:"gets"`
@@ -38,31 +40,35 @@
 	Writes  int `json:"writes"`
 }
 
-// store is the object store behind the API.
+// store is the versioned object store behind the API.
 type store struct {
 	mutex    sync.Mutex
 	revision uint64
 	objects  map[v1.Key]v1.Object
-	log      []v1.Object
-	logStart uint64
-	// changed is closed and replaced on every change, to wake watches.
-	changed  chan struct{}
-	faults   Faults
-	stale    *platform.List
-	counters Counters
-	runs     map[string]int
+	// history holds the latest changes in order of their revisions.
+	history []v1.Object
+	// historyStart is the revision of the last change that was removed from history.
+	historyStart uint64
+	// changed is closed and replaced on every change, which notifies the watches.
+	changed chan struct{}
+	faults  Faults
+	// staleList is the state that is served while Faults.Stale is set, else nil.
+	staleList *platform.List
+	counters  Counters
+	// runCounts holds the number of runs by prompt digest.
+	runCounts map[string]int
 }
 
 func newStore() *store {
-	return &store{objects: map[v1.Key]v1.Object{}, changed: make(chan struct{}), runs: map[string]int{}}
+	return &store{objects: map[v1.Key]v1.Object{}, changed: make(chan struct{}), runCounts: map[string]int{}}
 }
 
 func (s *store) list() platform.List {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counters.Lists++
-	if s.stale != nil {
-		return *s.stale
+	if s.staleList != nil {
+		return *s.staleList
 	}
 	return s.currentList()
 }
@@ -75,13 +81,14 @@
 	return list
 }
 
-// listAt returns the state at a revision, made from the log; 0 means now.
+// listAt returns the state at a revision, reconstructed from the history. Revision 0 means the
+// current state.
 func (s *store) listAt(revision uint64) platform.List {
 	if revision == 0 {
 		return s.currentList()
 	}
 	objects := map[v1.Key]v1.Object{}
-	for _, object := range s.log {
+	for _, object := range s.history {
 		if object.Version > revision {
 			break
 		}
@@ -106,7 +113,9 @@
 	return object, found
 }
 
-// put stores the object if its version matches; 0 means that it must not exist.
+// put stores the object if its version is that of the stored one; version 0 means that there
+// must be no stored one. It returns the stored object and true, or the conflicting object and
+// false.
 func (s *store) put(object v1.Object) (v1.Object, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,7 +128,7 @@
 	return s.commit(object), true
 }
 
-func (s *store) delete(key v1.Key, version uint64) (found, matched bool) {
+func (s *store) delete(key v1.Key, version uint64) (found, versionMatched bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counters.Writes++
@@ -134,7 +143,7 @@
 	return true, true
 }
 
-// commit gives the object the next revision and logs it.
+// commit applies a change of an object under the next revision and adds it to the history.
 func (s *store) commit(object v1.Object) v1.Object {
 	s.revision++
 	object.Version = s.revision
@@ -143,10 +152,10 @@
 	} else {
 		s.objects[object.Key()] = object
 	}
-	s.log = append(s.log, object)
-	if len(s.log) > maxLog {
-		s.logStart = s.log[0].Version
-		s.log = append([]v1.Object(nil), s.log[1:]...)
+	s.history = append(s.history, object)
+	if len(s.history) > maxHistory {
+		s.historyStart = s.history[0].Version
+		s.history = append([]v1.Object(nil), s.history[1:]...)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -165,19 +174,19 @@
 	return true
 }
 
-// since returns the changes after the revision and a channel that is closed on
-// the next one, or false when the revision is no longer in the log.
-func (s *store) since(revision uint64) (platform.WatchBatch, <-chan struct{}, bool) {
+// changesSince returns the changes after the revision and a channel that is closed on the next
+// change. It returns false if the history doesn't reach back to the revision.
+func (s *store) changesSince(revision uint64) (platform.WatchBatch, <-chan struct{}, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if revision < s.logStart {
+	if revision < s.historyStart {
 		return platform.WatchBatch{}, nil, false
 	}
-	if s.stale != nil {
-		return platform.WatchBatch{Revision: min(revision, s.stale.Revision)}, s.changed, true
+	if s.staleList != nil {
+		return platform.WatchBatch{Revision: min(revision, s.staleList.Revision)}, s.changed, true
 	}
 	batch := platform.WatchBatch{Revision: s.revision}
-	for _, object := range s.log {
+	for _, object := range s.history {
 		if object.Version > revision {
 			batch.Objects = append(batch.Objects, object)
 		}
@@ -185,16 +194,16 @@
 	return batch, s.changed, true
 }
 
-// setFaults replaces the fault settings.
+// setFaults replaces the fault settings and notifies the watches.
 func (s *store) setFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if faults.Stale && s.stale == nil {
+	if faults.Stale && s.staleList == nil {
 		list := s.listAt(faults.StaleRevision)
-		s.stale = &list
+		s.staleList = &list
 	}
 	if !faults.Stale {
-		s.stale = nil
+		s.staleList = nil
 	}
 	s.faults = faults
 	close(s.changed)
@@ -207,18 +216,19 @@
 	return s.faults
 }
 
-// takeLostAnswer tells whether this write's answer is to be lost.
-func (s *store) takeLostAnswer() bool {
+// consumeLostResponse reports whether the response to the current write is to be lost, and
+// counts it if so.
+func (s *store) consumeLostResponse() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.faults.LoseAnswers == 0 {
+	if s.faults.LoseResponses == 0 {
 		return false
 	}
-	s.faults.LoseAnswers--
+	s.faults.LoseResponses--
 	return true
 }
 
-// setMachine changes the machine list; the change shows after the lag.
+// setMachine applies a change of the machine list after the configured lag.
 func (s *store) setMachine(object v1.Object) {
 	apply := func() {
 		s.mutex.Lock()
@@ -233,9 +243,9 @@
 	time.AfterFunc(lag, apply)
 }
 
-// countRun notes that an engine began to run a prompt.
-func (s *store) countRun(prompt string) {
+// countRun counts the start of a run of the prompt with this digest.
+func (s *store) countRun(digest string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.runs[prompt]++
+	s.runCounts[digest]++
 }
--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -55,7 +55,7 @@
 		made := calls(200)
 		finished := make(chan []cluster.Outcome)
 		go func() { finished <- each(c, made, func(i int) int { return i % 2 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 10 })
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 10 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
 		expectAllExact(made, <-finished)
--- a/test/prove/config_test.go
+++ b/test/prove/config_test.go
@@ -171,7 +171,7 @@
 		key := v1.Key{Kind: v1.KindPool, Name: cluster.Pool}
 		current, err := c.Client.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
-		c.Platform.SetFaults(platformserver.Faults{LoseAnswers: 1})
+		c.Platform.SetFaults(platformserver.Faults{LoseResponses: 1})
 		stored, err := c.Write(v1.KindPool, cluster.Pool, &v1.PoolSpec{MaxLoading: 1, HitWeight: 4})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stored.Version).To(BeNumerically(">", current.Version))
--- a/test/prove/fence_test.go
+++ b/test/prove/fence_test.go
@@ -53,7 +53,7 @@
 
 var _ = Describe(promises[6], func() {
 	It("lets a woken holder of a lapsed lease do no harm", func() {
-		c := start(cluster.Settings{Routers: 4, Engines: 4, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := start(cluster.Settings{Routers: 4, Engines: 4, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, ConcurrentLoads: 2}})
 		await("a lease is held", func() bool { spec, _ := holder(c); return spec.Holder != "" })
 		before, _ := holder(c)
 		frozen := routerNamed(c, before.Holder)
@@ -95,7 +95,7 @@
 	})
 
 	It("keeps loads and serving runners within the pool's limits", func() {
-		c := start(cluster.Settings{Routers: 3, Engines: 6, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := start(cluster.Settings{Routers: 3, Engines: 6, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, ConcurrentLoads: 2}})
 		running := startTraffic(c, 8, func(i int) int { return i % 3 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
@@ -109,7 +109,7 @@
 		})
 		made, outcomes := running.finish()
 		expectAllExact(made, outcomes)
-		Expect(c.Platform.MostLoading()).To(BeNumerically("<=", 2))
+		Expect(c.Platform.MaxActiveLoads()).To(BeNumerically("<=", 2))
 		Expect(fewest).To(BeNumerically(">=", 3), "half of the pool must keep serving")
 	})
 })
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -72,7 +72,7 @@
 			outcomes = each(c, made, func(i int) int { return i % 3 })
 			close(finished)
 		}()
-		await("a hold has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("a hold has begun", func() bool { return len(c.Platform.RunCounts()) > 0 })
 		c.Engines[0].Kill()
 		<-finished
 		expectAtMostOnce(c, made, outcomes)
@@ -97,7 +97,7 @@
 				first[i] = c.Do(context.Background(), 0, call)
 			}()
 		}
-		await("a hold has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("a hold has begun", func() bool { return len(c.Platform.RunCounts()) > 0 })
 		c.Routers[0].Kill()
 		group.Wait()
 		second := each(c, made, func(i int) int { return 1 + i%2 })
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -43,7 +43,7 @@
 		made := calls(60)
 		finished := make(chan []cluster.Outcome)
 		go func() { finished <- each(c, made, func(i int) int { return i % 3 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 20 })
 		c.Engines[0].Kill()
 		expectAllExact(made, <-finished)
 	})
@@ -53,7 +53,7 @@
 		made := calls(60)
 		finished := make(chan []cluster.Outcome)
 		go func() { finished <- each(c, made, func(i int) int { return i % 3 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 20 })
 		c.Engines[1].Pause()
 		outcomes := <-finished
 		c.Engines[1].Resume()
