--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -89,7 +89,7 @@
 	listen := "127.0.0.1:0"
 	settings := engineserver.Settings{Engine: enginemodel.DefaultSettings()}
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
-	subcommand.String(&settings.Platform, "", "platform", "IP:port of the platform stand-in, for weights.")
+	subcommand.String(&settings.PlatformAddress, "", "platform", "IP:port of the platform stand-in, for weights.")
 	subcommand.String(&settings.Model, "m", "model", "Model loaded from the start.")
 	subcommand.String(&settings.WeightVersion, "w", "weights", "Weight version loaded from the start.")
 	subcommand.Int(&settings.Engine.CapacityBlocks, "", "blocks", "Size of the cache in blocks.")
--- a/internal/lab/engineserver/orders.go
+++ b/internal/lab/engineserver/orders.go
@@ -7,10 +7,10 @@
 	"github.com/clovertiller/clovertiller/internal/lab/platformserver"
 )
 
-// handleOrder takes a fenced order.
+// handleOrder executes an order that carries a fencing token.
 //
-// Invariant: the highest token seen never decreases, and an order with a lower
-// one changes nothing.
+// Invariant: fencingToken, the highest token received so far, never decreases, and an order with
+// a lower token has no effect.
 func (s *Server) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var order engineapi.Order
 	if !readJSON(writer, request, &order) {
@@ -18,16 +18,16 @@
 	}
 	s.waitWhileFrozen()
 	s.mutex.Lock()
-	if order.Token < s.token {
-		token := s.token
+	if order.Token < s.fencingToken {
+		token := s.fencingToken
 		s.mutex.Unlock()
 		writeJSON(writer, http.StatusConflict, engineapi.Refusal{Code: engineapi.CodeStaleToken, Message: "a newer token was seen", Token: token})
 		return
 	}
-	s.token = order.Token
+	s.fencingToken = order.Token
 	switch order.Kind {
 	case engineapi.OrderLoadWeights:
-		if s.state == engineapi.StateServing && (s.model != order.Model || s.version != order.WeightVersion) {
+		if s.state == engineapi.StateServing && (s.model != order.Model || s.weightVersion != order.WeightVersion) {
 			s.state = engineapi.StateLoading
 			go s.loadWeights(order)
 		}
@@ -39,16 +39,17 @@
 		s.role = order.Role
 	}
 	s.mutex.Unlock()
-	s.publisher.tell()
+	s.publisher.publishNow()
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// loadWeights finishes the running work, reads the weights from the store, and
-// starts serving them with an empty cache.
+// loadWeights waits until the running requests have finished, loads the weights from the weight
+// store and then serves them with an empty cache. If the load fails, the engine goes on to serve
+// the old weights.
 func (s *Server) loadWeights(order engineapi.Order) {
-	s.waitIdle()
-	if s.settings.Platform != "" {
-		response, err := http.Get("http://" + s.settings.Platform + platformserver.PathWeights + order.Source)
+	s.waitUntilIdle()
+	if s.settings.PlatformAddress != "" {
+		response, err := http.Get("http://" + s.settings.PlatformAddress + platformserver.PathWeights + order.Source)
 		if err != nil {
 			s.setState(engineapi.StateServing)
 			return
@@ -57,32 +58,33 @@
 	}
 	s.mutex.Lock()
 	s.engine.ClearCache()
-	s.model, s.version = order.Model, order.WeightVersion
+	s.model, s.weightVersion = order.Model, order.WeightVersion
 	if s.state == engineapi.StateLoading {
 		s.state = engineapi.StateServing
 	}
 	s.mutex.Unlock()
-	s.publisher.tell()
+	s.publisher.publishNow()
 }
 
-// waitIdle returns when no job is in the engine.
-func (s *Server) waitIdle() {
+// waitUntilIdle returns when all requests in the engine have finished or were canceled, or when
+// the engine stops.
+func (s *Server) waitUntilIdle() {
 	for {
 		s.mutex.Lock()
-		var next <-chan struct{}
-		for _, entry := range s.streams {
-			if !entry.finished && !entry.canceled {
-				next = entry.changed
+		var streamChanged <-chan struct{}
+		for _, stream := range s.streams {
+			if !stream.finished && !stream.canceled {
+				streamChanged = stream.changed
 				break
 			}
 		}
 		stopped := s.stopped
 		s.mutex.Unlock()
-		if next == nil || stopped {
+		if streamChanged == nil || stopped {
 			return
 		}
 		select {
-		case <-next:
+		case <-streamChanged:
 		case <-s.done:
 			return
 		}
@@ -93,5 +95,5 @@
 	s.mutex.Lock()
 	s.state = state
 	s.mutex.Unlock()
-	s.publisher.tell()
+	s.publisher.publishNow()
 }
--- a/internal/lab/engineserver/publisher.go
+++ b/internal/lab/engineserver/publisher.go
@@ -12,36 +12,39 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-// publisher gives each event a sequence and sends it, late and with losses, to
-// the readers of the event stream.
+// publisher numbers the cache events and sends them to the subscribers of the event stream, with
+// the lag and the losses that the fault settings demand.
 type publisher struct {
 	server *Server
 
-	mutex    sync.Mutex
-	sequence uint64
-	readers  map[chan []byte]struct{}
-	wake     chan struct{}
+	mutex       sync.Mutex
+	sequence    uint64
+	subscribers map[chan []byte]struct{}
+	// publishRequests makes run publish an event immediately.
+	publishRequests chan struct{}
 }
 
 func newPublisher(server *Server) *publisher {
-	return &publisher{server: server, readers: map[chan []byte]struct{}{}, wake: make(chan struct{}, 1)}
+	return &publisher{server: server, subscribers: map[chan []byte]struct{}{}, publishRequests: make(chan struct{}, 1)}
 }
 
-// tell makes the next event come at once.
-func (p *publisher) tell() {
+// publishNow makes run publish the next event without waiting for the interval. It doesn't
+// block.
+func (p *publisher) publishNow() {
 	select {
-	case p.wake <- struct{}{}:
+	case p.publishRequests <- struct{}{}:
 	default:
 	}
 }
 
+// run publishes an event per interval, and one on each publish request, until ctx is done.
 func (p *publisher) run(ctx context.Context) {
-	ticker := time.NewTicker(tellInterval)
+	ticker := time.NewTicker(publishInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-p.wake:
+		case <-p.publishRequests:
 		case <-ctx.Done():
 			return
 		}
@@ -49,7 +52,8 @@
 	}
 }
 
-// publish sends the cache changes since the last event and the current status.
+// publish sends an event with the cache changes since the last event and the current status. A
+// lost event uses up its sequence number, so that readers notice the gap.
 func (p *publisher) publish() {
 	s := p.server
 	s.mutex.Lock()
@@ -73,20 +77,21 @@
 	encoded, _ := json.Marshal(event)
 	encoded = append(encoded, '\n')
 	if faults.EventLagMillis == 0 {
-		p.send(encoded)
+		p.broadcast(encoded)
 		return
 	}
-	time.AfterFunc(time.Duration(faults.EventLagMillis)*time.Millisecond, func() { p.send(encoded) })
+	time.AfterFunc(time.Duration(faults.EventLagMillis)*time.Millisecond, func() { p.broadcast(encoded) })
 }
 
-func (p *publisher) send(encoded []byte) {
+func (p *publisher) broadcast(encoded []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for reader := range p.readers {
+	for subscriber := range p.subscribers {
 		select {
-		case reader <- encoded:
+		case subscriber <- encoded:
 		default:
-			// A reader that does not keep up loses events, as the brief has it.
+			// A subscriber that doesn't keep up loses events, as the specification of the
+			// engine's interface demands.
 		}
 	}
 }
@@ -94,16 +99,16 @@
 func (p *publisher) handleEvents(writer http.ResponseWriter, request *http.Request) {
 	events := make(chan []byte, 256)
 	p.mutex.Lock()
-	p.readers[events] = struct{}{}
+	p.subscribers[events] = struct{}{}
 	p.mutex.Unlock()
 	defer func() {
 		p.mutex.Lock()
-		delete(p.readers, events)
+		delete(p.subscribers, events)
 		p.mutex.Unlock()
 	}()
 	writer.WriteHeader(http.StatusOK)
 	writer.(http.Flusher).Flush()
-	p.tell()
+	p.publishNow()
 	for {
 		select {
 		case event := <-events:
@@ -119,8 +124,8 @@
 	}
 }
 
-// blockList returns all cached blocks with the sequence of the last event that
-// they include; pending changes are published first.
+// blockList returns all cached blocks with the sequence number of the last event that they
+// include. It publishes pending changes first.
 func (p *publisher) blockList() engineapi.BlockList {
 	p.publish()
 	s := p.server
@@ -131,23 +136,26 @@
 	return engineapi.BlockList{Incarnation: s.incarnation, Sequence: p.sequence, Blocks: s.engine.Blocks()}
 }
 
+// statusLocked returns the engine's current status. The caller must hold s.mutex.
 func (s *Server) statusLocked() *engineapi.Status {
 	return &engineapi.Status{
 		Incarnation:   s.incarnation,
 		State:         s.state,
 		Model:         s.model,
-		WeightVersion: s.version,
+		WeightVersion: s.weightVersion,
 		Adapters:      append([]string(nil), s.adapters...),
 		Role:          s.role,
-		Load:          loadOf(s.engine.Load()),
+		Load:          encodeLoad(s.engine.Load()),
 	}
 }
 
-func loadOf(load fleet.Load) engineapi.Load {
+func encodeLoad(load fleet.Load) engineapi.Load {
 	return engineapi.Load{
 		Running: load.Running, Waiting: load.Waiting, QueuedTokens: load.QueuedTokens[:],
 		PrefillRate: load.PrefillRate, MaxRunning: load.MaxRunning,
 	}
 }
 
-func promptTokens(entry *stream) int { return prefix.EstimateTokens(len(entry.request.Prompt)) }
+func promptTokens(stream *attemptStream) int {
+	return prefix.EstimateTokens(len(stream.request.Prompt))
+}
--- a/internal/lab/engineserver/relay.go
+++ b/internal/lab/engineserver/relay.go
@@ -7,10 +7,10 @@
 	"github.com/clovertiller/clovertiller/internal/engineapi"
 )
 
-// cutAfterFrames is how many frames a cut stream sends.
+// cutAfterFrames is the number of output frames after which a stream is cut.
 const cutAfterFrames = 3
 
-// chunk is the data of an output frame, in the caller's format.
+// chunk is the data of an output frame, in the format of the client's API.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -31,40 +31,42 @@
 }
 
 func encodeChunk(request *engineapi.GenerateRequest, text string) []byte {
-	one := choice{}
+	output := choice{}
 	if request.Format == engineapi.FormatChat {
-		one.Delta = &delta{Content: text}
+		output.Delta = &delta{Content: text}
 	} else {
-		one.Text = &text
+		output.Text = &text
 	}
-	// The types above always encode.
-	encoded, _ := json.Marshal(chunk{ID: request.ID, Object: request.Format, Created: request.Created, Model: request.DisplayModel, Choices: []choice{one}})
+	// Encoding these types can't fail.
+	encoded, _ := json.Marshal(chunk{ID: request.ID, Object: request.Format, Created: request.Created, Model: request.DisplayModel, Choices: []choice{output}})
 	return encoded
 }
 
-// progress is what a relay sees of a stream at one moment.
-type progress struct {
-	started, finished, canceled bool
-	cached, produced            int
-	changed                     <-chan struct{}
-	load                        engineapi.Load
-	cross                       bool
+// streamSnapshot is the state of a stream, and of the engine, at one time.
+type streamSnapshot struct {
+	started, finished, canceled  bool
+	cachedTokens, producedTokens int
+	changed                      <-chan struct{}
+	load                         engineapi.Load
+	injectWrongFrames            bool
 }
 
-func (s *Server) progressOf(entry *stream) progress {
+// snapshotStream returns the current state of a stream. While the engine is frozen it blocks.
+func (s *Server) snapshotStream(stream *attemptStream) streamSnapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.faults.Frozen && !s.stopped {
-		s.work.Wait()
+		s.stateChanged.Wait()
 	}
-	return progress{
-		started: entry.started, finished: entry.finished, canceled: entry.canceled,
-		cached: entry.cached, produced: entry.produced, changed: entry.changed,
-		load: loadOf(s.engine.Load()), cross: s.faults.CrossFrames,
+	return streamSnapshot{
+		started: stream.started, finished: stream.finished, canceled: stream.canceled,
+		cachedTokens: stream.cachedTokens, producedTokens: stream.producedTokens, changed: stream.changed,
+		load: encodeLoad(s.engine.Load()), injectWrongFrames: s.faults.InjectWrongFrames,
 	}
 }
 
-func (s *Server) takeCut() bool {
+// consumeStreamCut reports whether the current stream is to be cut, and counts it if so.
+func (s *Server) consumeStreamCut() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.faults.CutStreams == 0 {
@@ -74,42 +76,43 @@
 	return true
 }
 
-// relay writes the stream from the offset on as it is produced.
-func (s *Server) relay(writer http.ResponseWriter, request *http.Request, entry *stream, offset int) {
-	s.relays.Add(1)
-	defer s.relays.Done()
+// relay writes the frames of a stream to the client as the engine produces them, from the output
+// token at offset on.
+func (s *Server) relay(writer http.ResponseWriter, request *http.Request, stream *attemptStream, offset int) {
+	s.openRelays.Add(1)
+	defer s.openRelays.Done()
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.WriteHeader(http.StatusOK)
 	flusher := writer.(http.Flusher)
 	flusher.Flush()
-	cut := s.takeCut()
-	told, frames := false, 0
+	cut := s.consumeStreamCut()
+	startSent, sentFrames := false, 0
 	var buffer []byte
 	for {
-		now := s.progressOf(entry)
+		snapshot := s.snapshotStream(stream)
 		buffer = buffer[:0]
-		if now.started && !told {
-			told = true
-			buffer = appendStart(buffer, entry, now, offset)
+		if snapshot.started && !startSent {
+			startSent = true
+			buffer = appendStart(buffer, stream, snapshot, offset)
 		}
-		for ; offset < now.produced; offset++ {
-			if now.cross {
-				buffer = appendCrossed(buffer, entry, offset)
+		for ; offset < snapshot.producedTokens; offset++ {
+			if snapshot.injectWrongFrames {
+				buffer = appendWrongFrames(buffer, stream, offset)
 			}
-			text := entry.prompt.Token(offset)
-			buffer = engineapi.AppendFrame(buffer, "", entry.request.Request, entry.request.Attempt, offset, 1, encodeChunk(&entry.request, text))
-			frames++
+			text := stream.prompt.Token(offset)
+			buffer = engineapi.AppendFrame(buffer, "", stream.request.Request, stream.request.Attempt, offset, 1, encodeChunk(&stream.request, text))
+			sentFrames++
 		}
-		if cut && frames >= cutAfterFrames {
+		if cut && sentFrames >= cutAfterFrames {
 			writer.Write(buffer)
 			flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if now.finished && !now.canceled {
-			writer.Write(appendEnd(buffer, entry, offset))
+		if snapshot.finished && !snapshot.canceled {
+			writer.Write(appendEnd(buffer, stream, offset))
 			return
 		}
-		if now.canceled {
+		if snapshot.canceled {
 			panic(http.ErrAbortHandler)
 		}
 		if len(buffer) > 0 {
@@ -119,36 +122,36 @@
 			flusher.Flush()
 		}
 		select {
-		case <-now.changed:
+		case <-snapshot.changed:
 		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-func appendStart(buffer []byte, entry *stream, now progress, offset int) []byte {
-	data, _ := json.Marshal(engineapi.StartData{CachedTokens: now.cached, Load: now.load})
-	return engineapi.AppendFrame(buffer, engineapi.EventStart, entry.request.Request, entry.request.Attempt, offset, 0, data)
+func appendStart(buffer []byte, stream *attemptStream, snapshot streamSnapshot, offset int) []byte {
+	data, _ := json.Marshal(engineapi.StartData{CachedTokens: snapshot.cachedTokens, Load: snapshot.load})
+	return engineapi.AppendFrame(buffer, engineapi.EventStart, stream.request.Request, stream.request.Attempt, offset, 0, data)
 }
 
-func appendEnd(buffer []byte, entry *stream, offset int) []byte {
-	end := engineapi.EndData{FinishReason: "length", CompletionTokens: entry.total, PromptTokens: promptTokens(entry), CachedTokens: entry.cached}
-	if entry.natural {
+func appendEnd(buffer []byte, stream *attemptStream, offset int) []byte {
+	end := engineapi.EndData{FinishReason: "length", CompletionTokens: stream.totalTokens, PromptTokens: promptTokens(stream), CachedTokens: stream.cachedTokens}
+	if stream.endsNaturally {
 		end.FinishReason = "stop"
 	}
 	data, _ := json.Marshal(end)
-	return engineapi.AppendFrame(buffer, engineapi.EventEnd, entry.request.Request, entry.request.Attempt, offset, 0, data)
+	return engineapi.AppendFrame(buffer, engineapi.EventEnd, stream.request.Request, stream.request.Attempt, offset, 0, data)
 }
 
-// appendCrossed adds frames that a correct reader must drop: one of another
-// attempt, one of another request and one that was sent before.
-func appendCrossed(buffer []byte, entry *stream, offset int) []byte {
-	wrong := encodeChunk(&entry.request, "WRONG ")
-	request, attempt := entry.request.Request, entry.request.Attempt
-	buffer = engineapi.AppendFrame(buffer, "", request, attempt+1, offset, 1, wrong)
-	buffer = engineapi.AppendFrame(buffer, "", "other-"+request, attempt, offset, 1, wrong)
+// appendWrongFrames appends frames that a correct reader must drop: one of another attempt, one
+// of another request, and one at an offset that was already sent.
+func appendWrongFrames(buffer []byte, stream *attemptStream, offset int) []byte {
+	data := encodeChunk(&stream.request, "WRONG ")
+	request, attempt := stream.request.Request, stream.request.Attempt
+	buffer = engineapi.AppendFrame(buffer, "", request, attempt+1, offset, 1, data)
+	buffer = engineapi.AppendFrame(buffer, "", "other-"+request, attempt, offset, 1, data)
 	if offset > 0 {
-		buffer = engineapi.AppendFrame(buffer, "", request, attempt, offset-1, 1, wrong)
+		buffer = engineapi.AppendFrame(buffer, "", request, attempt, offset-1, 1, data)
 	}
 	return buffer
 }
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -1,6 +1,6 @@
-// Package engineserver is a stand-in for a model engine: the engine model
-// behind the engine's HTTP interface, in real time, with fault settings. It is
-// for tests, demonstrations and experiments only.
+// Package engineserver is a simulated model engine. It runs the engine model in real time behind
+// the engine's HTTP interface, with fault injection. It is for tests, demonstrations and
+// experiments only.
 package engineserver
 
 import (
@@ -24,69 +24,75 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-// PathFaults is where tests set an engine's faults.
+// PathFaults is the path to which tests post an engine's fault settings.
 const PathFaults = "/lab/faults"
 
-// Times of the stand-in.
+// Intervals of the engine.
 const (
-	// keepFinished is how long a finished stream can be resumed.
-	keepFinished = 30 * time.Second
-	// tellInterval is the least time between two events without cache changes.
-	tellInterval = 100 * time.Millisecond
+	// finishedStreamTTL is how long a stream can still be resumed after its end.
+	finishedStreamTTL = 30 * time.Second
+	// publishInterval is the interval of cache events. Changes of the engine's state, model,
+	// adapters or role are published immediately.
+	publishInterval = 100 * time.Millisecond
 )
 
-// Faults are the settings by which tests make an engine fail.
+// Faults are the faults that an engine simulates.
 type Faults struct {
-	// EventLagMillis delays cache events and load reports.
+	// EventLagMillis delays cache events and the load reports in them, in milliseconds.
 	EventLagMillis int `json:"event_lag_millis"`
-	// EventLoss is the share of events lost, 0 to 1.
+	// EventLoss is the probability that an event is lost, 0 to 1.
 	EventLoss float64 `json:"event_loss"`
-	// LoseAnswers is how many accepted requests get no answer.
-	LoseAnswers int `json:"lose_answers"`
-	// CutStreams is how many streams are cut after a few frames.
+	// LoseResponses is how many of the next accepted requests are run without a response: the
+	// connection is aborted instead.
+	LoseResponses int `json:"lose_answers"`
+	// CutStreams is how many of the next streams are aborted after cutAfterFrames frames.
 	CutStreams int `json:"cut_streams"`
-	// CrossFrames inserts frames of another attempt and repeats frames.
-	CrossFrames bool `json:"cross_frames"`
-	// Frozen stops all output and all answers.
+	// InjectWrongFrames inserts frames of other requests and attempts, and repeated frames, into
+	// the streams.
+	InjectWrongFrames bool `json:"cross_frames"`
+	// Frozen stops the engine's steps and events and blocks its responses.
 	Frozen bool `json:"frozen"`
 }
 
-// Settings describe one stand-in engine.
+// Settings configures a simulated engine.
 type Settings struct {
 	Engine        enginemodel.Settings
 	Model         string
 	WeightVersion string
 	Adapters      []string
-	// Platform is the address of the platform stand-in, for weights and the
-	// count of runs; "" for none.
-	Platform string
-	// Faults are in force from the start.
+	// PlatformAddress is the IP:port of the simulated platform, which serves weights and counts
+	// runs. Without one, weight loads take no time and runs are counted only by the engine.
+	PlatformAddress string
+	// Faults are the initial fault settings.
 	Faults Faults
-	Seed   uint64
+	// Seed is the seed of the random event losses.
+	Seed uint64
 }
 
-// stream is one attempt known to the engine.
-type stream struct {
+// attemptStream is the state of an attempt and its output stream.
+type attemptStream struct {
 	request engineapi.GenerateRequest
 	prompt  enginemodel.Prompt
-	total   int
-	natural bool
-	// produced is the number of output tokens so far.
-	produced int
-	started  bool
-	cached   int
-	finished bool
-	canceled bool
-	// changed is closed and replaced on progress.
+	// totalTokens is the length of the output; endsNaturally is true unless max_tokens limits it.
+	totalTokens   int
+	endsNaturally bool
+	// producedTokens is the number of output tokens so far, including those of earlier attempts.
+	producedTokens int
+	started        bool
+	// cachedTokens is the number of prompt tokens found in the cache at the start.
+	cachedTokens int
+	finished     bool
+	canceled     bool
+	// changed is closed and replaced whenever the state changes.
 	changed chan struct{}
 }
 
-func (s *stream) wake() {
+func (s *attemptStream) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Server is one stand-in engine.
+// Server is a simulated engine.
 type Server struct {
 	settings    Settings
 	incarnation uint64
@@ -95,48 +101,53 @@
 	cancel      context.CancelFunc
 	done        chan struct{}
 
-	mutex     sync.Mutex
-	work      *sync.Cond
-	engine    *enginemodel.Engine
-	streams   map[enginemodel.ID]*stream
-	barred    map[enginemodel.ID]bool
-	state     engineapi.State
-	model     string
-	version   string
-	adapters  []string
-	role      string
-	token     uint64
-	faults    Faults
-	random    *rand.Rand
-	publisher *publisher
-	runs      map[string]int
-	// relays counts the output streams being written.
-	relays  sync.WaitGroup
-	stopped bool
+	mutex sync.Mutex
+	// stateChanged is signaled when a job is queued, the faults change or the engine stops.
+	stateChanged *sync.Cond
+	engine       *enginemodel.Engine
+	streams      map[enginemodel.ID]*attemptStream
+	// barredAttempts are refused because they have ended or because a resume or cancel request
+	// for them came first.
+	barredAttempts map[enginemodel.ID]bool
+	state          engineapi.State
+	model          string
+	weightVersion  string
+	adapters       []string
+	role           string
+	// fencingToken is the highest token of an order received so far.
+	fencingToken uint64
+	faults       Faults
+	random       *rand.Rand
+	publisher    *publisher
+	// runCounts holds the number of started runs by prompt digest.
+	runCounts map[string]int
+	// openRelays counts the responses that are being streamed to clients.
+	openRelays sync.WaitGroup
+	stopped    bool
 }
 
-// Start serves the stand-in on the listener until Close or Drain.
+// Start serves the engine's interface on the listener until Close.
 func Start(listener net.Listener, settings Settings) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
-		settings:    settings,
-		incarnation: uint64(time.Now().UnixNano()),
-		listener:    listener,
-		cancel:      cancel,
-		done:        make(chan struct{}),
-		engine:      enginemodel.New(settings.Engine),
-		streams:     map[enginemodel.ID]*stream{},
-		barred:      map[enginemodel.ID]bool{},
-		state:       engineapi.StateServing,
-		model:       settings.Model,
-		version:     settings.WeightVersion,
-		adapters:    settings.Adapters,
-		role:        "serve",
-		faults:      settings.Faults,
-		random:      rand.New(rand.NewPCG(settings.Seed, 1)),
-		runs:        map[string]int{},
+		settings:       settings,
+		incarnation:    uint64(time.Now().UnixNano()),
+		listener:       listener,
+		cancel:         cancel,
+		done:           make(chan struct{}),
+		engine:         enginemodel.New(settings.Engine),
+		streams:        map[enginemodel.ID]*attemptStream{},
+		barredAttempts: map[enginemodel.ID]bool{},
+		state:          engineapi.StateServing,
+		model:          settings.Model,
+		weightVersion:  settings.WeightVersion,
+		adapters:       settings.Adapters,
+		role:           "serve",
+		faults:         settings.Faults,
+		random:         rand.New(rand.NewPCG(settings.Seed, 1)),
+		runCounts:      map[string]int{},
 	}
-	s.work = sync.NewCond(&s.mutex)
+	s.stateChanged = sync.NewCond(&s.mutex)
 	s.publisher = newPublisher(s)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathGenerate, s.handleGenerate)
@@ -148,7 +159,7 @@
 	mux.HandleFunc("POST "+PathFaults, s.handleFaults)
 	s.http = &http.Server{Handler: mux}
 	go s.http.Serve(listener)
-	go s.run(ctx)
+	go s.runSteps(ctx)
 	go s.publisher.run(ctx)
 	return s
 }
@@ -156,31 +167,32 @@
 // Address returns the engine's IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Incarnation returns the identity of this engine process.
+// Incarnation returns the number that identifies this start of the engine.
 func (s *Server) Incarnation() uint64 { return s.incarnation }
 
-// Close ends the engine at once, as a crash would.
+// Close stops the engine immediately and closes all connections, like a crash.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.stopped = true
-	s.work.Broadcast()
+	s.stateChanged.Broadcast()
 	s.mutex.Unlock()
 	s.cancel()
 	s.http.Close()
 	<-s.done
 }
 
-// Drain refuses new work, and returns when all output streams have been read to
-// their end. The event stream stays open so that routers hear of the drain.
+// Drain refuses new requests, waits until the running ones have finished and returns when their
+// output has been written or ctx is done. The event stream stays open so that routers are
+// notified of the drain.
 func (s *Server) Drain(ctx context.Context) {
 	s.mutex.Lock()
 	s.state = engineapi.StateDraining
 	s.mutex.Unlock()
-	s.publisher.tell()
-	s.waitIdle()
+	s.publisher.publishNow()
+	s.waitUntilIdle()
 	finished := make(chan struct{})
 	go func() {
-		s.relays.Wait()
+		s.openRelays.Wait()
 		close(finished)
 	}()
 	select {
@@ -189,33 +201,34 @@
 	}
 }
 
-// SetFaults replaces the fault settings.
+// SetFaults replaces the fault settings of the engine.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	s.work.Broadcast()
+	s.stateChanged.Broadcast()
 }
 
-// Runs returns how often each prompt was begun on this engine, by digest.
-func (s *Server) Runs() map[string]int {
+// RunCounts returns how often this engine started to run each prompt, by prompt digest.
+func (s *Server) RunCounts() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	runs := make(map[string]int, len(s.runs))
-	for prompt, count := range s.runs {
-		runs[prompt] = count
+	counts := make(map[string]int, len(s.runCounts))
+	for digest, count := range s.runCounts {
+		counts[digest] = count
 	}
-	return runs
+	return counts
 }
 
-// ComputedTokens returns the prompt tokens computed so far.
+// ComputedTokens returns the number of prompt tokens computed so far.
 func (s *Server) ComputedTokens() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.engine.ComputedTokens()
 }
 
-// PromptDigest names a prompt in the counts of runs.
+// PromptDigest returns the key of a prompt in run counts: the hexadecimal little-endian xxHash64
+// of its text.
 func PromptDigest(prompt string) string {
 	var digest [8]byte
 	sum := xxhash.Sum64String(prompt)
@@ -225,86 +238,90 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// run is the engine's loop of steps.
-func (s *Server) run(ctx context.Context) {
+// runSteps runs the steps of the engine model in real time until the engine stops.
+func (s *Server) runSteps(ctx context.Context) {
 	defer close(s.done)
 	for {
 		s.mutex.Lock()
 		for !s.stopped && (!s.engine.Busy() || s.faults.Frozen) {
-			s.work.Wait()
+			s.stateChanged.Wait()
 		}
 		if s.stopped {
 			s.mutex.Unlock()
 			return
 		}
 		duration, started := s.engine.BeginStep()
-		begun := s.noteStarted(started)
+		digests := s.recordStarts(started)
 		s.mutex.Unlock()
-		s.reportRuns(begun)
+		s.reportRuns(digests)
 		select {
 		case <-time.After(duration):
 		case <-ctx.Done():
 		}
 		s.mutex.Lock()
-		s.noteOutputs(s.engine.EndStep())
+		s.recordOutputs(s.engine.EndStep())
 		s.mutex.Unlock()
 	}
 }
 
-func (s *Server) noteStarted(started []enginemodel.Output) []string {
-	var begun []string
+// recordStarts marks the streams of started jobs and counts their runs. It returns the digests of
+// their prompts. The caller must hold s.mutex.
+func (s *Server) recordStarts(started []enginemodel.Output) []string {
+	var digests []string
 	for _, output := range started {
-		entry := s.streams[output.ID]
-		if entry == nil {
+		stream := s.streams[output.ID]
+		if stream == nil {
 			continue
 		}
-		entry.started = true
-		entry.cached = output.CachedTokens
-		digest := PromptDigest(entry.request.Prompt)
-		s.runs[digest]++
-		begun = append(begun, digest)
-		entry.wake()
+		stream.started = true
+		stream.cachedTokens = output.CachedTokens
+		digest := PromptDigest(stream.request.Prompt)
+		s.runCounts[digest]++
+		digests = append(digests, digest)
+		stream.notifyChanged()
 	}
-	return begun
+	return digests
 }
 
-func (s *Server) noteOutputs(outputs []enginemodel.Output) {
+// recordOutputs updates the streams with the output of a step. The caller must hold s.mutex.
+func (s *Server) recordOutputs(outputs []enginemodel.Output) {
 	for _, output := range outputs {
-		entry := s.streams[output.ID]
-		if entry == nil {
+		stream := s.streams[output.ID]
+		if stream == nil {
 			continue
 		}
-		entry.produced = output.Offset + output.Count
+		stream.producedTokens = output.Offset + output.Count
 		if output.Finished {
-			entry.finished = true
+			stream.finished = true
 			id := output.ID
-			time.AfterFunc(keepFinished, func() { s.forget(id) })
+			time.AfterFunc(finishedStreamTTL, func() { s.removeStream(id) })
 		}
-		entry.wake()
+		stream.notifyChanged()
 	}
 }
 
-func (s *Server) forget(id enginemodel.ID) {
+// removeStream removes a finished stream and bars its attempt, so that it can't run again.
+func (s *Server) removeStream(id enginemodel.ID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.streams, id)
-	s.barred[id] = true
+	s.barredAttempts[id] = true
 }
 
-// reportRuns counts runs on the platform stand-in too, where they survive this process.
-func (s *Server) reportRuns(digests []string) {
-	if s.settings.Platform == "" {
+// reportRuns also counts the runs on the simulated platform, whose counts survive this process.
+func (s *Server) reportRuns(promptDigests []string) {
+	if s.settings.PlatformAddress == "" {
 		return
 	}
-	for _, digest := range digests {
-		response, err := http.Post("http://"+s.settings.Platform+platformserver.PathRuns, "text/plain", strings.NewReader(digest))
+	for _, digest := range promptDigests {
+		response, err := http.Post("http://"+s.settings.PlatformAddress+platformserver.PathRuns, "text/plain", strings.NewReader(digest))
 		if err == nil {
 			response.Body.Close()
 		}
 	}
 }
 
-func refuse(writer http.ResponseWriter, status int, code engineapi.Code, format string, args ...any) {
+func writeRefusal(writer http.ResponseWriter, status int, code engineapi.Code, format string, args ...any) {
 	writeJSON(writer, status, engineapi.Refusal{Code: code, Message: fmt.Sprintf(format, args...)})
 }
 
@@ -316,18 +333,18 @@
 
 func readJSON(writer http.ResponseWriter, request *http.Request, body any) bool {
 	if err := json.NewDecoder(io.LimitReader(request.Body, 64<<20)).Decode(body); err != nil {
-		refuse(writer, http.StatusBadRequest, engineapi.CodeBadRequest, "%v", err)
+		writeRefusal(writer, http.StatusBadRequest, engineapi.CodeBadRequest, "%v", err)
 		return false
 	}
 	return true
 }
 
-// waitWhileFrozen holds an answer back while the engine is frozen.
+// waitWhileFrozen blocks while the engine is frozen.
 func (s *Server) waitWhileFrozen() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for s.faults.Frozen && !s.stopped {
-		s.work.Wait()
+		s.stateChanged.Wait()
 	}
 }
 
@@ -337,79 +354,83 @@
 		return
 	}
 	s.waitWhileFrozen()
-	entry, refusal := s.submit(body)
+	stream, refusal := s.submit(body)
 	if refusal != nil {
 		writeJSON(writer, http.StatusConflict, refusal)
 		return
 	}
-	if s.takeLostAnswer() {
+	if s.consumeLostResponse() {
 		panic(http.ErrAbortHandler)
 	}
-	s.relay(writer, request, entry, body.GeneratedTokens)
+	s.relay(writer, request, stream, body.GeneratedTokens)
 }
 
-func (s *Server) takeLostAnswer() bool {
+// consumeLostResponse reports whether the response to the current request is to be lost, and
+// counts it if so.
+func (s *Server) consumeLostResponse() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.faults.LoseAnswers == 0 {
+	if s.faults.LoseResponses == 0 {
 		return false
 	}
-	s.faults.LoseAnswers--
+	s.faults.LoseResponses--
 	return true
 }
 
-// submit checks and queues an attempt.
-func (s *Server) submit(body engineapi.GenerateRequest) (*stream, *engineapi.Refusal) {
+// submit validates an attempt and queues it in the engine. It returns the attempt's stream, or
+// the reason why the attempt was refused.
+func (s *Server) submit(body engineapi.GenerateRequest) (*attemptStream, *engineapi.Refusal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if refusal := s.check(body); refusal != nil {
+	if refusal := s.validate(body); refusal != nil {
 		return nil, refusal
 	}
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	prompt := enginemodel.Prompt{Model: body.Model, Adapter: body.Adapter, WeightVersion: body.WeightVersion, Text: body.Prompt}
-	total, natural := prompt.Length(body.MaxTokens)
-	entry := &stream{request: body, prompt: prompt, total: total, natural: natural, produced: body.GeneratedTokens, changed: make(chan struct{})}
+	totalTokens, endsNaturally := prompt.Length(body.MaxTokens)
+	stream := &attemptStream{request: body, prompt: prompt, totalTokens: totalTokens, endsNaturally: endsNaturally, producedTokens: body.GeneratedTokens, changed: make(chan struct{})}
 	job := enginemodel.Job{
 		ID:           id,
 		Chain:        prefix.NewChain(prefix.Salt(body.CacheSalt), body.Prompt, body.BlockBytes),
 		BlockTokens:  body.BlockBytes / prefix.BytesPerToken,
 		PromptTokens: max(prefix.EstimateTokens(len(body.Prompt))+body.GeneratedTokens, 1),
 		FirstToken:   body.GeneratedTokens,
-		TotalTokens:  total,
+		TotalTokens:  totalTokens,
 		Priority:     body.Priority,
 	}
 	if !s.engine.Submit(job) {
 		return nil, &engineapi.Refusal{Code: engineapi.CodeQueueFull, Message: "queue is full"}
 	}
-	s.streams[id] = entry
-	s.work.Broadcast()
-	return entry, nil
+	s.streams[id] = stream
+	s.stateChanged.Broadcast()
+	return stream, nil
 }
 
-func (s *Server) check(body engineapi.GenerateRequest) *engineapi.Refusal {
-	no := func(code engineapi.Code, format string, args ...any) *engineapi.Refusal {
+// validate returns the reason to refuse an attempt, or nil. The caller must hold s.mutex.
+func (s *Server) validate(body engineapi.GenerateRequest) *engineapi.Refusal {
+	newRefusal := func(code engineapi.Code, format string, args ...any) *engineapi.Refusal {
 		return &engineapi.Refusal{Code: code, Message: fmt.Sprintf(format, args...)}
 	}
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	switch {
 	case body.Incarnation != s.incarnation:
-		return no(engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
-	case s.barred[id]:
-		return no(engineapi.CodeBarred, "attempt is barred")
+		return newRefusal(engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
+	case s.barredAttempts[id]:
+		return newRefusal(engineapi.CodeBarred, "attempt is barred")
 	case s.streams[id] != nil:
-		return no(engineapi.CodeDuplicateAttempt, "attempt is known")
+		return newRefusal(engineapi.CodeDuplicateAttempt, "attempt is known")
 	case s.state == engineapi.StateDraining:
-		return no(engineapi.CodeDraining, "engine is draining")
-	case s.state != engineapi.StateServing || body.Model != s.model || body.WeightVersion != s.version:
-		return no(engineapi.CodeWeightVersionMismatch, "engine is %s with %s %s", s.state, s.model, s.version)
+		return newRefusal(engineapi.CodeDraining, "engine is draining")
+	case s.state != engineapi.StateServing || body.Model != s.model || body.WeightVersion != s.weightVersion:
+		return newRefusal(engineapi.CodeWeightVersionMismatch, "engine is %s with %s %s", s.state, s.model, s.weightVersion)
 	case body.Adapter != "" && !s.hasAdapter(body.Adapter):
-		return no(engineapi.CodeAdapterNotLoaded, "adapter is not loaded")
+		return newRefusal(engineapi.CodeAdapterNotLoaded, "adapter is not loaded")
 	case body.MaxTokens < 1 || body.BlockBytes < prefix.BytesPerToken:
-		return no(engineapi.CodeBadRequest, "max_tokens and block_bytes must be positive")
+		return newRefusal(engineapi.CodeBadRequest, "max_tokens and block_bytes must be positive")
 	}
 	prompt := enginemodel.Prompt{Model: body.Model, Adapter: body.Adapter, WeightVersion: body.WeightVersion, Text: body.Prompt}
 	if prompt.Output(0, body.GeneratedTokens) != body.Generated {
-		return no(engineapi.CodeBadRequest, "generated is not this prompt's output")
+		return newRefusal(engineapi.CodeBadRequest, "generated is not this prompt's output")
 	}
 	return nil
 }
@@ -431,24 +452,24 @@
 	s.waitWhileFrozen()
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	s.mutex.Lock()
-	entry := s.streams[id]
+	stream := s.streams[id]
 	switch {
 	case body.Incarnation != s.incarnation:
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
-	case entry == nil && s.barred[id]:
+		writeRefusal(writer, http.StatusConflict, engineapi.CodeIncarnationMismatch, "incarnation is %d", s.incarnation)
+	case stream == nil && s.barredAttempts[id]:
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt has ended")
-	case entry == nil:
-		s.barred[id] = true
+		writeRefusal(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt has ended")
+	case stream == nil:
+		s.barredAttempts[id] = true
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeNeverSeenAndBarred, "attempt was never seen and is now barred")
-	case entry.canceled:
+		writeRefusal(writer, http.StatusConflict, engineapi.CodeNeverSeenAndBarred, "attempt was never seen and is now barred")
+	case stream.canceled:
 		s.mutex.Unlock()
-		refuse(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt was cancelled")
+		writeRefusal(writer, http.StatusConflict, engineapi.CodeNotResumable, "attempt was cancelled")
 	default:
 		s.mutex.Unlock()
-		s.relay(writer, request, entry, body.Offset)
+		s.relay(writer, request, stream, body.Offset)
 	}
 }
 
@@ -459,13 +480,13 @@
 	}
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	s.mutex.Lock()
-	entry := s.streams[id]
-	if entry == nil {
-		s.barred[id] = true
+	stream := s.streams[id]
+	if stream == nil {
+		s.barredAttempts[id] = true
 	} else {
 		s.engine.Cancel(id)
-		entry.canceled = true
-		entry.wake()
+		stream.canceled = true
+		stream.notifyChanged()
 	}
 	s.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, struct{}{})
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -53,7 +53,7 @@
 	It("finds out what became of a request whose engine's answer was lost", func() {
 		c := start(cluster.Settings{Routers: 3, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{LoseAnswers: 10})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{LoseResponses: 10})).To(Succeed())
 		}
 		made := holds(20)
 		outcomes := each(c, made, func(i int) int { return i % 3 })
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -23,7 +23,7 @@
 	It("passes on only the frames of its own request, attempt and offset", func() {
 		c := start(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{CrossFrames: true})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{InjectWrongFrames: true})).To(Succeed())
 		}
 		made := calls(40)
 		expectAllExact(made, each(c, made, func(i int) int { return i % 2 }))
@@ -32,7 +32,7 @@
 	It("resumes streams that are cut in the middle", func() {
 		c := start(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{CutStreams: 30, CrossFrames: true})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{CutStreams: 30, InjectWrongFrames: true})).To(Succeed())
 		}
 		made := calls(40)
 		expectAllExact(made, each(c, made, func(i int) int { return i % 2 }))
