--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -92,7 +92,7 @@
 	subcommand.String(&settings.PlatformAddress, "", "platform", "IP:port of the platform stand-in, for weights.")
 	subcommand.String(&settings.Model, "m", "model", "Model loaded from the start.")
 	subcommand.String(&settings.WeightVersion, "w", "weights", "Weight version loaded from the start.")
-	subcommand.Int(&settings.Engine.CapacityBlocks, "", "blocks", "Size of the cache in blocks.")
+	subcommand.Int(&settings.Engine.CacheBlocks, "", "blocks", "Size of the cache in blocks.")
 	subcommand.Int(&settings.Faults.EventLagMillis, "", "event-lag", "Lag of cache events in milliseconds.")
 	subcommand.Float64(&settings.Faults.EventLoss, "", "event-loss", "Share of cache events lost, 0 to 1.")
 	return command{subcommand, func(ctx context.Context) error {
--- a/internal/lab/cluster/calls.go
+++ b/internal/lab/cluster/calls.go
@@ -108,7 +108,7 @@
 // ExpectedText returns the text that an engine with these weights produces for a call.
 func ExpectedText(call Call, weightVersion string) string {
 	prompt := enginemodel.Prompt{Model: Model, WeightVersion: weightVersion, Text: call.Prompt}
-	length, _ := prompt.Length(call.MaxTokens)
+	length, _ := prompt.OutputLength(call.MaxTokens)
 	return prompt.Output(0, length)
 }
 
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -232,7 +232,7 @@
 	target.open[p.id] = p
 	target.model.Submit(enginemodel.Job{
 		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.EstimateTokens(len(p.text)),
-		TotalTokens: p.request.MaxTokens, Priority: p.tier,
+		TotalOutputTokens: p.request.MaxTokens, Priority: p.tier,
 	})
 	r.step(target)
 }
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -39,13 +39,13 @@
 // second each, and a cache of 128,000 tokens.
 func EngineSettings() enginemodel.Settings {
 	return enginemodel.Settings{
-		CapacityBlocks: 8000,
-		MaxRunning:     32,
-		MaxWaiting:     4096,
-		StepBase:       10 * time.Millisecond,
-		PerPromptToken: 50 * time.Microsecond,
-		PerSequence:    200 * time.Microsecond,
-		PromptBudget:   1024,
+		CacheBlocks:         8000,
+		MaxRunning:          32,
+		MaxWaiting:          4096,
+		BaseStepTime:        10 * time.Millisecond,
+		TimePerPromptToken:  50 * time.Microsecond,
+		TimePerSequence:     200 * time.Microsecond,
+		MaxStepPromptTokens: 1024,
 	}
 }
 
--- a/internal/lab/enginemodel/engine.go
+++ b/internal/lab/enginemodel/engine.go
@@ -1,10 +1,9 @@
-// Package enginemodel is a model of a language-model engine: continuous
-// batching, a prompt cache of limited size, priorities and cancellation. It has
-// no I/O and no clock; the HTTP stand-in runs it in real time, the emulator in
-// virtual time.
+// Package enginemodel models a language-model engine with continuous batching, a prefix cache of
+// limited size, priorities and cancellation. It has no I/O and no clock: package engineserver runs
+// it in real time, package emulator in virtual time.
 //
-// A step takes a base time, a time for each prompt token computed and a time
-// for each sequence that produces a token.
+// The duration of a step is the sum of a base time, a time per computed prompt token and a time
+// per sequence that produces an output token.
 package enginemodel
 
 import (
@@ -16,120 +15,132 @@
 	"github.com/clovertiller/clovertiller/internal/prefix"
 )
 
-// Settings are the engine's speeds and sizes.
+// Settings configures the speed and the capacity of an engine.
 type Settings struct {
-	CapacityBlocks int
-	MaxRunning     int
-	MaxWaiting     int
-	StepBase       time.Duration
-	PerPromptToken time.Duration
-	PerSequence    time.Duration
-	// PromptBudget bounds the prompt tokens computed in one step.
-	PromptBudget int
+	CacheBlocks        int
+	MaxRunning         int
+	MaxWaiting         int
+	BaseStepTime       time.Duration
+	TimePerPromptToken time.Duration
+	TimePerSequence    time.Duration
+	// MaxStepPromptTokens is the maximum number of prompt tokens computed in one step.
+	MaxStepPromptTokens int
 }
 
-// DefaultSettings returns a small, fast engine for stand-ins.
+// DefaultSettings returns the settings of a small and fast engine, for tests in real time.
 func DefaultSettings() Settings {
 	return Settings{
-		CapacityBlocks: 4096,
-		MaxRunning:     16,
-		MaxWaiting:     1024,
-		StepBase:       4 * time.Millisecond,
-		PerPromptToken: 20 * time.Microsecond,
-		PerSequence:    100 * time.Microsecond,
-		PromptBudget:   1024,
+		CacheBlocks:         4096,
+		MaxRunning:          16,
+		MaxWaiting:          1024,
+		BaseStepTime:        4 * time.Millisecond,
+		TimePerPromptToken:  20 * time.Microsecond,
+		TimePerSequence:     100 * time.Microsecond,
+		MaxStepPromptTokens: 1024,
 	}
 }
 
-// PromptRate returns the prompt tokens computed a second at full budget.
-func (s Settings) PromptRate() int {
-	step := s.StepBase + time.Duration(s.PromptBudget)*s.PerPromptToken
-	return int(float64(s.PromptBudget) / step.Seconds())
+// MaxPrefillRate returns the prompt tokens computed per second when each step computes
+// MaxStepPromptTokens and produces no output.
+func (s Settings) MaxPrefillRate() int {
+	stepTime := s.BaseStepTime + time.Duration(s.MaxStepPromptTokens)*s.TimePerPromptToken
+	return int(float64(s.MaxStepPromptTokens) / stepTime.Seconds())
 }
 
-// ID identifies one attempt of a request.
+// ID identifies an attempt of a request.
 type ID struct {
 	Request string
 	Attempt uint32
 }
 
-// Job is one attempt to run.
+// Job is an attempt that an engine is to run.
 type Job struct {
-	ID           ID
-	Chain        prefix.Chain
-	BlockTokens  int
+	ID ID
+	// Chain holds the hashes of the prompt's cache blocks, BlockTokens the size of a block.
+	Chain       prefix.Chain
+	BlockTokens int
+	// PromptTokens is the number of tokens to process before the first output token, including
+	// the output of earlier attempts.
 	PromptTokens int
-	// FirstToken is the number of output tokens an earlier attempt produced.
-	FirstToken int
-	// TotalTokens is the number of output tokens at which the job ends.
-	TotalTokens int
-	Priority    int
+	// FirstOutputToken is the number of output tokens that earlier attempts have produced.
+	FirstOutputToken int
+	// TotalOutputTokens is the length of the whole output, including that of earlier attempts.
+	TotalOutputTokens int
+	// Priority orders jobs; a lower value is more urgent.
+	Priority int
 }
 
-// sequence is a job in the engine.
+// sequence is the state of a queued or running job.
 type sequence struct {
-	job      Job
-	arrival  uint64
-	computed int
-	pinned   []uint64
-	started  bool
-	cached   int
-	produced int
-	// chunk is the prompt tokens being computed in the current step.
-	chunk  int
-	decode bool
+	job Job
+	// arrival is the job's position in the order of submission.
+	arrival uint64
+	// processedTokens is the number of prompt tokens that were computed or found in the cache.
+	processedTokens int
+	pinnedBlocks    []uint64
+	started         bool
+	// cachedTokens is the number of prompt tokens that were in the cache at the start.
+	cachedTokens int
+	// producedTokens is the number of output tokens so far, including those of earlier attempts.
+	producedTokens int
+	// stepTokens is the number of prompt tokens that the current step computes.
+	stepTokens     int
+	producesOutput bool
 }
 
-func (s *sequence) remaining() int { return max(s.job.PromptTokens-s.computed, 0) }
+func (s *sequence) remainingTokens() int { return max(s.job.PromptTokens-s.processedTokens, 0) }
 
-// Output is what a step produced for a job.
+// Output is the effect of a step on a job: the start of its run or output tokens.
 type Output struct {
 	ID ID
-	// Started is true once, when the job's prompt begins to be computed.
-	Started      bool
+	// Started is true in a single Output per job, when the computation of its prompt starts.
+	Started bool
+	// CachedTokens is the number of prompt tokens that were in the cache at the start.
 	CachedTokens int
-	Offset       int
-	Count        int
-	Finished     bool
+	// Offset and Count are the position of the first new output token and their number.
+	Offset   int
+	Count    int
+	Finished bool
 }
 
-// Engine is the model. It is not safe for concurrent use.
+// Engine is the model of an engine. It is not safe for concurrent use.
 type Engine struct {
-	settings Settings
-	cache    *blockCache
-	running  []*sequence
-	waiting  []*sequence
-	arrivals uint64
-	// computedTokens counts all prompt tokens computed.
+	settings     Settings
+	cache        *blockCache
+	running      []*sequence
+	waiting      []*sequence
+	arrivalCount uint64
+	// computedTokens is the number of prompt tokens computed so far.
 	computedTokens uint64
 }
 
 // New returns an idle engine with an empty cache.
 func New(settings Settings) *Engine {
-	return &Engine{settings: settings, cache: newBlockCache(settings.CapacityBlocks)}
+	return &Engine{settings: settings, cache: newBlockCache(settings.CacheBlocks)}
 }
 
-// Submit queues a job. It returns false when the queue is full.
+// Submit queues a job. It returns false if the queue is full.
 func (e *Engine) Submit(job Job) bool {
 	if len(e.waiting) >= e.settings.MaxWaiting {
 		return false
 	}
-	e.arrivals++
-	queued := &sequence{job: job, arrival: e.arrivals, produced: job.FirstToken}
-	queued.computed = min(e.cache.depth(job.Chain)*job.BlockTokens, max(job.PromptTokens-1, 0))
+	e.arrivalCount++
+	queued := &sequence{job: job, arrival: e.arrivalCount, producedTokens: job.FirstOutputToken}
+	queued.processedTokens = min(e.cache.cachedDepth(job.Chain)*job.BlockTokens, max(job.PromptTokens-1, 0))
 	e.waiting = append(e.waiting, queued)
-	slices.SortStableFunc(e.waiting, before)
+	slices.SortStableFunc(e.waiting, compareSequences)
 	return true
 }
 
-func before(a, b *sequence) int {
+// compareSequences orders sequences by priority, then by arrival.
+func compareSequences(a, b *sequence) int {
 	if a.job.Priority != b.job.Priority {
 		return a.job.Priority - b.job.Priority
 	}
 	return int(int64(a.arrival) - int64(b.arrival))
 }
 
-// Cancel removes a job. It tells whether the job was there.
+// Cancel removes a queued or running job. It reports whether there was such a job.
 func (e *Engine) Cancel(id ID) bool {
 	matches := func(s *sequence) bool { return s.job.ID == id }
 	if i := slices.IndexFunc(e.waiting, matches); i >= 0 {
@@ -137,117 +148,118 @@
 		return true
 	}
 	if i := slices.IndexFunc(e.running, matches); i >= 0 {
-		e.cache.unpin(e.running[i].pinned)
+		e.cache.unpin(e.running[i].pinnedBlocks)
 		e.running = slices.Delete(e.running, i, i+1)
 		return true
 	}
 	return false
 }
 
-// Busy tells whether a step has anything to do.
+// Busy reports whether there are queued or running jobs.
 func (e *Engine) Busy() bool { return len(e.running)+len(e.waiting) > 0 }
 
-// BeginStep plans a step and returns how long it takes; outputs of the start of
-// jobs are returned at once. EndStep must follow after the duration.
+// BeginStep plans the next step. It returns the step's duration, after which the caller must
+// call EndStep, and an Output for each job that the step starts.
 func (e *Engine) BeginStep() (time.Duration, []Output) {
 	e.admit()
-	budget := e.settings.PromptBudget
-	duration := e.settings.StepBase
+	budget := e.settings.MaxStepPromptTokens
+	duration := e.settings.BaseStepTime
 	var started []Output
-	slices.SortStableFunc(e.running, before)
+	slices.SortStableFunc(e.running, compareSequences)
 	for _, s := range e.running {
-		s.chunk, s.decode = 0, false
-		e.skipCached(s)
-		if s.remaining() > 0 {
-			s.chunk = min(s.remaining(), budget)
-			budget -= s.chunk
-			duration += time.Duration(s.chunk) * e.settings.PerPromptToken
+		s.stepTokens, s.producesOutput = 0, false
+		e.skipCachedBlocks(s)
+		if s.remainingTokens() > 0 {
+			s.stepTokens = min(s.remainingTokens(), budget)
+			budget -= s.stepTokens
+			duration += time.Duration(s.stepTokens) * e.settings.TimePerPromptToken
 		}
-		if s.chunk > 0 && !s.started {
+		if s.stepTokens > 0 && !s.started {
 			s.started = true
-			s.cached = s.computed
-			started = append(started, Output{ID: s.job.ID, Started: true, CachedTokens: s.cached})
+			s.cachedTokens = s.processedTokens
+			started = append(started, Output{ID: s.job.ID, Started: true, CachedTokens: s.cachedTokens})
 		}
-		// The step that computes the last prompt token also gives the first output token.
-		if s.chunk == s.remaining() {
-			s.decode = true
-			duration += e.settings.PerSequence
+		// The step that computes the last prompt token also produces the first output token.
+		if s.stepTokens == s.remainingTokens() {
+			s.producesOutput = true
+			duration += e.settings.TimePerSequence
 		}
 	}
 	return duration, started
 }
 
-// admit moves waiting jobs into the running batch.
+// admit moves waiting jobs into the running batch up to its maximum size.
 func (e *Engine) admit() {
 	for len(e.running) < e.settings.MaxRunning && len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		next.computed = 0
+		next.processedTokens = 0
 		e.running = append(e.running, next)
 	}
 }
 
-// skipCached moves over blocks that are cached, by this job's past or another
-// job's work. At least one prompt token is always computed.
-func (e *Engine) skipCached(s *sequence) {
+// skipCachedBlocks pins the next blocks of the sequence's prompt that are cached, and skips their
+// computation. It leaves at least one prompt token to compute.
+func (e *Engine) skipCachedBlocks(s *sequence) {
 	for {
-		index := s.computed / s.job.BlockTokens
-		if s.computed%s.job.BlockTokens != 0 || index >= len(s.job.Chain) {
+		index := s.processedTokens / s.job.BlockTokens
+		if s.processedTokens%s.job.BlockTokens != 0 || index >= len(s.job.Chain) {
 			return
 		}
-		if s.computed+s.job.BlockTokens >= s.job.PromptTokens || !e.cache.pin(s.job.Chain[index]) {
+		if s.processedTokens+s.job.BlockTokens >= s.job.PromptTokens || !e.cache.pin(s.job.Chain[index]) {
 			return
 		}
-		s.pinned = append(s.pinned, s.job.Chain[index])
-		s.computed += s.job.BlockTokens
+		s.pinnedBlocks = append(s.pinnedBlocks, s.job.Chain[index])
+		s.processedTokens += s.job.BlockTokens
 	}
 }
 
-// EndStep completes the step and returns what it produced.
+// EndStep completes the current step and returns its output.
 func (e *Engine) EndStep() []Output {
 	var outputs []Output
-	kept := e.running[:0]
+	unfinished := e.running[:0]
 	for _, s := range e.running {
-		e.store(s)
-		if s.decode && s.remaining() == 0 {
-			output := Output{ID: s.job.ID, CachedTokens: s.cached, Offset: s.produced}
-			if s.produced < s.job.TotalTokens {
-				s.produced++
+		e.storeBlocks(s)
+		if s.producesOutput && s.remainingTokens() == 0 {
+			output := Output{ID: s.job.ID, CachedTokens: s.cachedTokens, Offset: s.producedTokens}
+			if s.producedTokens < s.job.TotalOutputTokens {
+				s.producedTokens++
 				output.Count = 1
 			}
-			output.Finished = s.produced >= s.job.TotalTokens
+			output.Finished = s.producedTokens >= s.job.TotalOutputTokens
 			outputs = append(outputs, output)
 			if output.Finished {
-				e.cache.unpin(s.pinned)
+				e.cache.unpin(s.pinnedBlocks)
 				continue
 			}
 		}
-		kept = append(kept, s)
+		unfinished = append(unfinished, s)
 	}
-	clear(e.running[len(kept):])
-	e.running = kept
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 	return outputs
 }
 
-// store adds the blocks that the step completed to the cache.
-func (e *Engine) store(s *sequence) {
-	first := s.computed / s.job.BlockTokens
-	s.computed += s.chunk
-	e.computedTokens += uint64(s.chunk)
-	s.chunk = 0
-	last := min(s.computed/s.job.BlockTokens, len(s.job.Chain))
+// storeBlocks advances the sequence by the prompt tokens of the step, and adds the blocks that
+// are complete now to the cache.
+func (e *Engine) storeBlocks(s *sequence) {
+	first := s.processedTokens / s.job.BlockTokens
+	s.processedTokens += s.stepTokens
+	e.computedTokens += uint64(s.stepTokens)
+	s.stepTokens = 0
+	last := min(s.processedTokens/s.job.BlockTokens, len(s.job.Chain))
 	for i := first; i < last; i++ {
 		block := engineapi.Block{Hash: s.job.Chain[i], Root: s.job.Chain[0], Depth: i + 1}
 		if e.cache.insert(block) {
-			s.pinned = append(s.pinned, block.Hash)
+			s.pinnedBlocks = append(s.pinnedBlocks, block.Hash)
 		}
 	}
 }
 
-// ClearCache drops all cached blocks; no job may be in the engine.
+// ClearCache removes all cached blocks. There must be no queued or running job.
 func (e *Engine) ClearCache() { e.cache.clear() }
 
-// TakeCacheChanges returns the blocks cached and evicted since the last call.
+// TakeCacheChanges returns the blocks added to and removed from the cache since the last call.
 func (e *Engine) TakeCacheChanges() (added, removed []engineapi.Block) {
 	added, removed = e.cache.added, e.cache.removed
 	e.cache.added, e.cache.removed = nil, nil
@@ -255,25 +267,26 @@
 }
 
 // Blocks returns all cached blocks.
-func (e *Engine) Blocks() []engineapi.Block { return e.cache.list() }
+func (e *Engine) Blocks() []engineapi.Block { return e.cache.allBlocks() }
 
-// CachedDepth returns how many blocks of a chain are cached now.
-func (e *Engine) CachedDepth(chain prefix.Chain) int { return e.cache.depth(chain) }
+// CachedDepth returns the number of blocks of the chain that are cached without a gap from its
+// start.
+func (e *Engine) CachedDepth(chain prefix.Chain) int { return e.cache.cachedDepth(chain) }
 
 // ComputedTokens returns the number of prompt tokens computed so far.
 func (e *Engine) ComputedTokens() uint64 { return e.computedTokens }
 
-// Load returns the engine's load now.
+// Load returns the engine's current load.
 func (e *Engine) Load() fleet.Load {
 	load := fleet.Load{
 		Running:     len(e.running),
 		Waiting:     len(e.waiting),
-		PrefillRate: e.settings.PromptRate(),
+		PrefillRate: e.settings.MaxPrefillRate(),
 		MaxRunning:  e.settings.MaxRunning,
 	}
-	for _, group := range [][]*sequence{e.running, e.waiting} {
-		for _, s := range group {
-			load.QueuedTokens[fleet.PriorityClass(s.job.Priority)] += s.remaining()
+	for _, sequences := range [][]*sequence{e.running, e.waiting} {
+		for _, s := range sequences {
+			load.QueuedTokens[fleet.PriorityClass(s.job.Priority)] += s.remainingTokens()
 		}
 	}
 	return load
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -387,16 +387,16 @@
 	}
 	id := enginemodel.ID{Request: body.Request, Attempt: body.Attempt}
 	prompt := enginemodel.Prompt{Model: body.Model, Adapter: body.Adapter, WeightVersion: body.WeightVersion, Text: body.Prompt}
-	totalTokens, endsNaturally := prompt.Length(body.MaxTokens)
+	totalTokens, endsNaturally := prompt.OutputLength(body.MaxTokens)
 	stream := &attemptStream{request: body, prompt: prompt, totalTokens: totalTokens, endsNaturally: endsNaturally, producedTokens: body.GeneratedTokens, changed: make(chan struct{})}
 	job := enginemodel.Job{
-		ID:           id,
-		Chain:        prefix.NewChain(prefix.Salt(body.CacheSalt), body.Prompt, body.BlockBytes),
-		BlockTokens:  body.BlockBytes / prefix.BytesPerToken,
-		PromptTokens: max(prefix.EstimateTokens(len(body.Prompt))+body.GeneratedTokens, 1),
-		FirstToken:   body.GeneratedTokens,
-		TotalTokens:  totalTokens,
-		Priority:     body.Priority,
+		ID:                id,
+		Chain:             prefix.NewChain(prefix.Salt(body.CacheSalt), body.Prompt, body.BlockBytes),
+		BlockTokens:       body.BlockBytes / prefix.BytesPerToken,
+		PromptTokens:      max(prefix.EstimateTokens(len(body.Prompt))+body.GeneratedTokens, 1),
+		FirstOutputToken:  body.GeneratedTokens,
+		TotalOutputTokens: totalTokens,
+		Priority:          body.Priority,
 	}
 	if !s.engine.Submit(job) {
 		return nil, &engineapi.Refusal{Code: engineapi.CodeQueueFull, Message: "queue is full"}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -359,6 +359,6 @@
 // Expected returns the text that the engine must produce for a request.
 func Expected(request workload.Request, weightVersion string) string {
 	prompt := enginemodel.Prompt{Model: request.Model, WeightVersion: weightVersion, Text: request.Prompt()}
-	length, _ := prompt.Length(request.MaxTokens)
+	length, _ := prompt.OutputLength(request.MaxTokens)
 	return prompt.Output(0, length)
 }
