--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -172,5 +172,5 @@
 	if err := json.NewDecoder(response.Body).Decode(&runs); err != nil {
 		return 0, err
 	}
-	return report.Duplicated(runs, engineserver.PromptDigest), nil
+	return report.DuplicatedRuns(runs, engineserver.PromptDigest), nil
 }
--- a/internal/lab/cluster/calls.go
+++ b/internal/lab/cluster/calls.go
@@ -32,7 +32,7 @@
 type Outcome struct {
 	// Status is the HTTP status, or 0 without a response.
 	Status     int
-	Completion load.Answer
+	Completion load.Completion
 	// Code and RunState are those of the error in the response; both are empty without one.
 	Code     string
 	RunState string
@@ -76,7 +76,7 @@
 	if err != nil {
 		return Outcome{Err: err}
 	}
-	request.Header.Set("Authorization", "Bearer "+load.KeyOf(call.Tenant))
+	request.Header.Set("Authorization", "Bearer "+load.APIKey(call.Tenant))
 	if call.IdempotencyKey != "" {
 		request.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -234,7 +234,7 @@
 
 // APIKeyHash returns the hash by which a tenant's API key is stored in its spec.
 func APIKeyHash(tenant string) string {
-	digest := sha256.Sum256([]byte(load.KeyOf(tenant)))
+	digest := sha256.Sum256([]byte(load.APIKey(tenant)))
 	return hex.EncodeToString(digest[:])
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends generated requests to routers, checks every answer
-// against what the engine must produce, and reports the users' measures.
+// Package load is a load generator. It sends generated requests to routers, checks every
+// completion against the text that the engine must produce, and reports hit rates and latencies.
 package load
 
 import (
@@ -22,48 +22,53 @@
 	"github.com/clovertiller/clovertiller/internal/lab/workload"
 )
 
-// Settings of one run.
+// Settings configures a run.
 type Settings struct {
-	// Routers are the HTTP addresses to spread requests over.
-	Routers     []string
+	// Routers are the HTTP addresses of the routers over which requests are distributed.
+	Routers []string
+	// Requests is the total number of requests, Concurrency the maximum number at once.
 	Requests    int
 	Concurrency int
-	// RequestsPerSecond paces the requests; 0 sends as fast as answers come.
+	// RequestsPerSecond limits the rate of new requests; 0 means no limit other than
+	// Concurrency.
 	RequestsPerSecond float64
 	Seed              uint64
 	Workload          workload.Settings
-	// Progress is called after each tenth of the requests.
+	// Progress, if not nil, is called whenever another tenth of the requests has been started.
 	Progress func(percent int)
 }
 
-// KeyOf returns the bearer key of a generated tenant, as in examples/.
-func KeyOf(tenant string) string { return "key-" + tenant }
+// APIKey returns the API key of a generated tenant, as in the files of examples/.
+func APIKey(tenant string) string { return "key-" + tenant }
 
-// errNoRouter means that no router was ready in time.
-var errNoRouter = errors.New("no router is ready")
+// errNoReadyRouter means that no router became ready before the timeout.
+var errNoReadyRouter = errors.New("no router is ready")
 
-// runner is one run in progress.
-type runner struct {
+// activeRun is the state of a run.
+type activeRun struct {
 	settings Settings
 	client   *http.Client
-	ready    []atomic.Bool
-	next     atomic.Uint64
-	report   *Report
-	mutex    sync.Mutex
+	// routerReady holds whether each router was ready at the last poll.
+	routerReady []atomic.Bool
+	// nextRouter counts the searches of pickRouter, each of which starts at the next router.
+	nextRouter atomic.Uint64
+	report     *Report
+	mutex      sync.Mutex
 }
 
-// Run sends the requests and returns the report.
+// Run sends the requests and returns the report once all have ended. If ctx is done, it stops
+// early and reports the requests that were sent.
 func Run(ctx context.Context, settings Settings) *Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &runner{
-		settings: settings,
-		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: settings.Concurrency}},
-		ready:    make([]atomic.Bool, len(settings.Routers)),
-		report:   newReport(),
+	r := &activeRun{
+		settings:    settings,
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: settings.Concurrency}},
+		routerReady: make([]atomic.Bool, len(settings.Routers)),
+		report:      newReport(),
 	}
-	r.checkReady()
-	go r.watchReady(ctx)
+	r.checkReadiness()
+	go r.pollReadiness(ctx)
 	requests := make(chan workload.Request)
 	var group sync.WaitGroup
 	for range settings.Concurrency {
@@ -71,28 +76,29 @@
 		go func() {
 			defer group.Done()
 			for request := range requests {
-				r.one(ctx, request)
+				r.sendWithRetries(ctx, request)
 			}
 		}()
 	}
-	r.feed(ctx, requests)
+	r.produceRequests(ctx, requests)
 	close(requests)
 	group.Wait()
 	return r.report
 }
 
-func (r *runner) feed(ctx context.Context, requests chan<- workload.Request) {
+// produceRequests generates the requests at the configured rate and hands them to the senders.
+func (r *activeRun) produceRequests(ctx context.Context, requests chan<- workload.Request) {
 	generator := workload.NewGenerator(r.settings.Workload, r.settings.Seed)
-	var pace <-chan time.Time
+	var ticks <-chan time.Time
 	if r.settings.RequestsPerSecond > 0 {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / r.settings.RequestsPerSecond))
 		defer ticker.Stop()
-		pace = ticker.C
+		ticks = ticker.C
 	}
 	tenth := max(r.settings.Requests/10, 1)
 	for i := range r.settings.Requests {
-		if pace != nil {
-			<-pace
+		if ticks != nil {
+			<-ticks
 		}
 		select {
 		case requests <- generator.Next():
@@ -105,23 +111,24 @@
 	}
 }
 
-// readyInterval is how often the routers' readiness is asked, as a balancer would.
-const readyInterval = 100 * time.Millisecond
+// readinessInterval is the interval at which the routers' readiness is polled, like the health
+// checks of a load balancer.
+const readinessInterval = 100 * time.Millisecond
 
-func (r *runner) watchReady(ctx context.Context) {
-	ticker := time.NewTicker(readyInterval)
+func (r *activeRun) pollReadiness(ctx context.Context) {
+	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			r.checkReady()
+			r.checkReadiness()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *runner) checkReady() {
+func (r *activeRun) checkReadiness() {
 	var group sync.WaitGroup
 	for i, router := range r.settings.Routers {
 		group.Add(1)
@@ -137,43 +144,46 @@
 			if err == nil {
 				response.Body.Close()
 			}
-			r.ready[i].Store(err == nil && response.StatusCode == http.StatusOK)
+			r.routerReady[i].Store(err == nil && response.StatusCode == http.StatusOK)
 		}()
 	}
 	group.Wait()
 }
 
-func (r *runner) pickRouter(ctx context.Context) (string, error) {
+// pickRouter returns the next ready router in round-robin order. It waits up to ten seconds for
+// one to become ready, then returns errNoReadyRouter.
+func (r *activeRun) pickRouter(ctx context.Context) (string, error) {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		start := r.next.Add(1)
+		start := r.nextRouter.Add(1)
 		for i := range r.settings.Routers {
 			index := int(start+uint64(i)) % len(r.settings.Routers)
-			if r.ready[index].Load() {
+			if r.routerReady[index].Load() {
 				return r.settings.Routers[index], nil
 			}
 		}
-		time.Sleep(readyInterval)
+		time.Sleep(readinessInterval)
 	}
-	return "", errNoRouter
+	return "", errNoReadyRouter
 }
 
-// maxAsks bounds how often a request is asked again after an honest "not run".
-const maxAsks = 8
+// maxAttempts is the maximum number of times that a request is sent, including retries.
+const maxAttempts = 8
 
-// one sends a request, again after each refusal that says "not run" and when
-// to come back, as a well-behaved caller does.
-func (r *runner) one(ctx context.Context, request workload.Request) {
+// sendWithRetries sends a request and adds its result to the report. Like a well-behaved client,
+// it retries a request that was not run, or that is repeatable, after the delay that the response
+// demands.
+func (r *activeRun) sendWithRetries(ctx context.Context, request workload.Request) {
 	result := Result{Request: request}
 	start := time.Now()
-	for ask := 0; ask < maxAsks; ask++ {
+	for attempt := 0; attempt < maxAttempts; attempt++ {
 		router, err := r.pickRouter(ctx)
 		if err != nil {
 			result.Failure = err.Error()
 			break
 		}
-		retryAfter, again := r.ask(ctx, router, request, &result)
-		if !again {
+		retryAfter, retry := r.sendOnce(ctx, router, request, &result)
+		if !retry {
 			break
 		}
 		result.Refusals++
@@ -182,60 +192,60 @@
 		case <-ctx.Done():
 		}
 	}
-	result.Total = time.Since(start)
+	result.Elapsed = time.Since(start)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report.add(result)
 }
 
-// callBody is the request in the usual API's form.
-type callBody struct {
+// chatRequest is the body of a chat completion request.
+type chatRequest struct {
 	Model         string        `json:"model"`
-	Messages      []callMessage `json:"messages"`
+	Messages      []chatMessage `json:"messages"`
 	MaxTokens     int           `json:"max_tokens"`
 	Stream        bool          `json:"stream"`
-	StreamOptions callOptions   `json:"stream_options"`
+	StreamOptions streamOptions `json:"stream_options"`
 	Repeatable    bool          `json:"repeatable"`
 }
 
-type callMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type callOptions struct {
+type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// NewCall returns the HTTP request for a generated one.
-func NewCall(ctx context.Context, router string, request workload.Request) (*http.Request, error) {
-	body := callBody{
-		Model: request.Model, MaxTokens: request.MaxTokens, Stream: true, StreamOptions: callOptions{IncludeUsage: true},
-		Messages:   []callMessage{{"system", request.System}, {"user", request.User}},
+// NewHTTPRequest returns the HTTP request that sends a generated request to a router.
+func NewHTTPRequest(ctx context.Context, router string, request workload.Request) (*http.Request, error) {
+	body := chatRequest{
+		Model: request.Model, MaxTokens: request.MaxTokens, Stream: true, StreamOptions: streamOptions{IncludeUsage: true},
+		Messages:   []chatMessage{{"system", request.System}, {"user", request.User}},
 		Repeatable: !request.Unrepeatable,
 	}
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+"/v1/chat/completions", bytes.NewReader(encoded))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+"/v1/chat/completions", bytes.NewReader(encoded))
 	if err != nil {
 		return nil, err
 	}
-	call.Header.Set("Content-Type", "application/json")
-	call.Header.Set("Authorization", "Bearer "+KeyOf(request.Tenant))
+	httpRequest.Header.Set("Content-Type", "application/json")
+	httpRequest.Header.Set("Authorization", "Bearer "+APIKey(request.Tenant))
 	if request.Unrepeatable {
 		key, err := uuid.NewV7()
 		if err != nil {
 			return nil, err
 		}
-		call.Header.Set("Idempotency-Key", key.String())
+		httpRequest.Header.Set("Idempotency-Key", key.String())
 	}
-	return call, nil
+	return httpRequest, nil
 }
 
-// refusal is the part of an error answer that decides what the caller does.
-type refusal struct {
+// errorResponse is the part of an error response that determines whether to retry.
+type errorResponse struct {
 	Error struct {
 		Message          string `json:"message"`
 		Code             string `json:"code"`
@@ -244,57 +254,61 @@
 	} `json:"error"`
 }
 
-// ask sends the request once. It tells whether to ask again, and when.
-func (r *runner) ask(ctx context.Context, router string, request workload.Request, result *Result) (time.Duration, bool) {
-	call, err := NewCall(ctx, router, request)
+// sendOnce sends the request once and stores the outcome in result. It returns whether to retry,
+// and after which delay.
+func (r *activeRun) sendOnce(ctx context.Context, router string, request workload.Request, result *Result) (time.Duration, bool) {
+	httpRequest, err := NewHTTPRequest(ctx, router, request)
 	if err != nil {
 		result.Failure = err.Error()
 		return 0, false
 	}
-	sent := time.Now()
-	response, err := r.client.Do(call)
+	sentAt := time.Now()
+	response, err := r.client.Do(httpRequest)
 	if err != nil {
-		// Without an answer an unrepeatable request must not be sent again.
+		// Without a response an unrepeatable request may have run, so it must not be retried.
 		result.Failure = err.Error()
-		return readyInterval, !request.Unrepeatable
+		return readinessInterval, !request.Unrepeatable
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return r.refused(response, request, result)
+		return r.handleErrorResponse(response, request, result)
 	}
-	answer := ReadStream(response.Body, sent)
-	answer.WeightVersion = response.Header.Get("X-Clovertiller-Weight-Version")
-	result.take(answer)
+	completion := ReadStream(response.Body, sentAt)
+	completion.WeightVersion = response.Header.Get("X-Clovertiller-Weight-Version")
+	result.setCompletion(completion)
 	return 0, false
 }
 
-func (r *runner) refused(response *http.Response, request workload.Request, result *Result) (time.Duration, bool) {
-	var body refusal
+func (r *activeRun) handleErrorResponse(response *http.Response, request workload.Request, result *Result) (time.Duration, bool) {
+	var body errorResponse
 	content, _ := io.ReadAll(io.LimitReader(response.Body, 1<<16))
 	if json.Unmarshal(content, &body) != nil {
 		result.Failure = fmt.Sprintf("status %d: %s", response.StatusCode, content)
 		return 0, false
 	}
 	result.Failure = body.Error.Code + ": " + body.Error.RunState + ": " + body.Error.Message
-	mayRepeat := body.Error.RunState == "not_run" || !request.Unrepeatable
-	return time.Duration(body.Error.RetryAfterMillis) * time.Millisecond, mayRepeat && body.Error.RetryAfterMillis > 0
+	mayRetry := body.Error.RunState == "not_run" || !request.Unrepeatable
+	return time.Duration(body.Error.RetryAfterMillis) * time.Millisecond, mayRetry && body.Error.RetryAfterMillis > 0
 }
 
-// Answer is one streamed answer as it was read.
-type Answer struct {
-	Text          string
-	Chunks        int
-	Done          bool
-	ErrorCode     string
-	ErrorRunState string
-	FinishReason  string
-	CachedTokens  int
-	PromptTokens  int
-	FirstToken    time.Duration
-	WeightVersion string
+// Completion is a streamed completion as the client received it.
+type Completion struct {
+	Text string
+	// Chunks is the number of received chunks with output.
+	Chunks int
+	// Done means that the stream ended with its [DONE] marker.
+	Done bool
+	// ErrorCode and ErrorRunState are those of an error within the stream.
+	ErrorCode        string
+	ErrorRunState    string
+	FinishReason     string
+	CachedTokens     int
+	PromptTokens     int
+	TimeToFirstToken time.Duration
+	WeightVersion    string
 }
 
-// streamChunk is one event of a streamed answer.
+// streamChunk is the data of one event of a streamed completion.
 type streamChunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -315,9 +329,9 @@
 	} `json:"error"`
 }
 
-// ReadStream reads a streamed answer to its end.
-func ReadStream(body io.Reader, sent time.Time) Answer {
-	var answer Answer
+// ReadStream reads a streamed completion to its end. TimeToFirstToken is measured from sentAt.
+func ReadStream(body io.Reader, sentAt time.Time) Completion {
+	var completion Completion
 	var text strings.Builder
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 16<<10), 1<<20)
@@ -327,37 +341,37 @@
 			continue
 		}
 		if data == "[DONE]" {
-			answer.Done = true
+			completion.Done = true
 			continue
 		}
 		var chunk streamChunk
 		if json.Unmarshal([]byte(data), &chunk) != nil {
-			answer.ErrorCode = "unreadable chunk"
+			completion.ErrorCode = "unreadable chunk"
 			continue
 		}
 		if chunk.Error != nil {
-			answer.ErrorCode, answer.ErrorRunState = chunk.Error.Code, chunk.Error.RunState
+			completion.ErrorCode, completion.ErrorRunState = chunk.Error.Code, chunk.Error.RunState
 		}
 		if chunk.Usage != nil {
-			answer.PromptTokens, answer.CachedTokens = chunk.Usage.PromptTokens, chunk.Usage.Details.CachedTokens
+			completion.PromptTokens, completion.CachedTokens = chunk.Usage.PromptTokens, chunk.Usage.Details.CachedTokens
 		}
 		for _, choice := range chunk.Choices {
-			if answer.Chunks == 0 {
-				answer.FirstToken = time.Since(sent)
+			if completion.Chunks == 0 {
+				completion.TimeToFirstToken = time.Since(sentAt)
 			}
-			answer.Chunks++
+			completion.Chunks++
 			text.WriteString(choice.Text + choice.Delta.Content)
 			if choice.FinishReason != nil {
-				answer.FinishReason = *choice.FinishReason
+				completion.FinishReason = *choice.FinishReason
 			}
 		}
 	}
-	answer.Text = text.String()
-	return answer
+	completion.Text = text.String()
+	return completion
 }
 
-// Expected returns the text that the engine must produce for a request.
-func Expected(request workload.Request, weightVersion string) string {
+// ExpectedText returns the text that an engine with these weights produces for a request.
+func ExpectedText(request workload.Request, weightVersion string) string {
 	prompt := enginemodel.Prompt{Model: request.Model, WeightVersion: weightVersion, Text: request.Prompt()}
 	length, _ := prompt.OutputLength(request.MaxTokens)
 	return prompt.Output(0, length)
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -12,71 +12,78 @@
 	"github.com/clovertiller/clovertiller/internal/lab/workload"
 )
 
-// Result is the outcome of one request.
+// Result is the outcome of a request.
 type Result struct {
-	Request  workload.Request
-	Answer   Answer
-	Complete bool
-	// Wrong is true when the text is not what the engine must produce.
-	Wrong    bool
+	Request    workload.Request
+	Completion Completion
+	Complete   bool
+	// WrongText means that the received text is not the text, or the start of the text, that the
+	// engine must produce.
+	WrongText bool
+	// Refusals is the number of attempts that failed with a retryable error.
 	Refusals int
-	Failure  string
-	Total    time.Duration
+	// Failure describes the last error, or is empty.
+	Failure string
+	// Elapsed is the time from the first attempt to the end of the last.
+	Elapsed time.Duration
 }
 
-func (r *Result) take(answer Answer) {
-	r.Answer = answer
-	r.Failure = answer.ErrorCode
-	r.Complete = answer.Done && answer.ErrorCode == ""
-	expected := Expected(r.Request, answer.WeightVersion)
+func (r *Result) setCompletion(completion Completion) {
+	r.Completion = completion
+	r.Failure = completion.ErrorCode
+	r.Complete = completion.Done && completion.ErrorCode == ""
+	expected := ExpectedText(r.Request, completion.WeightVersion)
 	if r.Complete {
-		r.Wrong = answer.Text != expected
+		r.WrongText = completion.Text != expected
 		return
 	}
-	// What arrived of a broken stream must still be the start of the answer.
-	r.Wrong = len(answer.Text) > len(expected) || expected[:len(answer.Text)] != answer.Text
+	// The text received before a stream broke must be a prefix of the expected text.
+	r.WrongText = len(completion.Text) > len(expected) || expected[:len(completion.Text)] != completion.Text
 }
 
-// Range of the first-token histograms, in microseconds.
+// Range of the histograms of the time to the first token, in microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = 600_000_000
+	minMicros = 1
+	maxMicros = 600_000_000
 )
 
-// Line is the measures of one class of requests.
-type Line struct {
+// ClassStats are the statistics of one class of requests, which is a row of the report.
+type ClassStats struct {
 	Sent, Complete, Refused int
 	PromptTokens            int
 	CachedTokens            int
-	FirstToken              *hdrhistogram.Histogram
+	TimeToFirstToken        *hdrhistogram.Histogram
 }
 
 // Report is the outcome of a run.
 type Report struct {
-	Lines    map[string]*Line
+	// Classes holds the statistics by class, which is the name of the workload and the class of
+	// its requests.
+	Classes  map[string]*ClassStats
 	Sent     int
 	Complete int
 	Wrong    int
+	// Failures counts the incomplete requests by their Result.Failure.
 	Failures map[string]int
-	// Results are all results, for checks against the engines' own counts.
+	// Results holds the results of all requests, for comparison with the engines' run counts.
 	Results []Result
 }
 
 func newReport() *Report {
-	return &Report{Lines: map[string]*Line{}, Failures: map[string]int{}}
+	return &Report{Classes: map[string]*ClassStats{}, Failures: map[string]int{}}
 }
 
 func (r *Report) add(result Result) {
 	class := string(result.Request.Workload) + " " + result.Request.Class
-	line := r.Lines[class]
-	if line == nil {
-		line = &Line{FirstToken: hdrhistogram.New(lowestMicros, highestMicros, 3)}
-		r.Lines[class] = line
+	stats := r.Classes[class]
+	if stats == nil {
+		stats = &ClassStats{TimeToFirstToken: hdrhistogram.New(minMicros, maxMicros, 3)}
+		r.Classes[class] = stats
 	}
 	r.Sent++
-	line.Sent++
-	line.Refused += result.Refusals
-	if result.Wrong {
+	stats.Sent++
+	stats.Refused += result.Refusals
+	if result.WrongText {
 		r.Wrong++
 	}
 	r.Results = append(r.Results, result)
@@ -85,41 +92,41 @@
 		return
 	}
 	r.Complete++
-	line.Complete++
-	line.PromptTokens += result.Answer.PromptTokens
-	line.CachedTokens += result.Answer.CachedTokens
-	// A value outside the histogram's range cannot occur within its bounds of time.
-	_ = line.FirstToken.RecordValue(max(result.Answer.FirstToken.Microseconds(), lowestMicros))
+	stats.Complete++
+	stats.PromptTokens += result.Completion.PromptTokens
+	stats.CachedTokens += result.Completion.CachedTokens
+	// The error can be ignored: no request takes longer than the histogram's range of 10 minutes.
+	_ = stats.TimeToFirstToken.RecordValue(max(result.Completion.TimeToFirstToken.Microseconds(), minMicros))
 }
 
-// Duplicated returns how many unrepeatable requests ran more than once and how
-// many complete requests never ran, by the engines' counts of prompts.
-func (r *Report) Duplicated(runs map[string]int, digest func(string) string) int {
-	duplicated := 0
+// DuplicatedRuns returns the number of unrepeatable requests that ran more than once, according
+// to the engines' run counts by prompt digest.
+func (r *Report) DuplicatedRuns(runCounts map[string]int, promptDigest func(string) string) int {
+	count := 0
 	for _, result := range r.Results {
-		if result.Request.Unrepeatable && runs[digest(result.Request.Prompt())] > 1 {
-			duplicated++
+		if result.Request.Unrepeatable && runCounts[promptDigest(result.Request.Prompt())] > 1 {
+			count++
 		}
 	}
-	return duplicated
+	return count
 }
 
-// Print writes the table of measures.
+// Print writes the statistics of each class as a table, and the failures.
 func (r *Report) Print(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tsent\tcomplete\trefusals\thit rate\trecomputed tokens\tfirst token p50\tp95\tp99\t")
-	classes := make([]string, 0, len(r.Lines))
-	for class := range r.Lines {
+	classes := make([]string, 0, len(r.Classes))
+	for class := range r.Classes {
 		classes = append(classes, class)
 	}
 	sort.Strings(classes)
 	for _, class := range classes {
-		line := r.Lines[class]
+		stats := r.Classes[class]
 		quantile := func(q float64) string {
-			return (time.Duration(line.FirstToken.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond).String()
+			return (time.Duration(stats.TimeToFirstToken.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond).String()
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.3f\t%d\t%s\t%s\t%s\t\n", class, line.Sent, line.Complete, line.Refused,
-			float64(line.CachedTokens)/float64(max(line.PromptTokens, 1)), line.PromptTokens-line.CachedTokens, quantile(50), quantile(95), quantile(99))
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.3f\t%d\t%s\t%s\t%s\t\n", class, stats.Sent, stats.Complete, stats.Refused,
+			float64(stats.CachedTokens)/float64(max(stats.PromptTokens, 1)), stats.PromptTokens-stats.CachedTokens, quantile(50), quantile(95), quantile(99))
 	}
 	table.Flush()
 	for failure, count := range r.Failures {
--- a/test/prove/restart_test.go
+++ b/test/prove/restart_test.go
@@ -24,7 +24,7 @@
 		outcome := c.Do(context.Background(), router, call)
 		if outcome.Complete() {
 			Expect(cluster.HasExpectedText(call, outcome)).To(BeTrue())
-			return time.Since(begun) - outcome.Elapsed + outcome.Completion.FirstToken, refusals
+			return time.Since(begun) - outcome.Elapsed + outcome.Completion.TimeToFirstToken, refusals
 		}
 		if outcome.Status != 0 {
 			refusals++
