--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -11,7 +11,7 @@
 func (r *run) scheduleFaults() {
 	faults, length := r.settings.Faults, r.settings.Duration
 	if faults.Shift {
-		r.after(length/4, r.traffic.Shift)
+		r.after(length/4, r.traffic.ShiftPopularity)
 	}
 	if faults.Crash {
 		r.after(length/3, func() { r.crash(r.runners[0]) })
