--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -7,31 +7,31 @@
 	. "github.com/onsi/gomega"
 )
 
-func settings(policy Policy) Settings {
+func testSettings(policy Policy) Settings {
 	return Settings{
 		Deployment: Deployments()[1], Engine: EngineSettings(), Faults: AllFaults(), Policy: policy,
-		Rate: 60, Duration: 20 * time.Second, Seed: 5, Routers: 3, Stride: 1,
+		RequestsPerSecond: 60, Duration: 20 * time.Second, Seed: 5, Routers: 3, AnchorStride: 1,
 	}
 }
 
-func TestRunsAreAFunctionOfTheirSeed(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	g := NewWithT(t)
-	first, second := Run(settings(Product)), Run(settings(Product))
+	first, second := Run(testSettings(Product)), Run(testSettings(Product))
 	g.Expect(first.HitRate()).To(Equal(second.HitRate()))
 	g.Expect(first.Completed).To(Equal(second.Completed))
-	other := settings(Product)
+	other := testSettings(Product)
 	other.Seed = 6
 	g.Expect(Run(other).HitRate()).NotTo(Equal(first.HitRate()))
 }
 
-func TestEveryPolicyServesAndTheIndexBeatsChance(t *testing.T) {
+func TestAllPoliciesServeAndIndexBeatsRandom(t *testing.T) {
 	g := NewWithT(t)
-	hits := map[Policy]float64{}
+	hitRates := map[Policy]float64{}
 	for _, policy := range Policies() {
-		result := Run(settings(policy))
+		result := Run(testSettings(policy))
 		g.Expect(result.Completed).To(BeNumerically(">", 500), string(policy))
-		hits[policy] = result.HitRate()
+		hitRates[policy] = result.HitRate()
 	}
-	g.Expect(hits[Product]).To(BeNumerically(">", hits[Random]+0.05))
-	g.Expect(hits[Oracle]).To(BeNumerically(">", hits[Random]+0.05))
+	g.Expect(hitRates[Product]).To(BeNumerically(">", hitRates[Random]+0.05))
+	g.Expect(hitRates[Oracle]).To(BeNumerically(">", hitRates[Random]+0.05))
 }
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -8,77 +8,82 @@
 	"github.com/clovertiller/clovertiller/internal/lab/enginemodel"
 )
 
-func (r *run) scheduleFaults() {
-	faults, length := r.settings.Faults, r.settings.Duration
-	if faults.Shift {
-		r.after(length/4, r.traffic.ShiftPopularity)
+func (r *emulation) scheduleFaults() {
+	faults, duration := r.settings.Faults, r.settings.Duration
+	if faults.ShiftPopularity {
+		r.schedule(duration/4, r.generator.ShiftPopularity)
 	}
 	if faults.Crash {
-		r.after(length/3, func() { r.crash(r.runners[0]) })
+		r.schedule(duration/3, func() { r.crashRunner(r.runners[0]) })
 	}
-	if faults.HerdRestart {
-		r.after(length/2, r.herdRestart)
+	if faults.RestartRouters {
+		r.schedule(duration/2, r.restartRouters)
 	}
-	if faults.Cut {
-		r.after(length*11/20, func() { r.cut = true })
-		r.after(length*13/20, func() { r.cut = false })
+	if faults.Partition {
+		r.schedule(duration*11/20, func() { r.partitioned = true })
+		r.schedule(duration*13/20, func() { r.partitioned = false })
 	}
 	if faults.Rollout {
-		r.after(length*2/3, func() {
-			r.version = "v2"
-			r.rollNext()
+		r.schedule(duration*2/3, func() {
+			r.weightVersion = "v2"
+			r.continueRollout()
 		})
 	}
 }
 
-// crash restarts an engine with an empty cache; what it was running goes elsewhere.
-func (r *run) crash(one *runner) {
-	lost := slices.SortedFunc(maps.Values(one.open), func(a, b *pending) int { return strings.Compare(a.id.Request, b.id.Request) })
-	r.startEngine(one)
-	for _, p := range lost {
-		// A begun stream continues elsewhere; its first token has been counted.
-		if !p.first {
-			r.place(p)
+// crashRunner restarts an engine with an empty cache. Its requests that have produced no token
+// yet are placed again.
+func (r *emulation) crashRunner(runner *emulatedRunner) {
+	interrupted := slices.SortedFunc(maps.Values(runner.activeRequests), func(a, b *pendingRequest) int { return strings.Compare(a.id.Request, b.id.Request) })
+	r.startEngine(runner)
+	for _, pending := range interrupted {
+		// A started stream would continue on another runner. That isn't emulated, since the time
+		// to its first token has already been recorded.
+		if !pending.firstTokenProduced {
+			r.place(pending)
 		}
 	}
 }
 
-// herdRestart empties the routers' memory. Homes read the full lists again.
-func (r *run) herdRestart() {
-	r.startRouters()
-	for _, one := range r.runners {
-		one.tracker.Restart(one.incarnation)
-		r.deliverReport(r.report(one), one.sequence)
-		one.sequence++
+// restartRouters restarts all routers with empty state at the same time. They receive each runner's
+// report immediately, and its full list of cached blocks after its next event.
+func (r *emulation) restartRouters() {
+	r.createRouters()
+	for _, runner := range r.runners {
+		runner.tracker.Restart(runner.incarnation)
+		r.deliverReport(r.runnerReport(runner), runner.eventSequence)
+		runner.eventSequence++
 	}
 }
 
-// rollNext loads the new weights on as many runners as may load at once.
-func (r *run) rollNext() {
-	for _, one := range r.runners {
-		if r.loads >= r.settings.Deployment.LoadsAtOnce {
+// continueRollout starts to load the new weights on further runners, up to the number of
+// concurrent loads.
+func (r *emulation) continueRollout() {
+	for _, runner := range r.runners {
+		if r.activeLoads >= r.settings.Deployment.ConcurrentLoads {
 			return
 		}
-		if one.version != r.version && !one.loading {
-			one.loading = true
-			r.loads++
-			r.load(one)
+		if runner.weightVersion != r.weightVersion && !runner.loading {
+			runner.loading = true
+			r.activeLoads++
+			r.loadWeights(runner)
 		}
 	}
 }
 
-// load waits for the running work, loads and serves again with an empty cache.
-func (r *run) load(one *runner) {
-	if one.model.Busy() {
-		r.after(publishInterval, func() { r.load(one) })
+// loadWeights waits until the runner's engine is idle, loads the new weights, and then serves
+// them with an empty cache.
+func (r *emulation) loadWeights(runner *emulatedRunner) {
+	if runner.engine.Busy() {
+		r.schedule(publishInterval, func() { r.loadWeights(runner) })
 		return
 	}
-	r.after(r.settings.Deployment.LoadTime, func() {
-		one.model.ClearCache()
-		one.version = r.version
-		one.loading = false
-		one.open = map[enginemodel.ID]*pending{}
-		r.loads--
-		r.rollNext()
+	r.schedule(r.settings.Deployment.LoadTime, func() {
+		runner.engine.ClearCache()
+		runner.weightVersion = r.weightVersion
+		runner.loading = false
+		runner.activeRequests = map[enginemodel.ID]*pendingRequest{}
+		r.activeLoads--
+		r.continueRollout()
 	})
 }
--- a/internal/lab/emulator/policy.go
+++ b/internal/lab/emulator/policy.go
@@ -8,11 +8,11 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// Policy names a way to choose runners.
+// Policy is the name of a policy that chooses a runner for each request.
 type Policy string
 
-// The policies. Product is the routers' own code; Oracle is the same scorer
-// with instant and exact knowledge of caches and loads; the others are baselines.
+// The policies. Product is the routers' own placement code. Oracle scores candidates with the
+// same code, but with immediate and exact knowledge of caches and loads. The others are baselines.
 const (
 	Random     Policy = "random"
 	RoundRobin Policy = "round robin"
@@ -22,20 +22,20 @@
 	Oracle     Policy = "oracle"
 )
 
-// Policies lists all policies in the order of reports.
+// Policies returns all policies in the order of reports.
 func Policies() []Policy {
 	return []Policy{Random, RoundRobin, LeastLoad, PrefixHash, Product, Oracle}
 }
 
-// baseline chooses by a simple rule among the runners that serve the version.
-type baseline struct {
+// baselinePolicy is a policy that doesn't use the cache index.
+type baselinePolicy struct {
 	policy Policy
 	random *rand.Rand
 	next   int
 }
 
-// choose returns an index into candidates, or -1 when there are none.
-func (b *baseline) choose(family uint64, candidates []placement.Runner, reports *fleet.Table) int {
+// choose returns the index of the chosen candidate, or -1 if there are no candidates.
+func (b *baselinePolicy) choose(family uint64, candidates []placement.Runner, table *fleet.Table) int {
 	if len(candidates) == 0 {
 		return -1
 	}
@@ -57,19 +57,21 @@
 			}
 		}
 	}
-	return b.leastLoaded(candidates, reports)
+	return b.leastLoaded(candidates, table)
 }
 
-func (b *baseline) leastLoaded(candidates []placement.Runner, reports *fleet.Table) int {
-	best, least := 0, -1
+// leastLoaded returns the index of the candidate with the fewest running and waiting requests
+// according to its last report. Of equals it takes the first after a random start.
+func (b *baselinePolicy) leastLoaded(candidates []placement.Runner, table *fleet.Table) int {
+	bestIndex, fewestRequests := 0, -1
 	start := b.random.IntN(len(candidates))
 	for i := range candidates {
 		index := (start + i) % len(candidates)
-		report, _ := reports.Get(candidates[index].Name)
-		open := report.Load.Running + report.Load.Waiting
-		if least < 0 || open < least {
-			best, least = index, open
+		report, _ := table.Get(candidates[index].Name)
+		requests := report.Load.Running + report.Load.Waiting
+		if fewestRequests < 0 || requests < fewestRequests {
+			bestIndex, fewestRequests = index, requests
 		}
 	}
-	return best
+	return bestIndex
 }
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -17,136 +17,145 @@
 	"github.com/clovertiller/clovertiller/internal/rendezvous"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is an action at a point in virtual time.
 type event struct {
-	at     time.Time
-	number uint64
-	do     func()
+	dueAt  time.Time
+	order  uint64
+	action func()
 }
 
-// agenda is a heap of events, earliest first, in order of making at equal times.
-type agenda []event
+// eventQueue is a heap of events, earliest first. Events at the same time are in the order in
+// which they were scheduled.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if !a[i].at.Equal(a[j].at) {
-		return a[i].at.Before(a[j].at)
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
+	if !a[i].dueAt.Equal(a[j].dueAt) {
+		return a[i].dueAt.Before(a[j].dueAt)
 	}
-	return a[i].number < a[j].number
+	return a[i].order < a[j].order
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// runner is one emulated engine with what its home knows of it.
-type runner struct {
-	name        string
-	index       int
-	incarnation uint64
-	model       *enginemodel.Engine
-	stepping    bool
-	loading     bool
-	version     string
-	sequence    uint64
-	tracker     *cacheindex.Tracker
-	open        map[enginemodel.ID]*pending
+// emulatedRunner is an emulated engine together with the state that its home router, the one
+// that follows its events, keeps about it.
+type emulatedRunner struct {
+	name           string
+	index          int
+	incarnation    uint64
+	engine         *enginemodel.Engine
+	stepRunning    bool
+	loading        bool
+	weightVersion  string
+	eventSequence  uint64
+	tracker        *cacheindex.Tracker
+	activeRequests map[enginemodel.ID]*pendingRequest
 }
 
-// pending is a request that has not ended.
-type pending struct {
+// pendingRequest is a request that has not ended.
+type pendingRequest struct {
 	request workload.Request
-	// text is the rendered prompt.
-	text     string
-	tier     int
-	arrived  time.Time
-	chain    prefix.Chain
-	salt     prefix.Salt
-	version  string
-	attempts int
-	cached   int
-	first    bool
-	asks     int
-	id       enginemodel.ID
+	// promptText is the rendered prompt. Its chain and salt depend on weightVersion.
+	promptText         string
+	tier               int
+	arrivedAt          time.Time
+	chain              prefix.Chain
+	salt               prefix.Salt
+	weightVersion      string
+	attempts           int
+	cachedTokens       int
+	firstTokenProduced bool
+	refusals           int
+	id                 enginemodel.ID
 }
 
-// router is one emulated router: an index shard, reports and recent placements.
-type router struct {
+// emulatedRouter is an emulated router. Its placer holds a shard of the cache index, the runners'
+// reports and the recent placements.
+type emulatedRouter struct {
 	placer *placement.Placer
 }
 
-// run is one run in progress.
-type run struct {
+// emulation is the state of a run.
+type emulation struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Time
-	end      time.Time
-	agenda   agenda
-	numbers  uint64
-	runners  []*runner
-	routers  []*router
-	names    []string
-	baseline *baseline
-	traffic  *workload.Generator
-	version  string
-	cut      bool
-	requests uint64
-	loads    int
-	owners   map[uint64]int
-	byName   map[string]*runner
-	result   *Result
+	// now is the current virtual time.
+	now         time.Time
+	endTime     time.Time
+	events      eventQueue
+	eventCount  uint64
+	runners     []*emulatedRunner
+	routers     []*emulatedRouter
+	runnerNames []string
+	baseline    *baselinePolicy
+	generator   *workload.Generator
+	// weightVersion is the version that the runners are to serve.
+	weightVersion string
+	partitioned   bool
+	requestCount  uint64
+	// activeLoads is the number of runners that are loading weights.
+	activeLoads int
+	// familyOwners caches the result of indexOwner as an index into routers.
+	familyOwners  map[uint64]int
+	runnersByName map[string]*emulatedRunner
+	result        *Result
 }
 
-// Run carries out one run.
+// Run emulates a run and returns its measurements.
 func Run(settings Settings) *Result {
-	r := &run{
-		settings: settings,
-		random:   rand.New(rand.NewPCG(settings.Seed, 7)),
-		now:      time.Unix(0, 0),
-		end:      time.Unix(0, 0).Add(settings.Duration),
-		traffic:  workload.NewGenerator(settings.Deployment.Workload, settings.Seed),
-		version:  "v1",
-		result:   newResult(),
-		owners:   map[uint64]int{},
-		byName:   map[string]*runner{},
-	}
-	r.baseline = &baseline{policy: settings.Policy, random: r.random}
+	r := &emulation{
+		settings:      settings,
+		random:        rand.New(rand.NewPCG(settings.Seed, 7)),
+		now:           time.Unix(0, 0),
+		endTime:       time.Unix(0, 0).Add(settings.Duration),
+		generator:     workload.NewGenerator(settings.Deployment.Workload, settings.Seed),
+		weightVersion: "v1",
+		result:        newResult(),
+		familyOwners:  map[uint64]int{},
+		runnersByName: map[string]*emulatedRunner{},
+	}
+	r.baseline = &baselinePolicy{policy: settings.Policy, random: r.random}
 	for i := range settings.Deployment.Runners {
-		created := &runner{name: fmt.Sprintf("r%d", i), index: i}
-		r.runners = append(r.runners, created)
-		r.names = append(r.names, created.name)
-		r.byName[created.name] = created
-		r.startEngine(created)
+		newRunner := &emulatedRunner{name: fmt.Sprintf("r%d", i), index: i}
+		r.runners = append(r.runners, newRunner)
+		r.runnerNames = append(r.runnerNames, newRunner.name)
+		r.runnersByName[newRunner.name] = newRunner
+		r.startEngine(newRunner)
 	}
-	r.startRouters()
-	for _, one := range r.runners {
-		r.publish(one)
+	r.createRouters()
+	for _, runner := range r.runners {
+		r.publishChanges(runner)
 	}
 	r.scheduleFaults()
-	r.arrive()
-	for len(r.agenda) > 0 {
-		next := heap.Pop(&r.agenda).(event)
-		if next.at.After(r.end) {
+	r.scheduleArrival()
+	for len(r.events) > 0 {
+		next := heap.Pop(&r.events).(event)
+		if next.dueAt.After(r.endTime) {
 			break
 		}
-		r.now = next.at
-		next.do()
+		r.now = next.dueAt
+		next.action()
 	}
 	return r.result
 }
 
-func (r *run) after(delay time.Duration, do func()) {
-	r.numbers++
-	heap.Push(&r.agenda, event{at: r.now.Add(delay), number: r.numbers, do: do})
+// schedule adds an event that runs the action after the delay.
+func (r *emulation) schedule(delay time.Duration, action func()) {
+	r.eventCount++
+	heap.Push(&r.events, event{dueAt: r.now.Add(delay), order: r.eventCount, action: action})
 }
 
-func (r *run) startRouters() {
+// createRouters replaces all routers by ones with empty state.
+func (r *emulation) createRouters() {
 	r.routers = nil
 	for range r.settings.Routers {
-		r.routers = append(r.routers, &router{placer: &placement.Placer{
+		r.routers = append(r.routers, &emulatedRouter{placer: &placement.Placer{
 			Index:         cacheindex.NewShard(10 * time.Second),
 			Pending:       placement.NewPendingPlacements(time.Millisecond),
 			Fleet:         fleet.NewTable(),
@@ -156,42 +165,44 @@
 	}
 }
 
-func (r *run) startEngine(one *runner) {
-	one.incarnation++
-	one.model = enginemodel.New(r.settings.Engine)
-	one.version = r.version
-	one.stepping, one.loading = false, false
-	one.tracker = cacheindex.NewTracker(r.settings.Stride)
-	one.tracker.Restart(one.incarnation)
-	one.open = map[enginemodel.ID]*pending{}
+// startEngine starts, or restarts, a runner's engine with an empty cache.
+func (r *emulation) startEngine(runner *emulatedRunner) {
+	runner.incarnation++
+	runner.engine = enginemodel.New(r.settings.Engine)
+	runner.weightVersion = r.weightVersion
+	runner.stepRunning, runner.loading = false, false
+	runner.tracker = cacheindex.NewTracker(r.settings.AnchorStride)
+	runner.tracker.Restart(runner.incarnation)
+	runner.activeRequests = map[enginemodel.ID]*pendingRequest{}
 }
 
-// ---- traffic ----
+// inBurst reports whether the rate is currently doubled, which it is for one second in ten.
+func (r *emulation) inBurst() bool { return r.now.Unix()%10 == 4 }
 
-// burst says when the rate is doubled: one second in ten.
-func (r *run) burst() bool { return r.now.Unix()%10 == 4 }
-
-func (r *run) arrive() {
-	rate := r.settings.Rate
-	if r.burst() {
+// scheduleArrival schedules the next request after an exponentially distributed interval; its
+// arrival schedules the one after it. The rate outside of bursts is lower than the configured
+// average, so that the average holds with the bursts.
+func (r *emulation) scheduleArrival() {
+	rate := r.settings.RequestsPerSecond
+	if r.inBurst() {
 		rate *= 2
 	} else {
 		rate *= 8.0 / 9
 	}
 	wait := time.Duration(-math.Log(1-r.random.Float64()) / rate * float64(time.Second))
-	r.after(wait, func() {
-		request := r.traffic.Next()
-		r.requests++
-		p := &pending{request: request, text: request.Prompt(), tier: tierOf(request), arrived: r.now, id: enginemodel.ID{Request: fmt.Sprint(r.requests)}}
-		r.result.offer(p.tier)
-		r.place(p)
-		r.arrive()
+	r.schedule(wait, func() {
+		request := r.generator.Next()
+		r.requestCount++
+		pending := &pendingRequest{request: request, promptText: request.Prompt(), tier: tierOf(request), arrivedAt: r.now, id: enginemodel.ID{Request: fmt.Sprint(r.requestCount)}}
+		r.result.recordOffered(pending.tier)
+		r.place(pending)
+		r.scheduleArrival()
 	})
 }
 
-// tierOf gives the largest tenant the lowest tier, the next two the middle one
-// and the small ones the top tier, about a sixth of the requests; batch work is
-// one tier lower.
+// tierOf returns the priority tier of a request; tier 0 is the highest. The largest tenant has
+// the lowest tier, the next two have the middle one, and the small tenants, with about a sixth of
+// the requests, have the highest. Batch requests are one tier lower.
 func tierOf(request workload.Request) int {
 	tier := 0
 	switch request.Tenant[len(request.Tenant)-1] {
@@ -206,213 +217,222 @@
 	return tier
 }
 
-// ---- placement ----
-
-func (r *run) chainOf(p *pending, version string) {
-	if p.version == version {
+// updateChain computes the request's chain of block hashes for the weight version, unless it has
+// done so already.
+func (r *emulation) updateChain(pending *pendingRequest, weightVersion string) {
+	if pending.weightVersion == weightVersion {
 		return
 	}
-	p.version = version
-	p.salt = prefix.Scope{Tenant: p.request.Tenant, Model: p.request.Model, WeightVersion: version}.Salt()
-	p.chain = prefix.NewChain(p.salt, p.text, BlockBytes)
+	pending.weightVersion = weightVersion
+	pending.salt = prefix.Scope{Tenant: pending.request.Tenant, Model: pending.request.Model, WeightVersion: weightVersion}.Salt()
+	pending.chain = prefix.NewChain(pending.salt, pending.promptText, BlockBytes)
 }
 
-func (r *run) place(p *pending) {
-	target := r.choose(p)
+// place starts an attempt of the request on the runner that the policy chooses.
+func (r *emulation) place(pending *pendingRequest) {
+	target := r.chooseRunner(pending)
 	if target == nil {
 		return
 	}
-	p.attempts++
-	p.id.Attempt = uint32(p.attempts)
-	if target.loading || target.version != p.version {
-		// The engine refuses: it has other weights by now. Nothing has run.
-		r.after(time.Millisecond, func() { r.place(p) })
+	pending.attempts++
+	pending.id.Attempt = uint32(pending.attempts)
+	if target.loading || target.weightVersion != pending.weightVersion {
+		// The engine refuses the attempt without running it, because it now has other weights.
+		r.schedule(time.Millisecond, func() { r.place(pending) })
 		return
 	}
-	target.open[p.id] = p
-	target.model.Submit(enginemodel.Job{
-		ID: p.id, Chain: p.chain, BlockTokens: BlockTokens, PromptTokens: prefix.EstimateTokens(len(p.text)),
-		TotalOutputTokens: p.request.MaxTokens, Priority: p.tier,
+	target.activeRequests[pending.id] = pending
+	target.engine.Submit(enginemodel.Job{
+		ID: pending.id, Chain: pending.chain, BlockTokens: BlockTokens, PromptTokens: prefix.EstimateTokens(len(pending.promptText)),
+		TotalOutputTokens: pending.request.MaxTokens, Priority: pending.tier,
 	})
-	r.step(target)
+	r.startStep(target)
 }
 
-// choose returns the runner, or nil when the request was refused.
-func (r *run) choose(p *pending) *runner {
-	r.chainOf(p, r.activeVersion())
-	family := p.chain.Family(p.salt)
+// chooseRunner returns the runner that the policy chooses. It returns nil if the request was
+// refused, or if no runner is available and a retry is scheduled.
+func (r *emulation) chooseRunner(pending *pendingRequest) *emulatedRunner {
+	r.updateChain(pending, r.activeWeightVersion())
+	family := pending.chain.Family(pending.salt)
 	if r.settings.Policy == Product || r.settings.Policy == Oracle {
-		return r.chooseByScore(p, family)
+		return r.chooseWithPlacer(pending, family)
 	}
 	var candidates []placement.Runner
-	for _, one := range r.runners {
-		if !one.loading && one.version == p.version {
-			candidates = append(candidates, placement.Runner{Name: one.name})
+	for _, runner := range r.runners {
+		if !runner.loading && runner.weightVersion == pending.weightVersion {
+			candidates = append(candidates, placement.Runner{Name: runner.name})
 		}
 	}
 	index := r.baseline.choose(family, candidates, r.routers[0].placer.Fleet)
 	if index < 0 {
-		r.after(100*time.Millisecond, func() { r.place(p) })
+		r.schedule(100*time.Millisecond, func() { r.place(pending) })
 		return nil
 	}
-	return r.byName[candidates[index].Name]
+	return r.runnersByName[candidates[index].Name]
 }
 
-// activeVersion is the product's own rule, by any router's table.
-func (r *run) activeVersion() string {
-	return r.routers[0].placer.Fleet.ActiveVersion(r.settings.Deployment.Model, r.version, r.names)
+// activeWeightVersion returns the weight version to which requests are sent. It applies the
+// product's own rule to the table of the first router; all routers have the same reports.
+func (r *emulation) activeWeightVersion() string {
+	return r.routers[0].placer.Fleet.ActiveVersion(r.settings.Deployment.Model, r.weightVersion, r.runnerNames)
 }
 
-func (r *run) query(p *pending, family uint64) placement.Query {
+// placementQuery returns the query that a router sends to the owner of the request's family.
+func (r *emulation) placementQuery(pending *pendingRequest, family uint64) placement.Query {
 	query := placement.Query{
 		Request: placement.Request{
-			Model: r.settings.Deployment.Model, WeightVersion: p.version, PromptTokens: prefix.EstimateTokens(len(p.text)),
-			MaxTokens: p.request.MaxTokens, Priority: p.tier, MaxWait: r.settings.MaxWait[p.tier],
+			Model: r.settings.Deployment.Model, WeightVersion: pending.weightVersion, PromptTokens: prefix.EstimateTokens(len(pending.promptText)),
+			MaxTokens: pending.request.MaxTokens, Priority: pending.tier, MaxWait: r.settings.MaxWait[pending.tier],
 		},
-		Family: family, Anchors: p.chain.Anchors(r.settings.Stride), BlockTokens: BlockTokens, Ticket: prefix.PromptDigest(p.salt, p.text),
+		Family: family, Anchors: pending.chain.Anchors(r.settings.AnchorStride), BlockTokens: BlockTokens, Ticket: prefix.PromptDigest(pending.salt, pending.promptText),
 		Weights: placement.ScoreWeights{Uncached: r.settings.Deployment.HitWeight},
 	}
-	for _, one := range r.runners {
-		query.Runners = append(query.Runners, placement.Runner{Name: one.name})
+	for _, runner := range r.runners {
+		query.Runners = append(query.Runners, placement.Runner{Name: runner.name})
 	}
 	return query
 }
 
-func (r *run) chooseByScore(p *pending, family uint64) *runner {
-	query := r.query(p, family)
+// chooseWithPlacer chooses a runner with the product's placement code. During a partition, a
+// third of the requests is placed without the index.
+func (r *emulation) chooseWithPlacer(pending *pendingRequest, family uint64) *emulatedRunner {
+	query := r.placementQuery(pending, family)
 	var pick placement.Pick
 	switch {
 	case r.settings.Policy == Oracle:
-		pick = r.oraclePick(p, query)
-	case r.cut && r.requests%3 == 0:
-		pick = r.routers[int(r.requests)%len(r.routers)].placer.PlaceWithoutIndex(r.now, query)
+		pick = r.pickWithExactState(pending, query)
+	case r.partitioned && r.requestCount%3 == 0:
+		pick = r.routers[int(r.requestCount)%len(r.routers)].placer.PlaceWithoutIndex(r.now, query)
 	default:
-		pick = r.shard(family).placer.Place(r.now, query)
+		pick = r.indexOwner(family).placer.Place(r.now, query)
 	}
 	r.result.Lookups++
 	if pick.Status == placement.Picked {
-		return r.byName[pick.Candidate.Name]
+		return r.runnersByName[pick.Candidate.Name]
 	}
-	r.refuse(p, pick)
+	r.refuse(pending, pick)
 	return nil
 }
 
-// shard returns the router that owns a family's index.
-func (r *run) shard(family uint64) *router {
-	owner, found := r.owners[family]
+// indexOwner returns the router that owns the index shard of a prompt family.
+func (r *emulation) indexOwner(family uint64) *emulatedRouter {
+	owner, found := r.familyOwners[family]
 	if !found {
 		owner = int(rendezvous.Weight("owner", family) % uint64(len(r.routers)))
-		r.owners[family] = owner
+		r.familyOwners[family] = owner
 	}
 	return r.routers[owner]
 }
 
-// oraclePick scores with the engines' true caches and loads.
-func (r *run) oraclePick(p *pending, query placement.Query) placement.Pick {
+// pickWithExactState picks a runner by the actual caches and loads of the engines.
+func (r *emulation) pickWithExactState(pending *pendingRequest, query placement.Query) placement.Pick {
 	candidates := make([]placement.Candidate, len(r.runners))
-	for i, one := range r.runners {
+	for i, runner := range r.runners {
 		candidates[i] = placement.Candidate{
-			Name: one.name, Report: r.report(one),
-			CachedTokens: min(one.model.CachedDepth(p.chain)*BlockTokens, query.Request.PromptTokens),
+			Name: runner.name, Report: r.runnerReport(runner),
+			CachedTokens: min(runner.engine.CachedDepth(pending.chain)*BlockTokens, query.Request.PromptTokens),
 		}
 	}
 	return placement.Choose(query.Request, candidates, query.Weights, r.random)
 }
 
-// refuse answers at once; the caller comes back once, when it was told to.
-func (r *run) refuse(p *pending, pick placement.Pick) {
+// refuse records the refusal of a request. The client retries once, after the delay that the
+// response demands. If there is no runner, the request waits instead.
+func (r *emulation) refuse(pending *pendingRequest, pick placement.Pick) {
 	if pick.Status == placement.NoRunner {
-		r.after(100*time.Millisecond, func() { r.place(p) })
+		r.schedule(100*time.Millisecond, func() { r.place(pending) })
 		return
 	}
-	p.asks++
-	r.result.refuse(p.tier, p.asks)
-	if p.asks > 1 {
+	pending.refusals++
+	r.result.recordRefusal(pending.tier, pending.refusals)
+	if pending.refusals > 1 {
 		return
 	}
-	r.after(pick.RetryAfter, func() {
-		p.arrived = r.now
-		r.result.Returned++
-		r.place(p)
+	r.schedule(pick.RetryAfter, func() {
+		pending.arrivedAt = r.now
+		r.result.Retries++
+		r.place(pending)
 	})
 }
 
-// ---- engines ----
-
-func (r *run) step(one *runner) {
-	if one.stepping || !one.model.Busy() {
+// startStep starts the next step of an idle engine that has work, and schedules the step's end.
+func (r *emulation) startStep(runner *emulatedRunner) {
+	if runner.stepRunning || !runner.engine.Busy() {
 		return
 	}
-	one.stepping = true
-	duration, started := one.model.BeginStep()
+	runner.stepRunning = true
+	duration, started := runner.engine.BeginStep()
 	for _, output := range started {
-		if p := one.open[output.ID]; p != nil {
-			p.cached = output.CachedTokens
-			r.result.start(p)
-			r.feedBack(one, p)
+		if pending := runner.activeRequests[output.ID]; pending != nil {
+			pending.cachedTokens = output.CachedTokens
+			r.result.recordStart(pending)
+			r.reportPlacement(runner, pending)
 		}
 	}
-	incarnation := one.incarnation
-	r.after(duration, func() {
-		if one.incarnation != incarnation {
+	incarnation := runner.incarnation
+	r.schedule(duration, func() {
+		if runner.incarnation != incarnation {
 			return
 		}
-		one.stepping = false
-		for _, output := range one.model.EndStep() {
-			r.output(one, output)
+		runner.stepRunning = false
+		for _, output := range runner.engine.EndStep() {
+			r.handleOutput(runner, output)
 		}
-		r.step(one)
+		r.startStep(runner)
 	})
 }
 
-func (r *run) output(one *runner, output enginemodel.Output) {
-	p := one.open[output.ID]
-	if p == nil {
+// handleOutput records the first token and the completion of the output's request.
+func (r *emulation) handleOutput(runner *emulatedRunner, output enginemodel.Output) {
+	pending := runner.activeRequests[output.ID]
+	if pending == nil {
 		return
 	}
-	if !p.first {
-		p.first = true
-		r.result.firstToken(p, r.now.Sub(p.arrived))
+	if !pending.firstTokenProduced {
+		pending.firstTokenProduced = true
+		r.result.recordFirstToken(pending, r.now.Sub(pending.arrivedAt))
 	}
 	if output.Finished {
-		delete(one.open, output.ID)
-		r.result.complete(p)
+		delete(runner.activeRequests, output.ID)
+		r.result.recordCompletion(pending)
 	}
 }
 
-// feedBack is the placement result that the ingress sends to the shard.
-func (r *run) feedBack(one *runner, p *pending) {
+// reportPlacement applies the placement result that the receiving router sends to the index owner
+// when a request has started.
+func (r *emulation) reportPlacement(runner *emulatedRunner, pending *pendingRequest) {
 	if r.settings.Policy != Product {
 		return
 	}
-	placer := r.shard(p.chain.Family(p.salt)).placer
-	placer.Fleet.UpdateLoad(one.name, one.incarnation, r.report(one).Load)
-	placer.Index.AddProvisional(r.now, cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}, p.chain.Anchors(r.settings.Stride))
+	placer := r.indexOwner(pending.chain.Family(pending.salt)).placer
+	placer.Fleet.UpdateLoad(runner.name, runner.incarnation, r.runnerReport(runner).Load)
+	placer.Index.AddProvisional(r.now, cacheindex.Holder{Runner: runner.name, Incarnation: runner.incarnation}, pending.chain.Anchors(r.settings.AnchorStride))
 	r.result.Messages++
 }
 
-// ---- events and reports ----
-
-// publishInterval is how often an engine tells its home what changed.
+// publishInterval is the interval at which an engine sends its changes to its home router.
 const publishInterval = 100 * time.Millisecond
 
-func (r *run) report(one *runner) fleet.Report {
+// runnerReport returns the current state and load of a runner.
+func (r *emulation) runnerReport(runner *emulatedRunner) fleet.Report {
 	state := fleet.Serving
-	if one.loading {
+	if runner.loading {
 		state = fleet.Loading
 	}
-	load := one.model.Load()
+	load := runner.engine.Load()
 	load.AsOf = r.now
 	return fleet.Report{
-		Runner: one.name, Incarnation: one.incarnation, State: state, Connected: true, Role: "serve",
-		Model: r.settings.Deployment.Model, WeightVersion: one.version, Load: load,
+		Runner: runner.name, Incarnation: runner.incarnation, State: state, Connected: true, Role: "serve",
+		Model: r.settings.Deployment.Model, WeightVersion: runner.weightVersion, Load: load,
 	}
 }
 
-func (r *run) publish(one *runner) {
-	one.sequence++
-	sequence, incarnation := one.sequence, one.incarnation
-	added, removed := one.model.TakeCacheChanges()
+// publishChanges sends the runner's cache changes and report with the configured lag and losses,
+// and schedules the next time. A lost event uses up its sequence number.
+func (r *emulation) publishChanges(runner *emulatedRunner) {
+	runner.eventSequence++
+	sequence, incarnation := runner.eventSequence, runner.incarnation
+	added, removed := runner.engine.TakeCacheChanges()
 	addedBlocks, removedBlocks := make([]cacheindex.Block, len(added)), make([]cacheindex.Block, len(removed))
 	for i, block := range added {
 		addedBlocks[i] = cacheindex.Block{Hash: block.Hash, Root: block.Root, Depth: block.Depth}
@@ -420,55 +440,60 @@
 	for i, block := range removed {
 		removedBlocks[i] = cacheindex.Block{Hash: block.Hash, Root: block.Root, Depth: block.Depth}
 	}
-	report := r.report(one)
+	report := r.runnerReport(runner)
 	if r.random.Float64() >= r.settings.Faults.EventLoss {
-		r.after(r.settings.Faults.EventLag, func() { r.deliverEvent(one, incarnation, sequence, addedBlocks, removedBlocks) })
+		r.schedule(r.settings.Faults.EventLag, func() { r.deliverEvent(runner, incarnation, sequence, addedBlocks, removedBlocks) })
 	}
-	r.after(r.settings.Faults.LoadLag, func() { r.deliverReport(report, sequence) })
-	r.after(publishInterval, func() { r.publish(one) })
+	r.schedule(r.settings.Faults.LoadLag, func() { r.deliverReport(report, sequence) })
+	r.schedule(publishInterval, func() { r.publishChanges(runner) })
 }
 
-func (r *run) deliverReport(report fleet.Report, sequence uint64) {
+// deliverReport applies a runner's report on all routers.
+func (r *emulation) deliverReport(report fleet.Report, sequence uint64) {
 	report.Sequence = sequence
-	for _, one := range r.routers {
-		change := one.placer.Fleet.Apply(report)
+	for _, router := range r.routers {
+		change := router.placer.Fleet.Apply(report)
 		if change == fleet.ChangeIncarnation {
-			one.placer.Index.Reset(cacheindex.Holder{Runner: report.Runner, Incarnation: report.Incarnation})
+			router.placer.Index.Reset(cacheindex.Holder{Runner: report.Runner, Incarnation: report.Incarnation})
 		}
 		r.result.Messages++
 	}
 }
 
-func (r *run) deliverEvent(one *runner, incarnation, sequence uint64, added, removed []cacheindex.Block) {
-	if incarnation != one.incarnation {
+// deliverEvent applies the cache changes to the index, unless the engine has restarted since. It
+// starts a resync if the tracker needs one, for example after a lost event.
+func (r *emulation) deliverEvent(runner *emulatedRunner, incarnation, sequence uint64, added, removed []cacheindex.Block) {
+	if incarnation != runner.incarnation {
 		return
 	}
-	r.apply(one, one.tracker.ApplyEvent(sequence, added, removed))
-	if one.tracker.NeedsResync(r.now) {
-		r.resync(one)
+	r.applyCacheChanges(runner, runner.tracker.ApplyEvent(sequence, added, removed))
+	if runner.tracker.NeedsResync(r.now) {
+		r.resyncIndex(runner)
 	}
-	for _, shard := range r.routers {
-		shard.placer.Index.ExpireProvisional(r.now)
+	for _, router := range r.routers {
+		router.placer.Index.ExpireProvisional(r.now)
 	}
 }
 
-func (r *run) resync(one *runner) {
-	blocks := one.model.Blocks()
+// resyncIndex reads the engine's full list of cached blocks and applies it after 20 ms.
+func (r *emulation) resyncIndex(runner *emulatedRunner) {
+	blocks := runner.engine.Blocks()
 	list := make([]cacheindex.Block, len(blocks))
 	for i, block := range blocks {
 		list[i] = cacheindex.Block{Hash: block.Hash, Root: block.Root, Depth: block.Depth}
 	}
-	sequence := one.sequence
-	r.after(20*time.Millisecond, func() { r.apply(one, one.tracker.ApplySnapshot(sequence, list)) })
+	sequence := runner.eventSequence
+	r.schedule(20*time.Millisecond, func() { r.applyCacheChanges(runner, runner.tracker.ApplySnapshot(sequence, list)) })
 }
 
-func (r *run) apply(one *runner, changes cacheindex.Changes) {
-	holder := cacheindex.Holder{Runner: one.name, Incarnation: one.incarnation}
+// applyCacheChanges applies a runner's cache changes to the index shards of the blocks' owners.
+func (r *emulation) applyCacheChanges(runner *emulatedRunner, changes cacheindex.Changes) {
+	holder := cacheindex.Holder{Runner: runner.name, Incarnation: runner.incarnation}
 	for _, block := range changes.Removed {
-		r.shard(block.Root).placer.Index.Remove(holder, block.Hash)
+		r.indexOwner(block.Root).placer.Index.Remove(holder, block.Hash)
 	}
 	for _, block := range changes.Added {
-		r.shard(block.Root).placer.Index.Add(holder, block.Hash)
+		r.indexOwner(block.Root).placer.Index.Add(holder, block.Hash)
 	}
 	if len(changes.Added)+len(changes.Removed) > 0 {
 		r.result.Messages++
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -1,6 +1,6 @@
-// Package emulator runs the product's placement and admission code against
-// emulated engines in virtual time, beside baselines and an oracle, and reports
-// the users' measures. A run is a pure function of its settings and seed.
+// Package emulator runs the product's placement and admission code, baselines and an oracle
+// against emulated engines in virtual time, and measures hit rates, latencies and refusals. A run
+// is a pure function of its settings and seed.
 package emulator
 
 import (
@@ -15,28 +15,30 @@
 	Name    string
 	Model   string
 	Runners int
-	// HitWeight is the pool's weight between hits and queues.
+	// HitWeight is the cost of an uncached prompt token relative to a queued one in the pool's
+	// placement score.
 	HitWeight float64
-	// LoadTime is how long a runner loads weights; LoadsAtOnce run at full speed.
-	LoadTime    time.Duration
-	LoadsAtOnce int
-	Workload    workload.Settings
+	// LoadTime is how long a runner takes to load weights. ConcurrentLoads is the number of
+	// concurrent loads that run at full speed, and the maximum during a rollout.
+	LoadTime        time.Duration
+	ConcurrentLoads int
+	Workload        workload.Settings
 }
 
-// Deployments returns the users' two fleets at their sizes of today.
+// Deployments returns the users' two fleets at their current sizes.
 func Deployments() []Deployment {
 	catchUp := workload.DefaultSettings()
 	catchUp.CatchUpShare = 1
-	cards := workload.DefaultSettings()
-	cards.CatchUpShare = 0
+	cardReview := workload.DefaultSettings()
+	cardReview.CatchUpShare = 0
 	return []Deployment{
-		{Name: "catch-up", Model: "penyiar-lm", Runners: 20, HitWeight: 1, LoadTime: 500 * time.Millisecond, LoadsAtOnce: 3, Workload: catchUp},
-		{Name: "card-review", Model: "llm-examen", Runners: 12, HitWeight: 1, LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2, Workload: cards},
+		{Name: "catch-up", Model: "penyiar-lm", Runners: 20, HitWeight: 1, LoadTime: 500 * time.Millisecond, ConcurrentLoads: 3, Workload: catchUp},
+		{Name: "card-review", Model: "llm-examen", Runners: 12, HitWeight: 1, LoadTime: 300 * time.Millisecond, ConcurrentLoads: 2, Workload: cardReview},
 	}
 }
 
-// EngineSettings returns the emulated engines' speeds: 16,000 prompt tokens a
-// second each, and a cache of 128,000 tokens.
+// EngineSettings returns the settings of the emulated engines. Each computes 16,000 prompt tokens
+// per second and caches 128,000 tokens.
 func EngineSettings() enginemodel.Settings {
 	return enginemodel.Settings{
 		CacheBlocks:         8000,
@@ -49,53 +51,55 @@
 	}
 }
 
-// Faults are what goes wrong in a run.
+// Faults are the faults that a run emulates.
 type Faults struct {
-	// EventLag and LoadLag are the age of cache events and load reports.
+	// EventLag and LoadLag delay the cache events and the load reports.
 	EventLag, LoadLag time.Duration
-	// EventLoss is the share of event batches lost.
+	// EventLoss is the probability that a cache event, a batch of changes, is lost, 0 to 1.
 	EventLoss float64
-	// Crash restarts an engine with an empty cache, at a third of the run.
+	// Crash restarts an engine with an empty cache after a third of the run.
 	Crash bool
-	// HerdRestart empties all routers' memory, at half of the run.
-	HerdRestart bool
-	// Rollout loads new weights on all runners, from two thirds of the run on.
+	// RestartRouters restarts all routers with empty state after half of the run.
+	RestartRouters bool
+	// Rollout loads new weights on all runners, starting after two thirds of the run.
 	Rollout bool
-	// Cut makes a third of requests placed without the index for a tenth of the run.
-	Cut bool
-	// Shift moves the popular prefixes, at a quarter of the run.
-	Shift bool
+	// Partition makes the routers place a third of the requests without the index for a tenth of
+	// the run.
+	Partition bool
+	// ShiftPopularity makes other prefixes the popular ones after a quarter of the run.
+	ShiftPopularity bool
 }
 
-// AllFaults returns every fault at its usual strength.
+// AllFaults returns the settings of a run with every fault, at the strength used for reports.
 func AllFaults() Faults {
 	return Faults{
 		EventLag: 200 * time.Millisecond, LoadLag: 200 * time.Millisecond, EventLoss: 0.05,
-		Crash: true, HerdRestart: true, Rollout: true, Cut: true, Shift: true,
+		Crash: true, RestartRouters: true, Rollout: true, Partition: true, ShiftPopularity: true,
 	}
 }
 
-// Settings of one run.
+// Settings configures a run.
 type Settings struct {
 	Deployment Deployment
 	Engine     enginemodel.Settings
 	Faults     Faults
 	Policy     Policy
-	// Rate is requests a second on average; bursts double it for a tenth of the time.
-	Rate     float64
-	Duration time.Duration
-	Seed     uint64
-	// MaxWait is the longest accepted expected wait by tier; 0 admits everything.
+	// RequestsPerSecond is the average rate of new requests. Bursts double it for a tenth of the
+	// time.
+	RequestsPerSecond float64
+	Duration          time.Duration
+	Seed              uint64
+	// MaxWait is the maximum expected wait of an admitted request by tier; 0 means no limit.
 	MaxWait [Tiers]time.Duration
 	Routers int
-	// Stride is the distance in blocks between indexed blocks.
-	Stride int
+	// AnchorStride is the distance in blocks between the blocks of a prompt that are indexed.
+	AnchorStride int
 }
 
 // Tiers is the number of priority tiers in emulated traffic.
 const Tiers = 3
 
-// BlockBytes and BlockTokens are the size of a cache block.
+// BlockBytes and BlockTokens are the size of a cache block in bytes of text and in tokens.
 const (
 	BlockBytes  = 64
 	BlockTokens = 16
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -52,7 +52,7 @@
 
 func baseSettings(deployment emulator.Deployment, duration time.Duration) emulator.Settings {
 	return emulator.Settings{
-		Deployment: deployment, Engine: emulator.EngineSettings(), Duration: duration, Routers: 3, Stride: 1, Faults: emulator.AllFaults(),
+		Deployment: deployment, Engine: emulator.EngineSettings(), Duration: duration, Routers: 3, AnchorStride: 1, Faults: emulator.AllFaults(),
 	}
 }
 
@@ -84,9 +84,9 @@
 		jobs = append(jobs, func() {
 			settings := baseSettings(deployment, saturationTime)
 			settings.Faults = emulator.Faults{EventLag: settings.Faults.EventLag, LoadLag: settings.Faults.LoadLag}
-			settings.Policy, settings.Rate, settings.Seed = emulator.Oracle, low+width*float64(i+1), calibrateSeed
+			settings.Policy, settings.RequestsPerSecond, settings.Seed = emulator.Oracle, low+width*float64(i+1), calibrateSeed
 			result := emulator.Run(settings)
-			keepsUp[i] = result.Completed > 0 && emulator.Quantile(result.All, 95) < saturatedP95
+			keepsUp[i] = result.Completed > 0 && emulator.PercentileMillis(result.FirstTokenOverall, 95) < saturatedP95
 		})
 	}
 	parallel(jobs)
@@ -144,11 +144,11 @@
 	return Measures{
 		Variant:    name,
 		HitRate:    collect(func(r *emulator.Result) float64 { return r.HitRate() }),
-		Recomputed: collect(func(r *emulator.Result) float64 { return r.Recomputed() }),
-		P50:        collect(func(r *emulator.Result) float64 { return emulator.Quantile(r.All, 50) }),
-		P95:        collect(func(r *emulator.Result) float64 { return emulator.Quantile(r.All, 95) }),
-		P99:        collect(func(r *emulator.Result) float64 { return emulator.Quantile(r.All, 99) }),
-		TopP99:     collect(func(r *emulator.Result) float64 { return emulator.Quantile(r.FirstToken[0], 99) }),
+		Recomputed: collect(func(r *emulator.Result) float64 { return r.RecomputedPerRequest() }),
+		P50:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 50) }),
+		P95:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 95) }),
+		P99:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 99) }),
+		TopP99:     collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenByTier[0], 99) }),
 		Messages:   collect(func(r *emulator.Result) float64 { return float64(r.Messages+r.Lookups) / offered(r) }),
 	}
 }
@@ -206,7 +206,7 @@
 		for seed := range settings.Seeds {
 			jobs = append(jobs, func() {
 				run := baseSettings(deployment, settings.Duration)
-				run.Policy, run.Stride, run.Rate, run.Seed = v.policy, v.stride, rate, uint64(reportSeed+seed)
+				run.Policy, run.AnchorStride, run.RequestsPerSecond, run.Seed = v.policy, v.stride, rate, uint64(reportSeed+seed)
 				results[i][seed] = emulator.Run(run)
 			})
 		}
--- a/internal/lab/experiment/overload.go
+++ b/internal/lab/experiment/overload.go
@@ -34,7 +34,7 @@
 			return func() {
 				one := baseSettings(deployment, settings.Duration)
 				one.Faults = emulator.Faults{EventLag: one.Faults.EventLag, LoadLag: one.Faults.LoadLag, EventLoss: one.Faults.EventLoss}
-				one.Policy, one.Rate, one.Seed, one.MaxWait = emulator.Product, saturation*share, uint64(reportSeed+seed), tierWaits
+				one.Policy, one.RequestsPerSecond, one.Seed, one.MaxWait = emulator.Product, saturation*share, uint64(reportSeed+seed), tierWaits
 				into[seed] = emulator.Run(one)
 			}
 		}
@@ -48,11 +48,11 @@
 		}
 		return spreadOf(values)
 	}
-	top := func(r *emulator.Result) float64 { return emulator.Quantile(r.FirstToken[0], 99) }
+	top := func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenByTier[0], 99) }
 	o := Overload{
 		TopCalm: spread(calm, top), TopLoaded: spread(loaded, top),
 		ServedOnReturn: spread(loaded, func(r *emulator.Result) float64 {
-			return 1 - float64(r.RefusedAgain)/float64(max(r.Returned, 1))
+			return 1 - float64(r.RefusedRetries)/float64(max(r.Retries, 1))
 		}),
 	}
 	for tier := range o.RefusedShare {
