--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -114,7 +114,7 @@
 func experimentCommand() command {
 	subcommand := newSubcommand("experiment", "Compare placement with baselines and an oracle in emulated time.")
 	settings := experiment.DefaultSettings()
-	subcommand.Int(&settings.Seeds, "", "seeds", "Number of seeds.")
+	subcommand.Int(&settings.SeedCount, "", "seeds", "Number of seeds.")
 	subcommand.Duration(&settings.Duration, "", "duration", "Emulated time of one run.")
 	subcommand.Float64(&settings.Load, "", "load", "Offered load as a share of the oracle's saturation.")
 	subcommand.String(&settings.PlotDirectory, "", "plots", "Directory for plots; none without it.")
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs the emulator over policies, deployments and seeds and
-// reports medians, spreads and ratios to the oracle.
+// Package experiment runs the emulator with each combination of policy, deployment and seed. It
+// reports medians with minimum and maximum, and the product's results relative to the oracle's.
 package experiment
 
 import (
@@ -14,221 +14,236 @@
 	"github.com/clovertiller/clovertiller/internal/lab/emulator"
 )
 
-// Settings of an experiment.
+// Settings configures an experiment.
 type Settings struct {
-	Seeds    int
+	SeedCount int
+	// Duration is the virtual time of each run.
 	Duration time.Duration
-	// Load is the offered load as a share of what the oracle's engines can do.
+	// Load is the offered load as a share of the saturation rate of the Oracle policy.
 	Load float64
-	// PlotDirectory is where plots are written; "" for none.
+	// PlotDirectory is the directory for plots. If it is empty, no plots are written.
 	PlotDirectory string
 }
 
 // DefaultSettings returns the settings of `make experiment`.
 func DefaultSettings() Settings {
-	return Settings{Seeds: 10, Duration: 60 * time.Second, Load: 0.85}
+	return Settings{SeedCount: 10, Duration: 60 * time.Second, Load: 0.85}
 }
 
-// reportSeed is the first seed of reported figures; calibration uses other ones.
+// Seeds of runs. The search for the saturation rate uses another seed than the reported runs.
 const (
-	reportSeed    = 1000
-	calibrateSeed = 1
+	// firstReportSeed is the first seed of the reported runs.
+	firstReportSeed = 1000
+	calibrationSeed = 1
 )
 
-// variant is one line of the report.
+// variant is a policy with its settings, which is a row of the report.
 type variant struct {
-	name   string
-	policy emulator.Policy
-	stride int
+	name         string
+	policy       emulator.Policy
+	anchorStride int
 }
 
-func variants() []variant {
-	var all []variant
+// allVariants returns every policy with all blocks indexed, and the product with wider strides.
+func allVariants() []variant {
+	var variants []variant
 	for _, policy := range emulator.Policies() {
-		all = append(all, variant{string(policy), policy, 1})
+		variants = append(variants, variant{string(policy), policy, 1})
 	}
-	return append(all, variant{"product, stride 4", emulator.Product, 4}, variant{"product, stride 16", emulator.Product, 16})
+	return append(variants, variant{"product, stride 4", emulator.Product, 4}, variant{"product, stride 16", emulator.Product, 16})
 }
 
+// baseSettings returns the settings that all runs on a deployment start from.
 func baseSettings(deployment emulator.Deployment, duration time.Duration) emulator.Settings {
 	return emulator.Settings{
 		Deployment: deployment, Engine: emulator.EngineSettings(), Duration: duration, Routers: 3, AnchorStride: 1, Faults: emulator.AllFaults(),
 	}
 }
 
-// The search for the saturation tries as many rates at once as there are steps,
-// first over the whole range, then between the two neighbours.
+// Parameters of the search for the saturation rate.
 const (
-	saturationSteps  = 8
-	highestPerRunner = 80.0
-	lowestPerRunner  = 2.0
-	saturatedP95     = 1000.0
-	saturationTime   = 20 * time.Second
+	// saturationSteps is the number of rates that narrowRange tries in parallel.
+	saturationSteps = 8
+	// maxRatePerRunner and minRatePerRunner limit the search, in requests per second and runner.
+	maxRatePerRunner = 80.0
+	minRatePerRunner = 2.0
+	// saturatedP95Millis is the 95th percentile of the time to the first token from which a
+	// fleet counts as saturated, in milliseconds.
+	saturatedP95Millis = 1000.0
+	saturationDuration = 20 * time.Second
 )
 
-// Saturation finds the rate at which the oracle's fleet keeps up no longer: the
-// highest at which its p95 first token stays below one second, without faults.
-func Saturation(deployment emulator.Deployment) float64 {
-	low, high := lowestPerRunner*float64(deployment.Runners), highestPerRunner*float64(deployment.Runners)
+// FindSaturationRate returns the highest tried rate, in requests per second, at which the 95th
+// percentile of the time to the first token stays below one second with the Oracle policy and no
+// faults other than lag. It searches the whole range in steps and then refines the step in which
+// the fleet becomes saturated.
+func FindSaturationRate(deployment emulator.Deployment) float64 {
+	low, high := minRatePerRunner*float64(deployment.Runners), maxRatePerRunner*float64(deployment.Runners)
 	for range 2 {
-		low, high = narrow(deployment, low, high)
+		low, high = narrowRange(deployment, low, high)
 	}
 	return low
 }
 
-func narrow(deployment emulator.Deployment, low, high float64) (float64, float64) {
-	width := (high - low) / saturationSteps
-	keepsUp := make([]bool, saturationSteps)
-	var jobs []func()
+// narrowRange returns the step between low and high in which the fleet becomes saturated, or an
+// empty range at high if it doesn't.
+func narrowRange(deployment emulator.Deployment, low, high float64) (float64, float64) {
+	stepSize := (high - low) / saturationSteps
+	withinLimit := make([]bool, saturationSteps)
+	var tasks []func()
 	for i := range saturationSteps {
-		jobs = append(jobs, func() {
-			settings := baseSettings(deployment, saturationTime)
+		tasks = append(tasks, func() {
+			settings := baseSettings(deployment, saturationDuration)
 			settings.Faults = emulator.Faults{EventLag: settings.Faults.EventLag, LoadLag: settings.Faults.LoadLag}
-			settings.Policy, settings.RequestsPerSecond, settings.Seed = emulator.Oracle, low+width*float64(i+1), calibrateSeed
+			settings.Policy, settings.RequestsPerSecond, settings.Seed = emulator.Oracle, low+stepSize*float64(i+1), calibrationSeed
 			result := emulator.Run(settings)
-			keepsUp[i] = result.Completed > 0 && emulator.PercentileMillis(result.FirstTokenOverall, 95) < saturatedP95
+			withinLimit[i] = result.Completed > 0 && emulator.PercentileMillis(result.FirstTokenOverall, 95) < saturatedP95Millis
 		})
 	}
-	parallel(jobs)
-	for i, fine := range keepsUp {
-		if !fine {
-			return low + width*float64(i), low + width*float64(i+1)
+	runParallel(tasks)
+	for i, ok := range withinLimit {
+		if !ok {
+			return low + stepSize*float64(i), low + stepSize*float64(i+1)
 		}
 	}
 	return high, high
 }
 
-// parallel runs the jobs on all processors.
-func parallel(jobs []func()) {
+// runParallel runs the tasks, as many at once as there are CPUs, and waits for all of them.
+func runParallel(tasks []func()) {
 	var group sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
-	for _, job := range jobs {
+	for _, task := range tasks {
 		group.Add(1)
 		slots <- struct{}{}
 		go func() {
 			defer group.Done()
-			job()
+			task()
 			<-slots
 		}()
 	}
 	group.Wait()
 }
 
-// Spread is a median with the least and greatest value.
-type Spread struct{ Median, Least, Greatest float64 }
+// Spread is the median of the values of all seeds with their minimum and maximum.
+type Spread struct{ Median, Min, Max float64 }
 
-func spreadOf(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	sorted := slices.Sorted(slices.Values(values))
 	return Spread{sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1]}
 }
 
-// Measures are one variant's figures on one deployment.
-type Measures struct {
-	Variant               string
-	HitRate, Recomputed   Spread
-	P50, P95, P99, TopP99 Spread
-	Messages              Spread
+// VariantStats are the results of a variant on a deployment. P50 to TopTierP99 are percentiles of
+// the time to the first token in milliseconds.
+type VariantStats struct {
+	Variant                       string
+	HitRate, RecomputedPerRequest Spread
+	P50, P95, P99, TopTierP99     Spread
+	MessagesPerRequest            Spread
 }
 
-func measure(name string, results []*emulator.Result) Measures {
+// summarize returns the statistics of a variant's results, one per seed.
+func summarize(name string, results []*emulator.Result) VariantStats {
 	collect := func(value func(*emulator.Result) float64) Spread {
 		values := make([]float64, len(results))
 		for i, result := range results {
 			values[i] = value(result)
 		}
-		return spreadOf(values)
+		return newSpread(values)
 	}
-	offered := func(r *emulator.Result) float64 {
+	offeredRequests := func(r *emulator.Result) float64 {
 		return float64(max(r.Offered[0]+r.Offered[1]+r.Offered[2], 1))
 	}
-	return Measures{
-		Variant:    name,
-		HitRate:    collect(func(r *emulator.Result) float64 { return r.HitRate() }),
-		Recomputed: collect(func(r *emulator.Result) float64 { return r.RecomputedPerRequest() }),
-		P50:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 50) }),
-		P95:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 95) }),
-		P99:        collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 99) }),
-		TopP99:     collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenByTier[0], 99) }),
-		Messages:   collect(func(r *emulator.Result) float64 { return float64(r.Messages+r.Lookups) / offered(r) }),
+	return VariantStats{
+		Variant:              name,
+		HitRate:              collect(func(r *emulator.Result) float64 { return r.HitRate() }),
+		RecomputedPerRequest: collect(func(r *emulator.Result) float64 { return r.RecomputedPerRequest() }),
+		P50:                  collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 50) }),
+		P95:                  collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 95) }),
+		P99:                  collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenOverall, 99) }),
+		TopTierP99:           collect(func(r *emulator.Result) float64 { return emulator.PercentileMillis(r.FirstTokenByTier[0], 99) }),
+		MessagesPerRequest:   collect(func(r *emulator.Result) float64 { return float64(r.Messages+r.Lookups) / offeredRequests(r) }),
 	}
 }
 
-// Outcome is the whole report of one deployment.
-type Outcome struct {
+// DeploymentReport holds all results for a deployment.
+type DeploymentReport struct {
 	Deployment emulator.Deployment
-	Rate       float64
-	Lines      []Measures
-	Overload   Overload
+	// RequestsPerSecond is the offered load of the variants' runs.
+	RequestsPerSecond float64
+	Variants          []VariantStats
+	Overload          Overload
 }
 
-func (o Outcome) line(name string) Measures {
-	for _, line := range o.Lines {
-		if line.Variant == name {
-			return line
+func (r DeploymentReport) variantStats(name string) VariantStats {
+	for _, stats := range r.Variants {
+		if stats.Variant == name {
+			return stats
 		}
 	}
-	return Measures{}
+	return VariantStats{}
 }
 
-// Run carries out the experiment and prints its report. Its last line gives
-// the product's figures as ratios to the oracle's.
+// Run runs the experiment and prints its report. The last line holds the product's results
+// relative to the oracle's.
 func Run(out io.Writer, settings Settings) error {
-	var outcomes []Outcome
+	var reports []DeploymentReport
 	for _, deployment := range emulator.Deployments() {
-		saturation := Saturation(deployment)
-		outcome := compare(deployment, saturation*settings.Load, settings)
-		outcome.Overload = overload(deployment, saturation, settings)
-		outcome.print(out, settings)
-		outcomes = append(outcomes, outcome)
+		saturationRate := FindSaturationRate(deployment)
+		report := compareVariants(deployment, saturationRate*settings.Load, settings)
+		report.Overload = runOverload(deployment, saturationRate, settings)
+		report.print(out, settings)
+		reports = append(reports, report)
 	}
 	if settings.PlotDirectory != "" {
-		if err := plotAll(settings.PlotDirectory, outcomes); err != nil {
+		if err := writePlots(settings.PlotDirectory, reports); err != nil {
 			return err
 		}
 	}
 	fmt.Fprint(out, "experiment:")
-	for _, outcome := range outcomes {
-		product, oracle := outcome.line(string(emulator.Product)), outcome.line(string(emulator.Oracle))
-		fmt.Fprintf(out, " %s hit rate %.3f, recomputed %.3f, p99 %.3f of the oracle's;", outcome.Deployment.Name,
-			product.HitRate.Median/oracle.HitRate.Median, product.Recomputed.Median/oracle.Recomputed.Median, product.P99.Median/oracle.P99.Median)
+	for _, report := range reports {
+		product, oracle := report.variantStats(string(emulator.Product)), report.variantStats(string(emulator.Oracle))
+		fmt.Fprintf(out, " %s hit rate %.3f, recomputed %.3f, p99 %.3f of the oracle's;", report.Deployment.Name,
+			product.HitRate.Median/oracle.HitRate.Median, product.RecomputedPerRequest.Median/oracle.RecomputedPerRequest.Median, product.P99.Median/oracle.P99.Median)
 	}
 	fmt.Fprintln(out)
 	return nil
 }
 
-func compare(deployment emulator.Deployment, rate float64, settings Settings) Outcome {
-	outcome := Outcome{Deployment: deployment, Rate: rate}
-	all := variants()
-	results := make([][]*emulator.Result, len(all))
-	var jobs []func()
-	for i, v := range all {
-		results[i] = make([]*emulator.Result, settings.Seeds)
-		for seed := range settings.Seeds {
-			jobs = append(jobs, func() {
-				run := baseSettings(deployment, settings.Duration)
-				run.Policy, run.AnchorStride, run.RequestsPerSecond, run.Seed = v.policy, v.stride, rate, uint64(reportSeed+seed)
-				results[i][seed] = emulator.Run(run)
+// compareVariants runs every variant with every seed at the given load.
+func compareVariants(deployment emulator.Deployment, requestsPerSecond float64, settings Settings) DeploymentReport {
+	report := DeploymentReport{Deployment: deployment, RequestsPerSecond: requestsPerSecond}
+	variants := allVariants()
+	results := make([][]*emulator.Result, len(variants))
+	var tasks []func()
+	for i, v := range variants {
+		results[i] = make([]*emulator.Result, settings.SeedCount)
+		for seed := range settings.SeedCount {
+			tasks = append(tasks, func() {
+				runSettings := baseSettings(deployment, settings.Duration)
+				runSettings.Policy, runSettings.AnchorStride, runSettings.RequestsPerSecond, runSettings.Seed = v.policy, v.anchorStride, requestsPerSecond, uint64(firstReportSeed+seed)
+				results[i][seed] = emulator.Run(runSettings)
 			})
 		}
 	}
-	parallel(jobs)
-	for i, v := range all {
-		outcome.Lines = append(outcome.Lines, measure(v.name, results[i]))
+	runParallel(tasks)
+	for i, v := range variants {
+		report.Variants = append(report.Variants, summarize(v.name, results[i]))
 	}
-	return outcome
+	return report
 }
 
-func (o Outcome) print(out io.Writer, settings Settings) {
+func (r DeploymentReport) print(out io.Writer, settings Settings) {
 	fmt.Fprintf(out, "%s: %d runners, %.0f requests/s (%.0f%% of the oracle's saturation), all faults, %d seeds of %s; median (least to greatest)\n",
-		o.Deployment.Name, o.Deployment.Runners, o.Rate, settings.Load*100, settings.Seeds, settings.Duration)
+		r.Deployment.Name, r.Deployment.Runners, r.RequestsPerSecond, settings.Load*100, settings.SeedCount, settings.Duration)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "policy\thit rate\trecomputed tokens a request\tp50 ms\tp95 ms\tp99 ms\ttop tier p99 ms\tmessages a request")
-	for _, line := range o.Lines {
-		fmt.Fprintf(table, "%s\t%.3f (%.3f to %.3f)\t%.0f (%.0f to %.0f)\t%.0f\t%.0f (%.0f to %.0f)\t%.0f (%.0f to %.0f)\t%.0f\t%.1f\n", line.Variant,
-			line.HitRate.Median, line.HitRate.Least, line.HitRate.Greatest, line.Recomputed.Median, line.Recomputed.Least, line.Recomputed.Greatest,
-			line.P50.Median, line.P95.Median, line.P95.Least, line.P95.Greatest, line.P99.Median, line.P99.Least, line.P99.Greatest, line.TopP99.Median, line.Messages.Median)
+	for _, stats := range r.Variants {
+		fmt.Fprintf(table, "%s\t%.3f (%.3f to %.3f)\t%.0f (%.0f to %.0f)\t%.0f\t%.0f (%.0f to %.0f)\t%.0f (%.0f to %.0f)\t%.0f\t%.1f\n", stats.Variant,
+			stats.HitRate.Median, stats.HitRate.Min, stats.HitRate.Max, stats.RecomputedPerRequest.Median, stats.RecomputedPerRequest.Min, stats.RecomputedPerRequest.Max,
+			stats.P50.Median, stats.P95.Median, stats.P95.Min, stats.P95.Max, stats.P99.Median, stats.P99.Min, stats.P99.Max, stats.TopTierP99.Median, stats.MessagesPerRequest.Median)
 	}
 	table.Flush()
-	o.Overload.print(out)
+	r.Overload.print(out)
 	fmt.Fprintln(out)
 }
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -10,23 +10,24 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotAll writes one bar chart a deployment and measure.
-func plotAll(directory string, outcomes []Outcome) error {
+// writePlots writes a bar chart per deployment and statistic to the directory, which it creates
+// if necessary.
+func writePlots(directory string, reports []DeploymentReport) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	for _, outcome := range outcomes {
+	for _, report := range reports {
 		charts := []struct {
 			name, title string
-			value       func(Measures) float64
+			value       func(VariantStats) float64
 		}{
-			{"hit-rate", "prefix hit rate", func(m Measures) float64 { return m.HitRate.Median }},
-			{"first-token-p99", "p99 first token, ms", func(m Measures) float64 { return m.P99.Median }},
-			{"recomputed", "recomputed tokens a request", func(m Measures) float64 { return m.Recomputed.Median }},
+			{"hit-rate", "prefix hit rate", func(stats VariantStats) float64 { return stats.HitRate.Median }},
+			{"first-token-p99", "p99 first token, ms", func(stats VariantStats) float64 { return stats.P99.Median }},
+			{"recomputed", "recomputed tokens a request", func(stats VariantStats) float64 { return stats.RecomputedPerRequest.Median }},
 		}
 		for _, chart := range charts {
-			path := filepath.Join(directory, outcome.Deployment.Name+"-"+chart.name+".png")
-			if err := plotBars(path, outcome.Deployment.Name+": "+chart.title, outcome.Lines, chart.value); err != nil {
+			path := filepath.Join(directory, report.Deployment.Name+"-"+chart.name+".png")
+			if err := writeBarChart(path, report.Deployment.Name+": "+chart.title, report.Variants, chart.value); err != nil {
 				return err
 			}
 		}
@@ -34,22 +35,24 @@
 	return nil
 }
 
+// Sizes of a bar chart.
 const (
-	chartWidth  = 8 * vg.Inch
-	chartHeight = 4 * vg.Inch
-	barWidth    = 28
+	chartWidth     = 8 * vg.Inch
+	chartHeight    = 4 * vg.Inch
+	barWidthPoints = 28
 )
 
-func plotBars(path, title string, lines []Measures, value func(Measures) float64) error {
+// writeBarChart writes a PNG file with a bar for each variant.
+func writeBarChart(path, title string, variants []VariantStats, value func(VariantStats) float64) error {
 	chart := plot.New()
 	chart.Title.Text = title
 	var values plotter.Values
 	var names []string
-	for _, line := range lines {
-		values = append(values, value(line))
-		names = append(names, line.Variant)
+	for _, stats := range variants {
+		values = append(values, value(stats))
+		names = append(names, stats.Variant)
 	}
-	bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
+	bars, err := plotter.NewBarChart(values, vg.Points(barWidthPoints))
 	if err != nil {
 		return trace.Wrap(err)
 	}
