--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -56,7 +56,8 @@
 	args    []string
 	logFile *os.File
 	command *exec.Cmd
-	done    chan struct{}
+	// done is closed when the current run of the process has exited.
+	done chan struct{}
 }
 
 // Start starts the process, for the first time or again after its end.
@@ -134,7 +135,8 @@
 type Settings struct {
 	Routers int
 	// Engines is the number of engines. All of them are in the same pool.
-	Engines          int
+	Engines int
+	// PlatformSettings configures the weight store of the simulated platform.
 	PlatformSettings platformserver.Settings
 	// CacheBlocks is the capacity of each engine's cache; 0 means the engine's default.
 	CacheBlocks int
@@ -175,6 +177,7 @@
 	return c, c.writeInitialObjects()
 }
 
+// newProcess returns a process that logs to name.log in the log directory. It doesn't start it.
 func (c *Cluster) newProcess(name, binary string, args ...string) (Process, error) {
 	logFile, err := os.Create(filepath.Join(c.logDirectory, name+".log"))
 	if err != nil {
@@ -183,6 +186,7 @@
 	return Process{Name: name, binary: binary, args: args, logFile: logFile}, nil
 }
 
+// addEngine adds the engine with the given index and starts its process.
 func (c *Cluster) addEngine(index int, settings Settings) error {
 	engine := &Engine{Address: loopback.FreeAddress(), RunnerName: fmt.Sprintf("runner-%d", index), Pool: Pool, Zone: Zones[index%len(Zones)]}
 	args := []string{"engine", "--listen", engine.Address, "--platform", c.Platform.Address(), "--model", Model, "--weights", InitialWeightVersion}
@@ -201,6 +205,7 @@
 	return engine.Start()
 }
 
+// startRouter starts the process of a router with the peer addresses of all routers as seeds.
 func (c *Cluster) startRouter(index int, router *Router) error {
 	name := fmt.Sprintf("router-%d", index)
 	args := []string{
@@ -241,6 +246,7 @@
 // Tenants are the names of the tenants in every cluster.
 var Tenants = []string{"one", "two"}
 
+// writeInitialObjects writes the tier, pool, weight versions, model, tenants and runners.
 func (c *Cluster) writeInitialObjects() error {
 	type initialObject struct {
 		kind v1.Kind
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
+// testSettings returns the settings of a short run with every fault.
 func testSettings(policy Policy) Settings {
 	return Settings{
 		Deployment: Deployments()[1], Engine: EngineSettings(), Faults: AllFaults(), Policy: policy,
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -87,6 +87,7 @@
 	changed chan struct{}
 }
 
+// notifyChanged wakes all goroutines that wait for a change of the stream.
 func (s *attemptStream) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -444,6 +445,8 @@
 	return false
 }
 
+// handleResume streams the output of an attempt from an offset on. It bars an attempt that it
+// has never seen, so that a request that arrives late can't start a run.
 func (s *Server) handleResume(writer http.ResponseWriter, request *http.Request) {
 	var body engineapi.ResumeRequest
 	if !readJSON(writer, request, &body) {
@@ -473,6 +476,7 @@
 	}
 }
 
+// handleCancel cancels an attempt, or bars it if it has never seen it.
 func (s *Server) handleCancel(writer http.ResponseWriter, request *http.Request) {
 	var body engineapi.CancelRequest
 	if !readJSON(writer, request, &body) {
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -49,6 +49,7 @@
 
 // ClassStats are the statistics of one class of requests, which is a row of the report.
 type ClassStats struct {
+	// Sent and Complete count requests, Refused the attempts that failed with a retryable error.
 	Sent, Complete, Refused int
 	PromptTokens            int
 	CachedTokens            int
@@ -59,7 +60,8 @@
 type Report struct {
 	// Classes holds the statistics by class, which is the name of the workload and the class of
 	// its requests.
-	Classes  map[string]*ClassStats
+	Classes map[string]*ClassStats
+	// Sent, Complete and Wrong count requests; the wrong ones are those with WrongText.
 	Sent     int
 	Complete int
 	Wrong    int
@@ -122,11 +124,11 @@
 	sort.Strings(classes)
 	for _, class := range classes {
 		stats := r.Classes[class]
-		quantile := func(q float64) string {
-			return (time.Duration(stats.TimeToFirstToken.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond).String()
+		percentile := func(percent float64) string {
+			return (time.Duration(stats.TimeToFirstToken.ValueAtQuantile(percent)) * time.Microsecond).Round(100 * time.Microsecond).String()
 		}
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.3f\t%d\t%s\t%s\t%s\t\n", class, stats.Sent, stats.Complete, stats.Refused,
-			float64(stats.CachedTokens)/float64(max(stats.PromptTokens, 1)), stats.PromptTokens-stats.CachedTokens, quantile(50), quantile(95), quantile(99))
+			float64(stats.CachedTokens)/float64(max(stats.PromptTokens, 1)), stats.PromptTokens-stats.CachedTokens, percentile(50), percentile(95), percentile(99))
 	}
 	table.Flush()
 	for failure, count := range r.Failures {
