--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -71,7 +71,7 @@
 	settings := platformserver.DefaultSettings()
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
 	subcommand.Duration(&settings.LoadTime, "", "load-time", "Duration of one load of weights.")
-	subcommand.Int(&settings.LoadsAtOnce, "", "loads-at-once", "Maximum number of concurrent loads at full speed.")
+	subcommand.Int(&settings.ConcurrentLoads, "", "loads-at-once", "Maximum number of concurrent loads at full speed.")
 	return command{subcommand, func(ctx context.Context) error {
 		listener, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -89,10 +89,10 @@
 	listen := "127.0.0.1:0"
 	settings := engineserver.Settings{Engine: enginemodel.DefaultSettings()}
 	subcommand.String(&listen, "l", "listen", "IP:port to listen on.")
-	subcommand.String(&settings.Platform, "", "platform", "IP:port of the simulated platform, from which weights are loaded.")
+	subcommand.String(&settings.PlatformAddress, "", "platform", "IP:port of the simulated platform, from which weights are loaded.")
 	subcommand.String(&settings.Model, "m", "model", "Model that is loaded at the start.")
 	subcommand.String(&settings.WeightVersion, "w", "weights", "Weight version that is loaded at the start.")
-	subcommand.Int(&settings.Engine.CapacityBlocks, "", "blocks", "Cache size in blocks.")
+	subcommand.Int(&settings.Engine.CacheBlocks, "", "blocks", "Cache size in blocks.")
 	subcommand.Int(&settings.Faults.EventLagMillis, "", "event-lag", "Delay of cache events in milliseconds.")
 	subcommand.Float64(&settings.Faults.EventLoss, "", "event-loss", "Fraction of cache events that are lost, 0 to 1.")
 	return command{subcommand, func(ctx context.Context) error {
@@ -114,7 +114,7 @@
 func experimentCommand() command {
 	subcommand := newSubcommand("experiment", "Compare placement with baselines and an oracle in virtual time.")
 	settings := experiment.DefaultSettings()
-	subcommand.Int(&settings.Seeds, "", "seeds", "Number of seeds.")
+	subcommand.Int(&settings.SeedCount, "", "seeds", "Number of seeds.")
 	subcommand.Duration(&settings.Duration, "", "duration", "Virtual time of one run.")
 	subcommand.Float64(&settings.Load, "", "load", "Offered load as a fraction of the load that saturates the oracle.")
 	subcommand.String(&settings.PlotDirectory, "", "plots", "Directory for plots. Without it, no plots are written.")
@@ -173,5 +173,5 @@
 	if err := json.NewDecoder(response.Body).Decode(&runCounts); err != nil {
 		return 0, err
 	}
-	return report.Duplicated(runCounts, engineserver.PromptDigest), nil
+	return report.DuplicatedRuns(runCounts, engineserver.PromptDigest), nil
 }
--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -19,15 +19,15 @@
 		GinkgoHelper()
 		call := cluster.Call{Tenant: tenant, Prompt: prompt, MaxTokens: 10}
 		outcome := c.Do(context.Background(), 0, call)
-		Expect(cluster.Exact(call, outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
+		Expect(cluster.HasExpectedText(call, outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		return outcome
 	}
 
 	It("shares a prefix within a tenant and never between tenants", func() {
 		c := startCluster(cluster.Settings{Routers: 1, Engines: 1})
-		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeZero())
-		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeNumerically(">", 200))
-		Expect(doExact(c, "two", sharedPrefix).Answer.CachedTokens).To(BeZero())
+		Expect(doExact(c, "one", sharedPrefix).Completion.CachedTokens).To(BeZero())
+		Expect(doExact(c, "one", sharedPrefix).Completion.CachedTokens).To(BeNumerically(">", 200))
+		Expect(doExact(c, "two", sharedPrefix).Completion.CachedTokens).To(BeZero())
 	})
 
 	It("uses no cache of an engine that crashed and was restarted at the same address", func() {
@@ -40,10 +40,10 @@
 			status := c.Status(0)
 			return status != nil && status.Runners[0].Incarnation > oldIncarnation && status.Runners[0].Connected
 		})
-		Expect(doExact(c, "one", sharedPrefix).Answer.CachedTokens).To(BeZero())
+		Expect(doExact(c, "one", sharedPrefix).Completion.CachedTokens).To(BeZero())
 		// A request for the old incarnation is refused.
 		_, err := engineapi.NewClient().Generate(context.Background(), c.Engines[0].Address, &engineapi.GenerateRequest{
-			Request: "late", Attempt: 1, Incarnation: oldIncarnation, Model: cluster.Model, WeightVersion: cluster.Weights, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
+			Request: "late", Attempt: 1, Incarnation: oldIncarnation, Model: cluster.Model, WeightVersion: cluster.InitialWeightVersion, BlockBytes: 64, Prompt: "x", MaxTokens: 1,
 		})
 		var refusedErr *engineapi.RefusedError
 		Expect(errors.As(err, &refusedErr)).To(BeTrue())
@@ -56,7 +56,7 @@
 		calls := newCalls(200)
 		results := make(chan []cluster.Outcome)
 		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 2 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 10 })
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 10 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
 		expectAllExact(calls, <-results)
@@ -64,14 +64,14 @@
 			status := c.Status(0)
 			return status != nil && status.Runners[0].WeightVersion == "v2" && status.Runners[1].WeightVersion == "v2"
 		})
-		freshPrompt := sharedPrefix + "after the switch " + cluster.NewKey()
+		freshPrompt := sharedPrefix + "after the switch " + cluster.NewIdempotencyKey()
 		outcome := doExact(c, "two", freshPrompt)
-		Expect(outcome.Answer.WeightVersion).To(Equal("v2"))
-		Expect(outcome.Answer.CachedTokens).To(BeZero())
+		Expect(outcome.Completion.WeightVersion).To(Equal("v2"))
+		Expect(outcome.Completion.CachedTokens).To(BeZero())
 	})
 
 	It("gives correct answers when cache events are lost and late", func() {
-		c := startCluster(cluster.Settings{Routers: 2, Engines: 2, Blocks: 64})
+		c := startCluster(cluster.Settings{Routers: 2, Engines: 2, CacheBlocks: 64})
 		for i := range c.Engines {
 			Expect(c.SetEngineFaults(i, engineserver.Faults{EventLoss: 0.5, EventLagMillis: 200})).To(Succeed())
 		}
--- a/test/prove/config_test.go
+++ b/test/prove/config_test.go
@@ -124,9 +124,9 @@
 	It("reaches a zone that was cut off once it heals, and never reverts there", func() {
 		c := startCluster(cluster.Settings{Routers: 6, Engines: 1})
 		monitor := monitorRevisions(c)
-		Expect(c.Cut(2, 5)).To(Succeed())
+		Expect(c.Partition(2, 5)).To(Succeed())
 		awaitRevision(c, writePool(c, 1.5))
-		Expect(c.Cut()).To(Succeed())
+		Expect(c.Partition()).To(Succeed())
 		awaitRevision(c, writePool(c, 1.6))
 		monitor.expectNoRollback()
 	})
@@ -175,7 +175,7 @@
 		key := v1.Key{Kind: v1.KindPool, Name: cluster.Pool}
 		current, err := c.Client.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
-		c.Platform.SetFaults(platformserver.Faults{LoseAnswers: 1})
+		c.Platform.SetFaults(platformserver.Faults{LoseResponses: 1})
 		stored, err := c.Write(v1.KindPool, cluster.Pool, &v1.PoolSpec{MaxLoading: 1, HitWeight: 4})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stored.Version).To(BeNumerically(">", current.Version))
--- a/test/prove/fence_test.go
+++ b/test/prove/fence_test.go
@@ -55,11 +55,11 @@
 
 var _ = Describe(promises[6], func() {
 	It("is not disturbed by a resumed lease holder whose lease has expired", func() {
-		c := startCluster(cluster.Settings{Routers: 4, Engines: 4, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := startCluster(cluster.Settings{Routers: 4, Engines: 4, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, ConcurrentLoads: 2}})
 		await("a lease is held", func() bool { spec, _ := readLease(c); return spec.Holder != "" })
 		oldLease, _ := readLease(c)
 		frozenRouter := findRouter(c, oldLease.Holder)
-		frozenRouter.Freeze()
+		frozenRouter.Pause()
 		await("another node holds the lease", func() bool {
 			currentLease, _ := readLease(c)
 			return currentLease.Holder != oldLease.Holder && currentLease.Term > oldLease.Term
@@ -80,8 +80,8 @@
 			}
 			return false
 		})
-		frozenRouter.Thaw()
-		await("the resumed router has caught up", func() bool { return c.Settled() })
+		frozenRouter.Resume()
+		await("the resumed router has caught up", func() bool { return c.Ready() })
 		Consistently(func() int { return countServing(c, "v2") }).WithTimeout(time.Second).Should(Equal(len(c.Engines)))
 	})
 
@@ -97,7 +97,7 @@
 	})
 
 	It("keeps loads and serving runners within the pool's limits", func() {
-		c := startCluster(cluster.Settings{Routers: 3, Engines: 6, Weights: platformserver.Settings{LoadTime: 300 * time.Millisecond, LoadsAtOnce: 2}})
+		c := startCluster(cluster.Settings{Routers: 3, Engines: 6, PlatformSettings: platformserver.Settings{LoadTime: 300 * time.Millisecond, ConcurrentLoads: 2}})
 		generator := startTraffic(c, 8, func(i int) int { return i % 3 })
 		_, err := c.Write(v1.KindModel, cluster.Model, &v1.ModelSpec{Pool: cluster.Pool, WeightVersion: "v2"})
 		Expect(err).NotTo(HaveOccurred())
@@ -111,7 +111,7 @@
 		})
 		calls, outcomes := generator.finish()
 		expectAllExact(calls, outcomes)
-		Expect(c.Platform.MostLoading()).To(BeNumerically("<=", 2))
+		Expect(c.Platform.MaxActiveLoads()).To(BeNumerically("<=", 2))
 		Expect(minServing).To(BeNumerically(">=", 3), "half of the runners of the pool must keep serving")
 	})
 })
--- a/test/prove/once_test.go
+++ b/test/prove/once_test.go
@@ -18,7 +18,7 @@
 	GinkgoHelper()
 	for i, call := range calls {
 		expectTruthfulOutcome(c, call, outcomes[i])
-		Expect(c.RunsOf(call.Prompt)).To(BeNumerically("<=", 1), "runs of call %d", i)
+		Expect(c.RunCount(call.Prompt)).To(BeNumerically("<=", 1), "runs of call %d", i)
 	}
 }
 
@@ -53,7 +53,7 @@
 	It("determines the outcome of a request whose response from the engine was lost", func() {
 		c := startCluster(cluster.Settings{Routers: 3, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{LoseAnswers: 10})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{LoseResponses: 10})).To(Succeed())
 		}
 		calls := newUnrepeatableCalls(20)
 		outcomes := doConcurrently(c, calls, func(i int) int { return i % 3 })
@@ -72,7 +72,7 @@
 			outcomes = doConcurrently(c, calls, func(i int) int { return i % 3 })
 			close(done)
 		}()
-		await("an unrepeatable request has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("an unrepeatable request has begun", func() bool { return len(c.Platform.RunCounts()) > 0 })
 		c.Engines[0].Kill()
 		<-done
 		expectAtMostOnce(c, calls, outcomes)
@@ -97,7 +97,7 @@
 				firstOutcomes[i] = c.Do(context.Background(), 0, call)
 			}()
 		}
-		await("an unrepeatable request has begun", func() bool { return len(c.Platform.Runs()) > 0 })
+		await("an unrepeatable request has begun", func() bool { return len(c.Platform.RunCounts()) > 0 })
 		c.Routers[0].Kill()
 		group.Wait()
 		secondOutcomes := doConcurrently(c, calls, func(i int) int { return 1 + i%2 })
@@ -115,7 +115,7 @@
 		for _, router := range c.Routers {
 			Expect(router.Start()).To(Succeed())
 		}
-		await("the routers serve", c.Settled)
+		await("the routers serve", c.Ready)
 		repeatedOutcomes := doConcurrently(c, calls, func(i int) int { return i % 3 })
 		expectAtMostOnce(c, calls, repeatedOutcomes)
 		for _, outcome := range repeatedOutcomes {
@@ -125,13 +125,13 @@
 			call := newUnrepeatableCalls(1)[0]
 			outcome := c.Do(context.Background(), 0, call)
 			expectAtMostOnce(c, []cluster.Call{call}, []cluster.Outcome{outcome})
-			return cluster.Exact(call, outcome)
+			return cluster.HasExpectedText(call, outcome)
 		})
 	})
 
 	It("refuses unrepeatable requests on the minority side of a partition and serves them on the other", func() {
 		c := startCluster(cluster.Settings{Routers: 3, Engines: 3})
-		Expect(c.Cut(2)).To(Succeed())
+		Expect(c.Partition(2)).To(Succeed())
 		calls := newUnrepeatableCalls(10)
 		isolatedOutcomes := doConcurrently(c, calls, func(int) int { return 2 })
 		for _, outcome := range isolatedOutcomes {
@@ -144,12 +144,12 @@
 		outcomes := doConcurrently(c, freshCalls, func(i int) int { return i % 2 })
 		expectAtMostOnce(c, freshCalls, outcomes)
 		for i, outcome := range outcomes {
-			Expect(cluster.Exact(freshCalls[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
+			Expect(cluster.HasExpectedText(freshCalls[i], outcome)).To(BeTrue(), "%s %s", outcome.Code, outcome.RunState)
 		}
-		Expect(c.Cut()).To(Succeed())
+		Expect(c.Partition()).To(Succeed())
 		await("the cut-off router accepts new keys", func() bool {
 			call := newUnrepeatableCalls(1)[0]
-			return cluster.Exact(call, c.Do(context.Background(), 2, call))
+			return cluster.HasExpectedText(call, c.Do(context.Background(), 2, call))
 		})
 	})
 
@@ -161,7 +161,7 @@
 			outcome := c.Do(context.Background(), (i+1)%3, call)
 			Expect(outcome.Status).To(Equal(409))
 			Expect(outcome.RunState).To(Equal("unknown"))
-			Expect(outcome.Took).To(BeNumerically("<", time.Second))
+			Expect(outcome.Elapsed).To(BeNumerically("<", time.Second))
 		}
 		expectAtMostOnce(c, calls, make([]cluster.Outcome, len(calls)))
 	})
@@ -190,7 +190,7 @@
 			assignmentBefore := c.Status(0).Assignment
 			c.Routers[killedRouter].Kill()
 			Expect(c.Routers[killedRouter].Start()).To(Succeed())
-			await("the routers are ready", c.Settled)
+			await("the routers are ready", c.Ready)
 			Expect(c.Status(0).Assignment).To(BeNumerically(">=", assignmentBefore))
 			await("a new key that two routers receive at the same time is accepted", func() bool {
 				call := newUnrepeatableCalls(1)[0]
--- a/test/prove/restart_test.go
+++ b/test/prove/restart_test.go
@@ -24,8 +24,8 @@
 		call := newCalls(1)[0]
 		outcome := c.Do(context.Background(), router, call)
 		if outcome.Complete() {
-			Expect(cluster.Exact(call, outcome)).To(BeTrue())
-			return time.Since(startedAt) - outcome.Took + outcome.Answer.FirstToken, refusals
+			Expect(cluster.HasExpectedText(call, outcome)).To(BeTrue())
+			return time.Since(startedAt) - outcome.Elapsed + outcome.Completion.TimeToFirstToken, refusals
 		}
 		if outcome.Status != 0 {
 			refusals++
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -14,9 +14,9 @@
 func expectAllExact(calls []cluster.Call, outcomes []cluster.Outcome) {
 	GinkgoHelper()
 	for i, outcome := range outcomes {
-		Expect(outcome.Error).NotTo(HaveOccurred())
-		Expect(outcome.Complete()).To(BeTrue(), "call %d: status %d %s %s after %d chunks", i, outcome.Status, outcome.Code, outcome.RunState, outcome.Answer.Chunks)
-		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(calls[i], outcome.Answer.WeightVersion)))
+		Expect(outcome.Err).NotTo(HaveOccurred())
+		Expect(outcome.Complete()).To(BeTrue(), "call %d: status %d %s %s after %d chunks", i, outcome.Status, outcome.Code, outcome.RunState, outcome.Completion.Chunks)
+		Expect(outcome.Completion.Text).To(Equal(cluster.ExpectedText(calls[i], outcome.Completion.WeightVersion)))
 	}
 }
 
@@ -24,7 +24,7 @@
 	It("passes on only the frames of its own request, attempt and offset", func() {
 		c := startCluster(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{CrossFrames: true})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{InjectWrongFrames: true})).To(Succeed())
 		}
 		calls := newCalls(40)
 		expectAllExact(calls, doConcurrently(c, calls, func(i int) int { return i % 2 }))
@@ -33,7 +33,7 @@
 	It("resumes streams that are cut in the middle", func() {
 		c := startCluster(cluster.Settings{Routers: 2, Engines: 2})
 		for i := range c.Engines {
-			Expect(c.SetEngineFaults(i, engineserver.Faults{CutStreams: 30, CrossFrames: true})).To(Succeed())
+			Expect(c.SetEngineFaults(i, engineserver.Faults{CutStreams: 30, InjectWrongFrames: true})).To(Succeed())
 		}
 		calls := newCalls(40)
 		expectAllExact(calls, doConcurrently(c, calls, func(i int) int { return i % 2 }))
@@ -44,7 +44,7 @@
 		calls := newCalls(60)
 		results := make(chan []cluster.Outcome)
 		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 3 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 20 })
 		c.Engines[0].Kill()
 		expectAllExact(calls, <-results)
 	})
@@ -54,10 +54,10 @@
 		calls := newCalls(60)
 		results := make(chan []cluster.Outcome)
 		go func() { results <- doConcurrently(c, calls, func(i int) int { return i % 3 }) }()
-		await("requests have begun", func() bool { return len(c.Platform.Runs()) > 20 })
-		c.Engines[1].Freeze()
+		await("requests have begun", func() bool { return len(c.Platform.RunCounts()) > 20 })
+		c.Engines[1].Pause()
 		outcomes := <-results
-		c.Engines[1].Thaw()
+		c.Engines[1].Resume()
 		expectAllExact(calls, outcomes)
 		moreCalls := newCalls(20)
 		expectAllExact(moreCalls, doConcurrently(c, moreCalls, func(i int) int { return i % 3 }))
@@ -69,7 +69,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		result := make(chan cluster.Outcome)
 		go func() { result <- c.Do(ctx, 0, call) }()
-		await("the request has begun", func() bool { return c.RunsOf(call.Prompt) == 1 })
+		await("the request has begun", func() bool { return c.RunCount(call.Prompt) == 1 })
 		cancel()
 		<-result
 		await("the engine is idle", func() bool {
--- a/test/prove/suite_test.go
+++ b/test/prove/suite_test.go
@@ -51,14 +51,14 @@
 	c, err := cluster.New(binaries, logDir, settings)
 	DeferCleanup(c.Close)
 	Expect(err).NotTo(HaveOccurred())
-	await("the cluster is ready", c.Settled)
+	await("the cluster is ready", c.Ready)
 	return c
 }
 
 // await fails the test unless the condition is met within settleTimeout.
 func await(what string, condition func() bool) {
 	GinkgoHelper()
-	Expect(cluster.Await(settleTimeout, condition)).To(BeTrue(), "timed out waiting until %s", what)
+	Expect(cluster.WaitFor(settleTimeout, condition)).To(BeTrue(), "timed out waiting until %s", what)
 }
 
 // testContext returns a context that is canceled at the end of the test.
@@ -72,7 +72,7 @@
 func newCalls(count int) []cluster.Call {
 	calls := make([]cluster.Call, count)
 	for i := range calls {
-		calls[i] = cluster.Call{Tenant: "one", Prompt: sharedPrefix + fmt.Sprintf("question %d of %s", i, cluster.NewKey()), MaxTokens: 60}
+		calls[i] = cluster.Call{Tenant: "one", Prompt: sharedPrefix + fmt.Sprintf("question %d of %s", i, cluster.NewIdempotencyKey()), MaxTokens: 60}
 	}
 	return calls
 }
@@ -85,7 +85,7 @@
 func newUnrepeatableCalls(count int) []cluster.Call {
 	calls := newCalls(count)
 	for i := range calls {
-		calls[i].Key = cluster.NewKey()
+		calls[i].IdempotencyKey = cluster.NewIdempotencyKey()
 	}
 	return calls
 }
@@ -114,10 +114,10 @@
 func expectTruthfulOutcome(c *cluster.Cluster, call cluster.Call, outcome cluster.Outcome) {
 	GinkgoHelper()
 	if outcome.Complete() {
-		Expect(outcome.Answer.Text).To(Equal(cluster.Expected(call, outcome.Answer.WeightVersion)))
+		Expect(outcome.Completion.Text).To(Equal(cluster.ExpectedText(call, outcome.Completion.WeightVersion)))
 	}
-	if outcome.RunState == "not_run" && call.Key != "" {
-		Expect(c.RunsOf(call.Prompt)).To(BeZero(), "reported as not run")
+	if outcome.RunState == "not_run" && call.IdempotencyKey != "" {
+		Expect(c.RunCount(call.Prompt)).To(BeZero(), "reported as not run")
 	}
 }
 
