--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks every model, which must hold, and every mutant, which spin must refute.
-# Installs spin from Debian's packages where it is missing. Prints one line each:
-# model, mutant, states stored, verdict.
+# Checks every model, which must hold, and every mutant, which spin must refute. Installs
+# spin from the Debian packages if it is missing. Prints one line for each model and each
+# mutant: model, mutant, stored states, verdict.
 set -eu
 cd "$(dirname "$0")"
 if ! command -v spin >/dev/null 2>&1; then
@@ -10,8 +10,9 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# The search ends with an error when it is cut short, in depth, memory or time.
-check() { # model, options of the search, definition or nothing
+# check runs one search and writes the numbers of stored states and of errors to files. It
+# fails if the search was incomplete because it reached the limit of depth, memory or time.
+check() { # model, options of pan, mutant or ""
   local dir="$work/$1-$3"
   mkdir "$dir"
   cp "$1.pml" "$dir/"
@@ -24,7 +25,7 @@
   sed -n 's/.*errors: \([0-9]*\).*/\1/p' pan.log >errors
 }
 
-report() { # model, definition or nothing, wanted verdict
+report() { # model, mutant or "", expected verdict
   local dir="$work/$1-$2" verdict=holds
   if [ ! -s "$dir/errors" ]; then
     verdict="SEARCH FAILED"
@@ -36,8 +37,10 @@
   [ "$verdict" = "$3" ] || { echo "  WANTED: $3"; return 1; }
 }
 
-# model, options (processes may wait for ever for what need not happen: -E), mutants
-list() {
+# list_models prints one line for each model: name, options of pan, mutants. The option -E
+# ignores invalid end states. It is needed where a process may wait forever for something
+# that need not happen. The option -n only omits the list of unreached states.
+list_models() {
   cat <<'LIST'
 claim -E NO_HORIZON KEEP_ATTEMPT NO_SEAL ANY_HANDOVER NO_INCARNATION NO_RESET
 lease -E NO_FENCE NO_PRECONDITION
@@ -52,17 +55,17 @@
 }
 
 while read -r model options mutants; do
-  for definition in "" $mutants; do
-    (check "$model" "$options" "$definition") &
+  for mutant in "" $mutants; do
+    (check "$model" "$options" "$mutant") &
   done
   wait
-done < <(list)
+done < <(list_models)
 
 failed=0
 while read -r model options mutants; do
   report "$model" "" holds || failed=1
-  for definition in $mutants; do
-    report "$model" "$definition" refuted || failed=1
+  for mutant in $mutants; do
+    report "$model" "$mutant" refuted || failed=1
   done
-done < <(list)
+done < <(list_models)
 exit $failed
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,24 +1,26 @@
 /*
- * Configuration of one object, written 3 times (the second write deletes it),
- * and two nodes that read lists, older lists and watches, and repair each other.
+ * Replication of one configuration object to two nodes. The object is written
+ * three times, and the second write deletes it. The nodes read lists, outdated
+ * lists and watches from the platform, and pull from each other.
  *
- * Invariants: a node's revision and the object's version never decrease; a
- * deleted object does not come back; when nothing is left to do, both nodes
- * have what the platform has.
+ * Invariants: the revision of a node and the version of its object never
+ * decrease; a deleted object is not restored by an older version; when all
+ * changes are delivered, both nodes hold the state of the platform.
  *
- * Mutants: OLD_LIST (a list applies whatever its revision), NO_TOMBSTONE (a
- * deletion is forgotten), SKIP_GAP (a delta applies over missing changes).
+ * Mutants: OLD_LIST (a list is applied whatever its revision is), NO_TOMBSTONE
+ * (no tombstone is kept for a deletion), SKIP_GAP (a delta is applied although
+ * the changes that precede it are missing).
  */
-#define LAST 3
-#define DELETION 2
+#define LAST_REVISION 3
+#define DELETION_REVISION 2
 
-byte revision = 0;               /* the platform */
-byte at[2];                      /* the nodes' revisions */
-byte have[2];                    /* version of the object in force, 0: none */
-byte gone[2];                    /* version of the deletion known, 0: none */
+byte platformRevision = 0;       /* revision of the platform's store */
+byte nodeRevision[2];            /* revision of each node */
+byte liveVersion[2];             /* version of the live object at each node, or 0 */
+byte tombstone[2];               /* revision of the known deletion at each node, or 0 */
 
-/* the object's version at a revision, 0 when it is deleted or not yet there */
-#define stateAt(r) ((r == 0 || r == DELETION) -> 0 : r)
+/* Version of the object at a revision, 0 if it is deleted or not yet created. */
+#define versionAt(r) ((r == 0 || r == DELETION_REVISION) -> 0 : r)
 
 inline applyList(node, r) {
 #ifdef OLD_LIST
@@ -26,92 +28,92 @@
   :: true ->
 #else
   if
-  :: r > at[node] ->
+  :: r > nodeRevision[node] ->
 #endif
      if
-     :: stateAt(r) == 0 && have[node] > 0 -> gone[node] = r; have[node] = 0
-     :: stateAt(r) > 0 -> have[node] = stateAt(r)
+     :: versionAt(r) == 0 && liveVersion[node] > 0 -> tombstone[node] = r; liveVersion[node] = 0
+     :: versionAt(r) > 0 -> liveVersion[node] = versionAt(r)
      :: else
      fi;
-     assert(r >= at[node]);
-     at[node] = r
+     assert(r >= nodeRevision[node]);
+     nodeRevision[node] = r
 #ifndef OLD_LIST
   :: else
 #endif
   fi
 }
 
-/* a delta with the changes in (from, through], as a watch or a peer gives it */
+/* Applies a delta of the changes in (from, through], from a watch or a peer. */
 inline applyDelta(node, from, through) {
   if
 #ifdef SKIP_GAP
-  :: through > at[node] ->
+  :: through > nodeRevision[node] ->
 #else
-  :: through > at[node] && from <= at[node] ->
+  :: through > nodeRevision[node] && from <= nodeRevision[node] ->
 #endif
      if
-     :: DELETION > from && DELETION <= through && have[node] < DELETION -> have[node] = 0; gone[node] = DELETION
+     :: DELETION_REVISION > from && DELETION_REVISION <= through && liveVersion[node] < DELETION_REVISION -> liveVersion[node] = 0; tombstone[node] = DELETION_REVISION
      :: else
      fi;
      if
-     :: through != DELETION && through > from && (through > DELETION || from < 1) && stateAt(through) > gone[node] ->
-        have[node] = stateAt(through)
+     :: through != DELETION_REVISION && through > from && (through > DELETION_REVISION || from < 1) && versionAt(through) > tombstone[node] ->
+        liveVersion[node] = versionAt(through)
      :: else
      fi;
-     at[node] = through
+     nodeRevision[node] = through
   :: else
   fi
 }
 
 proctype writer() {
   do
-  :: revision < LAST -> revision++
-  :: revision == LAST -> break
+  :: platformRevision < LAST_REVISION -> platformRevision++
+  :: platformRevision == LAST_REVISION -> break
   od
 }
 
-proctype node(byte me) {
-  byte r, from, before, rounds;
+proctype node(byte self) {
+  byte r, from, previous, rounds;
   do
-  :: at[me] < LAST && rounds < 6 ->
+  :: nodeRevision[self] < LAST_REVISION && rounds < 6 ->
      atomic {
        rounds++;
-       before = at[me];
+       previous = nodeRevision[self];
        if
-       :: select(r : 0 .. 3); if :: r <= revision -> applyList(me, r) :: else fi
-       :: from = at[me]; applyDelta(me, from, revision)
+       :: select(r : 0 .. 3); if :: r <= platformRevision -> applyList(self, r) :: else fi
+       :: from = nodeRevision[self]; applyDelta(self, from, platformRevision)
 #ifdef SKIP_GAP
-       :: revision == LAST -> from = DELETION; applyDelta(me, from, at[1 - me])
+       :: platformRevision == LAST_REVISION -> from = DELETION_REVISION; applyDelta(self, from, nodeRevision[1 - self])
 #endif
-       :: /* a pull from the other node, answered by what it has */
+       :: /* pull from the other node, which answers from its own state */
           if
-          :: at[1 - me] > at[me] ->
+          :: nodeRevision[1 - self] > nodeRevision[self] ->
 #ifdef NO_TOMBSTONE
              if
-             :: have[1 - me] > 0 -> have[me] = have[1 - me]
+             :: liveVersion[1 - self] > 0 -> liveVersion[self] = liveVersion[1 - self]
              :: else
              fi;
-             at[me] = at[1 - me]
+             nodeRevision[self] = nodeRevision[1 - self]
 #else
-             from = at[me]; applyDelta(me, from, at[1 - me])
+             from = nodeRevision[self]; applyDelta(self, from, nodeRevision[1 - self])
 #endif
           :: else
           fi
        fi;
-       assert(at[me] >= before);
-       assert(have[me] == stateAt(at[me]));
+       assert(nodeRevision[self] >= previous);
+       assert(liveVersion[self] == versionAt(nodeRevision[self]));
        r = 0; from = 0
      }
-  :: at[me] == LAST || rounds == 6 -> break
+  :: nodeRevision[self] == LAST_REVISION || rounds == 6 -> break
   od;
-  /* what is left is read from the platform in the end */
-  (revision == LAST);
+  /* Finally the node reads all remaining changes from the platform. */
+  (platformRevision == LAST_REVISION);
   atomic {
     if
-    :: at[me] < LAST -> applyList(me, LAST)
+    :: nodeRevision[self] < LAST_REVISION -> applyList(self, LAST_REVISION)
     :: else
     fi;
-    assert(have[me] == LAST && at[me] == LAST)
+    assert(liveVersion[self] == LAST_REVISION && nodeRevision[self] == LAST_REVISION)
   }
 }
 
--- a/spec/drain.pml
+++ b/spec/drain.pml
@@ -1,28 +1,30 @@
 /*
- * A planned stop of an engine while two routers dispatch to it. Dispatches are
- * on their way for any time. The engine refuses work once it drains, tells its
- * home, and ends when its streams have ended.
+ * Planned shutdown of an engine while two routers dispatch requests to it. A
+ * dispatch may be in flight for any time. The engine refuses requests once it
+ * drains, notifies the routers (in the code through its home, the node that reads
+ * its event stream), and ends when all its streams have ended.
  *
- * Invariants: a draining engine takes no work; no accepted stream is cut; every request ends complete, or is
- * refused and sent elsewhere; a router that has heard of the drain sends no
- * more.
+ * Invariants: a draining engine accepts no request; no accepted stream is cut;
+ * every request either completes, or is refused and sent to another engine; a
+ * router that was notified of the drain sends no further requests.
  *
- * Mutants: NO_WAIT (the engine ends with open streams), LATE_ACCEPT (a draining
- * engine still accepts), DEAF (a router ignores the news).
+ * Mutants: NO_WAIT (the engine ends while streams are open), LATE_ACCEPT (a
+ * draining engine still accepts requests), DEAF (a router ignores the
+ * notification).
  */
 #define ROUTERS 2
 #define REQUESTS 2
 
-chan network = [4] of { byte };     /* dispatches on their way, by router */
-byte open = 0;                      /* streams open on the engine */
+chan network = [4] of { byte };     /* dispatches in flight, each with its router */
+byte openStreams = 0;               /* open streams on the engine */
 bool draining = false;
 bool ended = false;
-bool told[ROUTERS];
-byte complete = 0;
-byte elsewhere = 0;
-bool lateSend = false;
+bool informed[ROUTERS];
+byte completed = 0;
+byte rerouted = 0;
+bool sentAfterNotice = false;
 
-proctype router(byte me) {
+proctype router(byte self) {
   byte sent;
   do
   :: sent < REQUESTS ->
@@ -33,14 +35,14 @@
        :: true ->
 #else
        if
-       :: told[me] -> elsewhere++
-       :: !told[me] ->
+       :: informed[self] -> rerouted++
+       :: !informed[self] ->
 #endif
           if
-          :: told[me] -> lateSend = true
+          :: informed[self] -> sentAfterNotice = true
           :: else
           fi;
-          network ! me
+          network ! self
        fi
      }
   :: sent == REQUESTS -> break
@@ -48,38 +50,38 @@
 }
 
 proctype engine() {
-  byte from;
+  byte sender;
   do
-  :: atomic { network ? from ->
+  :: atomic { network ? sender ->
        if
 #ifdef LATE_ACCEPT
-       :: !ended -> open++; assert(!draining)
-       :: ended -> elsewhere++
+       :: !ended -> openStreams++; assert(!draining)
+       :: ended -> rerouted++
 #else
-       :: !draining -> open++; assert(!draining)
-       :: draining -> elsewhere++      /* refused: not run, so it goes elsewhere */
+       :: !draining -> openStreams++; assert(!draining)
+       :: draining -> rerouted++      /* refused: did not run, so another engine may run it */
 #endif
        fi }
-  :: atomic { open > 0 && !ended -> open--; complete++ }
+  :: atomic { openStreams > 0 && !ended -> openStreams--; completed++ }
   :: atomic { !draining -> draining = true }
-  :: draining && !told[0] -> told[0] = true
-  :: draining && !told[1] -> told[1] = true
+  :: draining && !informed[0] -> informed[0] = true
+  :: draining && !informed[1] -> informed[1] = true
 #ifdef NO_WAIT
-  :: atomic { draining && !ended -> ended = true; assert(open == 0) }
+  :: atomic { draining && !ended -> ended = true; assert(openStreams == 0) }
 #else
-  :: atomic { draining && !ended && open == 0 -> ended = true }
+  :: atomic { draining && !ended && openStreams == 0 -> ended = true }
 #endif
-  :: atomic { ended && open == 0 && complete + elsewhere == ROUTERS * REQUESTS -> break }
+  :: atomic { ended && openStreams == 0 && completed + rerouted == ROUTERS * REQUESTS -> break }
   od
 }
 
-/* In every end state all requests have their outcome; spin reports any other
+/* Every request has its outcome in every end state, since spin reports any other
    end state as invalid. */
-proctype watcher() {
+proctype monitor() {
 end:
   do
-  :: atomic { ended -> assert(open == 0); assert(!lateSend) ; break }
+  :: atomic { ended -> assert(openStreams == 0); assert(!sentAfterNotice) ; break }
   od
 }
 
-init { atomic { run router(0); run router(1); run engine(); run watcher() } }
+init { atomic { run router(0); run router(1); run engine(); run monitor() } }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,41 +1,41 @@
 /*
- * A lease with a fencing token. Two candidates acquire by a conditional write;
- * a holder may be paused for any time between taking the lease and giving an
- * order. The engine accepts an order only if its token is at least the highest
- * that it has seen.
+ * A lease with a fencing token. Two candidates acquire the lease by a
+ * conditional write. A holder may be paused for any time between the acquisition
+ * and an order to the engine. The engine accepts an order only if its token is
+ * not lower than the highest one that it has seen.
  *
- * Invariants: no two terms have one token; the engine never obeys an older
- * holder after a newer one.
+ * Invariants: no two terms have the same token; the engine never obeys an
+ * earlier holder after a later one.
  *
- * Mutants: NO_FENCE (the engine obeys any token), NO_PRECONDITION (writes are
- * not conditional, and the token is chosen by the writer).
+ * Mutants: NO_FENCE (the engine obeys orders with any token), NO_PRECONDITION
+ * (writes are unconditional, and the writer chooses the token).
  */
-#define TERMS 3
+#define MAX_TERMS 3
 
-byte version = 0;      /* the platform's version of the lease object */
-byte fence = 0;        /* the engine's highest token */
-byte obeyed = 0;       /* the token of the newest holder obeyed */
-byte issued[6];        /* how often each token was given out */
+byte revision = 0;        /* revision of the lease object on the platform */
+byte highestToken = 0;    /* highest token that the engine has seen */
+byte newestObeyed = 0;    /* token of the newest holder that the engine has obeyed */
+byte issueCount[6];       /* how often each token was issued */
 byte terms = 0;
 
 proctype candidate() {
-  byte seen, token;
+  byte observed, token;
   do
-  :: terms < TERMS ->
-     seen = version;
-     /* the watched time passes here; others may act in between */
+  :: terms < MAX_TERMS ->
+     observed = revision;
+     /* Any time may pass here, in which the other candidate may act. */
      atomic {
        if
 #ifdef NO_PRECONDITION
-       :: terms++; version = seen + 1; token = seen + 1; issued[token]++
+       :: terms++; revision = observed + 1; token = observed + 1; issueCount[token]++
 #else
-       :: version == seen -> terms++; version++; token = version; issued[token]++
-       :: version != seen -> token = 0
+       :: revision == observed -> terms++; revision++; token = revision; issueCount[token]++
+       :: revision != observed -> token = 0
 #endif
        fi;
-       assert(token == 0 || issued[token] == 1)
+       assert(token == 0 || issueCount[token] == 1)
      };
-     /* the holder believes in its term for as long as it likes */
+     /* The holder may consider its term valid for any time. */
      do
      :: token > 0 ->
         atomic {
@@ -44,19 +44,19 @@
           :: true ->
 #else
           if
-          :: token >= fence ->
+          :: token >= highestToken ->
 #endif
-             fence = (token > fence -> token : fence);
-             assert(token >= obeyed);
-             obeyed = token
+             highestToken = (token > highestToken -> token : highestToken);
+             assert(token >= newestObeyed);
+             newestObeyed = token
 #ifndef NO_FENCE
-          :: token < fence -> token = 0
+          :: token < highestToken -> token = 0
 #endif
           fi
         }
      :: break
      od
-  :: terms >= TERMS -> break
+  :: terms >= MAX_TERMS -> break
   od
 }
 
--- a/spec/permit.pml
+++ b/spec/permit.pml
@@ -1,123 +1,127 @@
 /*
- * A limit of one request a tick, which a runner has named, in two parts. The routers of the
- * list of schedulers grant sends, each one in two ticks. The list changes once, from the
- * routers 0 and 1 to 1 and 2, and each router reads the new one within LAG ticks; a router may
- * restart. A permit is used within VALID ticks, or never. A router that begins to grant waits
- * HOLD ticks.
+ * A rate limit of one request per tick, reported by a runner and divided into two
+ * shares. Each router on the list of schedulers grants permits from one share, at
+ * most one every two ticks. The list changes once, from routers 0 and 1 to routers
+ * 1 and 2, and each router reads the new list within MAX_LIST_DELAY ticks. One
+ * router may restart once. A permit is used within PERMIT_LIFETIME ticks or never.
+ * A router that becomes a scheduler or restarts as one grants nothing for
+ * GRANT_DELAY ticks.
  *
- * Invariant: within any WINDOW ticks the runner gets no more than the limit brings in during
- * them and the time of a permit, and one request a part.
+ * Invariant: within any WINDOW ticks the runner receives at most what the limit
+ * allows in WINDOW + PERMIT_LIFETIME ticks, plus one request per share.
  *
- * Mutants: NO_HOLD (a new scheduler grants at once), NO_END (permits are used at any time),
- * STAYS (a router that is no longer listed goes on to grant).
+ * Mutants: NO_HOLD (a new scheduler grants at once), NO_END (permits never expire),
+ * STAYS (a router that is no longer on the list continues to grant).
  */
-#define END 12
+#define END_TIME 12
 #define WINDOW 4
-#define VALID 1
-#define LAG 2
-#define HOLD (LAG + VALID + 1)
-#define PARTS 2
-#define ALLOWED (WINDOW + VALID + PARTS)
+#define PERMIT_LIFETIME 1
+#define MAX_LIST_DELAY 2
+#define GRANT_DELAY (MAX_LIST_DELAY + PERMIT_LIFETIME + 1)
+#define SHARES 2
+#define MAX_SENDS (WINDOW + PERMIT_LIFETIME + SHARES)
 
 byte now = 0;
-bool changed = false;
-byte changedAt;
+bool listChanged = false;
+byte listChangedAt;
 bool restarted = false;
 
-bool read[3];          /* has read the new list */
-bool grants[3];        /* is a scheduler by the list that it has read */
-byte from[3];          /* grants from this tick on */
-byte next[3];          /* when its next permit is due */
-byte held[3];          /* permits that are not used yet */
-byte heldAt[3];        /* when the oldest of them was granted */
-byte sent[WINDOW];     /* requests in each of the last ticks */
+/* State of each router. */
+bool hasNewList[3];      /* the router has read the new list */
+bool isScheduler[3];     /* the router is on the list that it has read */
+byte grantFrom[3];       /* the first tick in which it may grant */
+byte nextAt[3];          /* the tick in which its next permit is due */
+byte unusedPermits[3];   /* the number of granted permits that are not used yet */
+byte oldestGrantAt[3];   /* the tick in which the oldest unused permit was granted */
 
-inline begin(k) {
-  grants[k] = true;
+byte recentSends[WINDOW];     /* requests sent in each of the last ticks, newest first */
+
+inline startGranting(router) {
+  isScheduler[router] = true;
 #ifdef NO_HOLD
-  from[k] = now;
+  grantFrom[router] = now;
 #else
-  from[k] = now + HOLD;
+  grantFrom[router] = now + GRANT_DELAY;
 #endif
 }
 
-inline takeList(k) {
-  read[k] = true;
+inline readNewList(router) {
+  hasNewList[router] = true;
   if
-  :: k == 2 -> begin(k)
+  :: router == 2 -> startGranting(router)
 #ifndef STAYS
-  :: k == 0 -> grants[k] = false
+  :: router == 0 -> isScheduler[router] = false
 #endif
   :: else
   fi
 }
 
-inline restart(k) {
+inline restart(router) {
   restarted = true;
-  next[k] = 0;
-  held[k] = 0;
-  read[k] = changed;
+  nextAt[router] = 0;
+  unusedPermits[router] = 0;
+  hasNewList[router] = listChanged;
   if
-  :: (changed && k > 0) || (!changed && k < 2) -> begin(k)
-  :: else -> grants[k] = false
+  :: (listChanged && router > 0) || (!listChanged && router < 2) -> startGranting(router)
+  :: else -> isScheduler[router] = false
   fi
 }
 
-inline step(k) {
+inline runRouter(router) {
   if
-  :: changed && !read[k] && now - changedAt >= LAG -> takeList(k)
-  :: changed && !read[k] && now - changedAt < LAG ->
+  :: listChanged && !hasNewList[router] && now - listChangedAt >= MAX_LIST_DELAY -> readNewList(router)
+  :: listChanged && !hasNewList[router] && now - listChangedAt < MAX_LIST_DELAY ->
      if
-     :: takeList(k)
+     :: readNewList(router)
      :: true
      fi
   :: else
   fi;
   if
-  :: !restarted -> restart(k)
+  :: !restarted -> restart(router)
   :: true
   fi;
   if
-  :: grants[k] && now >= from[k] && now >= next[k] ->
+  :: isScheduler[router] && now >= grantFrom[router] && now >= nextAt[router] ->
      if
-     :: next[k] = now + PARTS;
-        heldAt[k] = (held[k] == 0 -> now : heldAt[k]);
-        held[k]++
+     :: nextAt[router] = now + SHARES;
+        oldestGrantAt[router] = (unusedPermits[router] == 0 -> now : oldestGrantAt[router]);
+        unusedPermits[router]++
      :: true
      fi
   :: else
   fi;
   do
-  :: held[k] > 0 -> held[k]--; sent[0]++
+  :: unusedPermits[router] > 0 -> unusedPermits[router]--; recentSends[0]++
   :: break
   od;
 #ifndef NO_END
   if
-  :: held[k] > 0 && now - heldAt[k] >= VALID -> held[k] = 0
+  :: unusedPermits[router] > 0 && now - oldestGrantAt[router] >= PERMIT_LIFETIME -> unusedPermits[router] = 0
   :: else
   fi
 #endif
 }
 
-active proctype world() {
-  grants[0] = true;
-  grants[1] = true;
+active proctype environment() {
+  isScheduler[0] = true;
+  isScheduler[1] = true;
   do
-  :: now < END -> atomic {
+  :: now < END_TIME -> atomic {
        if
-       :: !changed -> changed = true; changedAt = now
+       :: !listChanged -> listChanged = true; listChangedAt = now
        :: true
        fi;
-       step(0);
-       step(1);
-       step(2);
-       assert(sent[0] + sent[1] + sent[2] + sent[3] <= ALLOWED);
-       sent[3] = sent[2];
-       sent[2] = sent[1];
-       sent[1] = sent[0];
-       sent[0] = 0;
+       runRouter(0);
+       runRouter(1);
+       runRouter(2);
+       assert(recentSends[0] + recentSends[1] + recentSends[2] + recentSends[3] <= MAX_SENDS);
+       recentSends[3] = recentSends[2];
+       recentSends[2] = recentSends[1];
+       recentSends[1] = recentSends[0];
+       recentSends[0] = 0;
        now++
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
--- a/spec/proof.pml
+++ b/spec/proof.pml
@@ -1,92 +1,95 @@
 /*
- * The proof that a configuration is in force, as a lease. The store holds a key
- * until it is taken away. A seed asks the store; a follower asks the seed, which
- * gives what it knows with the age of its proof. Calls and answers take any time;
- * a router serves the key while it knows it and its proof is younger than LEASE.
+ * The proof that a configuration is in effect, used as a lease. The store holds a
+ * key until the key is deleted. A seed reads the store. A follower pulls from the
+ * seed, which answers with its state and the age of its proof. Calls and answers
+ * may take any time. A router serves the key while its copy has the key and its
+ * proof is younger than LEASE.
  *
- * Invariant: no router serves a key later than LEASE after the store took it away.
+ * Invariant: no router serves a key more than LEASE after its deletion from the
+ * store.
  *
- * Mutants: AT_ANSWER (a proof counts from the arrival of the store's answer),
- * NO_AGE (a follower counts a proof from its own question, whatever its age),
- * FROM_ARRIVAL (a follower counts the age back from the answer's arrival).
+ * Mutants: AT_ANSWER (a proof counts from the time at which the response of the
+ * store arrived), NO_AGE (a follower counts a proof from the time of its own pull
+ * and ignores the age), FROM_ARRIVAL (a follower subtracts the age from the time
+ * at which the answer arrived).
  */
 #define LEASE 2
-#define END 6
+#define END_TIME 6
 
 byte now = 0;
-bool taken = false;      /* the key was taken away ... */
-byte takenAt = 0;        /* ... and acknowledged then */
+bool keyDeleted = false;
+byte deletedAt = 0;        /* when the deletion was acknowledged */
 
-bool seedKnows = false, followerKnows = false;
-byte seedProof = 0, followerProof = 0;
+bool seedHasKey = false, followerHasKey = false;
+byte seedProvenAt = 0, followerProvenAt = 0;
 bool seedProven = false, followerProven = false;
 
 active proctype clock() {
   do
-  :: now < END -> now++
-  :: now == END -> break
+  :: now < END_TIME -> now++
+  :: now == END_TIME -> break
   od
 }
 
 active proctype operator() {
-  atomic { taken = true; takenAt = now }
+  atomic { keyDeleted = true; deletedAt = now }
 }
 
-/* One call to the store at a time, again and again. */
+/* The seed calls the store repeatedly, with one call at a time. */
 active proctype seed() {
-  byte sent; bool valid;
+  byte sentAt; bool hasKey;
   do
-  :: now < END ->
-     sent = now;
-     valid = !taken;                      /* the store answers */
-     atomic {                             /* the answer arrives */
-       seedKnows = valid;
+  :: now < END_TIME ->
+     sentAt = now;
+     hasKey = !keyDeleted;                /* the store responds */
+     atomic {                             /* the response arrives */
+       seedHasKey = hasKey;
        seedProven = true;
 #ifdef AT_ANSWER
-       seedProof = now
+       seedProvenAt = now
 #else
-       seedProof = sent
+       seedProvenAt = sentAt
 #endif
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
 
 active proctype follower() {
-  byte sent, age; bool valid, given;
+  byte sentAt, age; bool hasKey, proven;
   do
-  :: now < END ->
-     sent = now;
-     atomic { given = seedProven; valid = seedKnows; age = now - seedProof };
+  :: now < END_TIME ->
+     sentAt = now;
+     atomic { proven = seedProven; hasKey = seedHasKey; age = now - seedProvenAt };
      if
-     :: given ->
+     :: proven ->
         atomic {
-          followerKnows = valid;
+          followerHasKey = hasKey;
           followerProven = true;
 #ifdef NO_AGE
-          followerProof = sent
+          followerProvenAt = sentAt
 #else
 #ifdef FROM_ARRIVAL
-          followerProof = now - age
+          followerProvenAt = now - age
 #else
-          followerProof = (sent > age -> sent - age : 0)
+          followerProvenAt = (sentAt > age -> sentAt - age : 0)
 #endif
 #endif
         }
-     :: !given
+     :: !proven
      fi
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
 
-/* Callers come at any time. */
+/* Requests with the key arrive at any time. */
 active proctype callers() {
   do
-  :: now < END ->
+  :: now < END_TIME ->
      atomic {
-       assert(!(seedProven && seedKnows && now - seedProof < LEASE) || !taken || now - takenAt <= LEASE);
-       assert(!(followerProven && followerKnows && now - followerProof < LEASE) || !taken || now - takenAt <= LEASE)
+       assert(!(seedProven && seedHasKey && now - seedProvenAt < LEASE) || !keyDeleted || now - deletedAt <= LEASE);
+       assert(!(followerProven && followerHasKey && now - followerProvenAt < LEASE) || !keyDeleted || now - deletedAt <= LEASE)
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -1,96 +1,98 @@
 /*
- * A tenant's limit in two parts, each with its keeper for good. Two routers ask for
- * requests of COST units each; one of them may be cut off from the first keeper, which
- * then still serves the other one. A keeper may be killed and come back with an empty
- * part, which forgets its debt. Each part brings in one unit a tick and saves up BURST.
+ * A tenant's limit in two shares, each of which belongs to one quota server
+ * permanently. Each request of the two routers is for AMOUNT units. One of the
+ * routers may be partitioned from the first server, which still serves the other
+ * router. A server may be killed; it restarts with an empty bucket and forgets its
+ * debt. Each share accrues one unit per tick, up to BURST units.
  *
- * Invariant: what was granted is within what all parts brought in since the start,
- * one request a keeper, as a part may be left in debt, and one a restart.
+ * Invariant: the total granted is at most what all shares have accrued since the
+ * start, plus one request per server, because a bucket may go into debt, and one
+ * per restart.
  *
- * Mutants: RESTART_FULL (a part begins full after a restart), TAKE_OVER (the second
- * keeper grants from the first one's part too while somebody does not reach that
- * one), NO_DEBT (a grant does not lower the level).
+ * Mutants: RESTART_FULL (a bucket is full after a restart), TAKE_OVER (the second
+ * server also grants from the share of the first one while a router cannot reach
+ * the first one), NO_DEBT (a grant does not reduce the level of the bucket).
  */
-#define END 4
+#define END_TIME 4
 #define BURST 3
-#define COST 2
-#define KEEPERS 2
+#define AMOUNT 2
+#define SERVERS 2
 
 byte now = 0;
-short level[KEEPERS] = 0;
+short level[SERVERS] = 0;
 byte granted = 0;
 byte restarts = 0;
-bool cut = false;
+bool partitioned = false;
 
-#define allowed (KEEPERS * (now + COST) + restarts * COST)
+#define maxGranted (SERVERS * (now + AMOUNT) + restarts * AMOUNT)
 
-inline check() { assert(granted <= allowed) }
+inline check() { assert(granted <= maxGranted) }
 
 active proctype clock() {
-  byte k;
+  byte server;
   do
-  :: now < END -> atomic {
+  :: now < END_TIME -> atomic {
        now++;
-       k = 0;
+       server = 0;
        do
-       :: k < KEEPERS ->
+       :: server < SERVERS ->
 #ifdef TAKE_OVER
-          level[k] = level[k] + ((k == 1 && cut) -> 2 : 1);
+          level[server] = level[server] + ((server == 1 && partitioned) -> 2 : 1);
 #else
-          level[k] = level[k] + 1;
+          level[server] = level[server] + 1;
 #endif
-          level[k] = (level[k] > BURST -> BURST : level[k]);
-          k++
+          level[server] = (level[server] > BURST -> BURST : level[server]);
+          server++
        :: else -> break
        od;
-       k = 0
+       server = 0
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
 
 active proctype network() {
   if
-  :: cut = true
+  :: partitioned = true
   :: true
   fi
 }
 
 active proctype faults() {
-  byte k;
+  byte server;
   do
-  :: atomic { restarts < 2 -> if :: k = 0 :: k = 1 fi;
+  :: atomic { restarts < 2 -> if :: server = 0 :: server = 1 fi;
        restarts++;
 #ifdef RESTART_FULL
-       level[k] = BURST;
+       level[server] = BURST;
 #else
-       level[k] = 0;
+       level[server] = 0;
 #endif
-       k = 0 }
+       server = 0 }
   :: break
   od
 }
 
-proctype router(bool mayBeCut) {
-  byte k;
+proctype router(bool canBePartitioned) {
+  byte server;
   do
-  :: atomic { now < END ->
-       if :: k = 0 :: k = 1 fi;
+  :: atomic { now < END_TIME ->
+       if :: server = 0 :: server = 1 fi;
        if
-       :: k == 0 && cut && mayBeCut           /* no answer */
+       :: server == 0 && partitioned && canBePartitioned   /* no reply */
        :: else ->
           if
-          :: level[k] >= 0 ->
-             granted = granted + COST;
+          :: level[server] >= 0 ->
+             granted = granted + AMOUNT;
 #ifndef NO_DEBT
-             level[k] = level[k] - COST;
+             level[server] = level[server] - AMOUNT;
 #endif
              check()
           :: else                              /* refused */
           fi
        fi;
-       k = 0 }
-  :: now == END -> break
+       server = 0 }
+  :: now == END_TIME -> break
   od
 }
 
--- a/spec/relay.pml
+++ b/spec/relay.pml
@@ -1,90 +1,93 @@
 /*
- * Proofs over relays. A seed asks the store; two routers of one zone each ask the
- * seed or the other one, whatever they were referred to last, so they may also
- * follow each other for a while, as when the seed is lost. What is given on carries
- * the version of the configuration and the age of its proof; answers take any time.
- * The store's first configuration has a key, the second one has not. That calls to
- * the store take time too is in proof.pml.
+ * Proofs that are passed on by relays. A seed reads the store. Two routers of one
+ * zone each pull from the seed or from each other, whatever their last referral
+ * was. They may thus pull from each other for a while, for example when the seed
+ * is lost. An answer carries the version of the configuration and the age of its
+ * proof, and may take any time. The first configuration in the store has a key
+ * that the second one lacks. Calls to the store take no time here; proof.pml
+ * models that they do.
  *
- * Invariants: no router serves the key later than LEASE after it was taken away,
- * and no router goes back from the second configuration to the first.
+ * Invariants: no router serves the key more than LEASE after its deletion, and no
+ * router goes back from the second configuration to the first.
  *
- * Mutants: HEARSAY (a relay gives what it was told as proved now), FROM_ARRIVAL (an
- * age is counted back from the answer's arrival), ANY_VERSION (an older
- * configuration is taken over a newer one).
+ * Mutants: HEARSAY (a relay passes on the state of another router as proven now),
+ * FROM_ARRIVAL (an age is subtracted from the time at which the answer arrived),
+ * ANY_VERSION (an older configuration replaces a newer one).
  */
 #define LEASE 1
-#define END 3
+#define END_TIME 3
 
 #define SEED 0
 
 byte now = 0;
-byte stored = 1;          /* the version in the store */
-byte takenAt = 0;         /* when the second one was acknowledged */
+byte storeVersion = 1;      /* version of the configuration in the store */
+byte deletedAt = 0;         /* when the write of version 2, without the key, was acknowledged */
 
-byte version[3] = 0;      /* 0: none */
-byte proof[3] = 0;
+/* State of the seed and of the routers 1 and 2. */
+byte version[3] = 0;        /* version of the copy, 0 if there is none */
+byte provenAt[3] = 0;
 
-#define serves(r) (version[r] == 1 && now - proof[r] < LEASE)
+#define servesKey(r) (version[r] == 1 && now - provenAt[r] < LEASE)
 
-/* What must hold after every step. */
+/* The first invariant, checked after every step. */
 inline check() {
-  assert(stored == 1 || now - takenAt <= LEASE || (!serves(0) && !serves(1) && !serves(2)))
+  assert(storeVersion == 1 || now - deletedAt <= LEASE || (!servesKey(0) && !servesKey(1) && !servesKey(2)))
 }
 
 active proctype clock() {
   do
-  :: now < END -> atomic { now++; check() }
-  :: now == END -> break
+  :: now < END_TIME -> atomic { now++; check() }
+  :: now == END_TIME -> break
   od
 }
 
 active proctype operator() {
-  atomic { stored = 2; takenAt = now }
+  atomic { storeVersion = 2; deletedAt = now }
 }
 
 active proctype seed() {
   do
-  :: atomic { now < END && (version[SEED] != stored || proof[SEED] != now) ->
-       version[SEED] = stored; proof[SEED] = now }
-  :: now == END -> break
+  :: atomic { now < END_TIME && (version[SEED] != storeVersion || provenAt[SEED] != now) ->
+       version[SEED] = storeVersion; provenAt[SEED] = now }
+  :: now == END_TIME -> break
   od
 }
 
-proctype router(byte me; byte other) {
-  byte sent = 0, given = 0, at = 0, asked = 0;
+proctype router(byte self; byte peer) {
+  /* answerProof is first the age of the proof in the answer, then its time. */
+  byte sentAt = 0, answerVersion = 0, answerProof = 0, source = 0;
   do
-  :: atomic { now < END -> sent = now; if :: asked = SEED :: asked = other fi };
-     atomic {                             /* the other one answers, with the age */
-       given = version[asked];
-       at = now - proof[asked];
+  :: atomic { now < END_TIME -> sentAt = now; if :: source = SEED :: source = peer fi };
+     atomic {                             /* the source answers with the age of its proof */
+       answerVersion = version[source];
+       answerProof = now - provenAt[source];
 #ifdef HEARSAY
-       at = (asked == SEED -> at : 0);
+       answerProof = (source == SEED -> answerProof : 0);
 #endif
 #ifndef FROM_ARRIVAL
-       at = (sent > at -> sent - at : 0);
+       answerProof = (sentAt > answerProof -> sentAt - answerProof : 0);
 #endif
-       sent = 0; asked = 0
+       sentAt = 0; source = 0
      };
      atomic {                             /* the answer arrives */
 #ifdef FROM_ARRIVAL
-       at = now - at;
+       answerProof = now - answerProof;
 #endif
        if
 #ifdef ANY_VERSION
-       :: given > 0 -> assert(given >= version[me]); version[me] = given; proof[me] = at
-       :: given == 0
+       :: answerVersion > 0 -> assert(answerVersion >= version[self]); version[self] = answerVersion; provenAt[self] = answerProof
+       :: answerVersion == 0
 #else
-       :: given > 0 && given >= version[me] ->
-          version[me] = given;
-          proof[me] = (at > proof[me] -> at : proof[me])
+       :: answerVersion > 0 && answerVersion >= version[self] ->
+          version[self] = answerVersion;
+          provenAt[self] = (answerProof > provenAt[self] -> answerProof : provenAt[self])
        :: else
 #endif
        fi;
        check();
-       given = 0; at = 0
+       answerVersion = 0; answerProof = 0
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
 
--- a/spec/restore.pml
+++ b/spec/restore.pml
@@ -1,106 +1,107 @@
 /*
- * A lease with a fencing token on a store that comes back from a copy: what was
- * written since is lost, and its numbers are given out again in the next era. Two
- * candidates read the lease, and write it if it still has the number that they
- * read; any time may pass between both. A holder believes in its lease for
- * DURATION from before the write, and may be paused before it gives an order.
+ * A lease with a fencing token in a store that is restored from a backup. All
+ * writes since the backup are lost, and their numbers are assigned again in the
+ * next era. Two candidates read the lease, and write it if it still has the number
+ * that they read. Any time may pass between the read and the write. A holder
+ * considers its term valid for DURATION, counted from before the write was sent,
+ * and may be paused before it sends an order.
  *
- * Invariants: at most one candidate believes in a lease, and the engine refuses no
- * order of one that does.
+ * Invariants: at most one candidate has a valid term, and the engine refuses no
+ * order of a candidate with a valid term.
  *
- * Mutants: NO_ERA (the token is the number alone), NO_WAIT (a lease that the copy
- * does not know is taken at once), ANY_ERA (a write counts though it meets another
- * era than the read before it).
+ * Mutants: NO_ERA (the token is the number without the era), NO_WAIT (a lease that
+ * is missing from the backup is acquired at once), ANY_ERA (a write starts a term
+ * although it was applied in another era than that of the read before it).
  */
 #define DURATION 2
-#define END 4
-#define RETURNS 1
-#define NUMBERS 4
+#define END_TIME 4
+#define MAX_RESTORES 1
+#define NUMBERS_PER_ERA 4
 
 byte now = 0;
-byte era = 0, counter = 0;              /* of the store */
-byte number = 0, holder = 0;            /* of the lease; holder 0: none */
-byte copiedCounter = 0, copiedNumber = 0, copiedHolder = 0;
-byte until[3], token[3];
-byte fence = 0;                         /* the engine's highest token */
+byte era = 0, lastNumber = 0;             /* era of the store, last number assigned in it */
+byte leaseNumber = 0, leaseHolder = 0;    /* the lease object; holder 0 means none */
+byte backupLastNumber = 0, backupLeaseNumber = 0, backupLeaseHolder = 0;
+byte validUntil[3], token[3];
+byte highestToken = 0;                    /* highest token that the engine has seen */
 
-#define believes(c) (token[c] > 0 && now < until[c])
+#define hasValidTerm(c) (token[c] > 0 && now < validUntil[c])
 
 #ifdef NO_ERA
 #define tokenOf(e, n) (n)
 #else
-#define tokenOf(e, n) ((e) * NUMBERS + (n))
+#define tokenOf(e, n) ((e) * NUMBERS_PER_ERA + (n))
 #endif
 
 inline check() {
-  assert(!believes(1) || !believes(2));
-  assert((!believes(1) || token[1] >= fence) && (!believes(2) || token[2] >= fence))
+  assert(!hasValidTerm(1) || !hasValidTerm(2));
+  assert((!hasValidTerm(1) || token[1] >= highestToken) && (!hasValidTerm(2) || token[2] >= highestToken))
 }
 
 active proctype clock() {
   do
-  :: now < END -> atomic { now++; check() }
-  :: now == END -> break
+  :: now < END_TIME -> atomic { now++; check() }
+  :: now == END_TIME -> break
   od
 }
 
-active proctype copier() {
+active proctype backup() {
   do
-  :: atomic { now < END && copiedCounter != counter -> copiedCounter = counter; copiedNumber = number; copiedHolder = holder }
-  :: now == END -> break
+  :: atomic { now < END_TIME && backupLastNumber != lastNumber -> backupLastNumber = lastNumber; backupLeaseNumber = leaseNumber; backupLeaseHolder = leaseHolder }
+  :: now == END_TIME -> break
   od
 }
 
-active proctype returns() {
+active proctype restore() {
   do
-  :: atomic { now < END && era < RETURNS ->
-       era++; counter = copiedCounter; number = copiedNumber; holder = copiedHolder }
-  :: now == END -> break
+  :: atomic { now < END_TIME && era < MAX_RESTORES ->
+       era++; lastNumber = backupLastNumber; leaseNumber = backupLeaseNumber; leaseHolder = backupLeaseHolder }
+  :: now == END_TIME -> break
   od
 }
 
-proctype candidate(byte me) {
-  byte seenEra = 0, seenNumber = 0, seenHolder = 0;
-  byte changedAt = 0, knownEra = 0, lostUntil = 0, sent = 0;
+proctype candidate(byte self) {
+  byte observedEra = 0, observedNumber = 0, observedHolder = 0;
+  byte changedAt = 0, knownEra = 0, priorEraLeaseExpiry = 0, sentAt = 0;
   do
-  :: atomic { now < END && (era != seenEra || number != seenNumber) ->      /* read */
+  :: atomic { now < END_TIME && (era != observedEra || leaseNumber != observedNumber) ->   /* read */
        if
        :: era > knownEra -> knownEra = era;
 #ifndef NO_WAIT
-          lostUntil = now + DURATION
+          priorEraLeaseExpiry = now + DURATION
 #endif
        :: else
        fi;
-       seenEra = era; seenNumber = number; seenHolder = holder; changedAt = now }
-  :: atomic { now < END && counter < NUMBERS - 1 &&                          /* decide */
-       (believes(me) || (now >= lostUntil && (seenHolder == 0 || seenHolder == me || now - changedAt >= DURATION))) ->
-       sent = now }
-     atomic {                                                                /* write */
+       observedEra = era; observedNumber = leaseNumber; observedHolder = leaseHolder; changedAt = now }
+  :: atomic { now < END_TIME && lastNumber < NUMBERS_PER_ERA - 1 &&                  /* decide */
+       (hasValidTerm(self) || (now >= priorEraLeaseExpiry && (observedHolder == 0 || observedHolder == self || now - changedAt >= DURATION))) ->
+       sentAt = now }
+     atomic {                                                                  /* write */
        if
-       :: number == seenNumber ->
-          counter++; number = counter; holder = me;
+       :: leaseNumber == observedNumber ->
+          lastNumber++; leaseNumber = lastNumber; leaseHolder = self;
           if
 #ifndef ANY_ERA
-          :: era != seenEra ->
+          :: era != observedEra ->
              changedAt = now;
              if
-             :: era > knownEra -> knownEra = era; lostUntil = now + DURATION
+             :: era > knownEra -> knownEra = era; priorEraLeaseExpiry = now + DURATION
              :: else
              fi
           :: else ->
 #else
           :: true ->
 #endif
-             until[me] = sent + DURATION; token[me] = tokenOf(era, number); changedAt = sent
+             validUntil[self] = sentAt + DURATION; token[self] = tokenOf(era, leaseNumber); changedAt = sentAt
           fi;
-          seenEra = era; seenNumber = number; seenHolder = me;
+          observedEra = era; observedNumber = leaseNumber; observedHolder = self;
           check()
        :: else
        fi;
-       sent = 0
+       sentAt = 0
      }
-  :: atomic { token[me] >= fence && believes(me) && token[me] != fence -> fence = token[me]; check() }
-  :: now == END -> break
+  :: atomic { token[self] >= highestToken && hasValidTerm(self) && token[self] != highestToken -> highestToken = token[self]; check() }
+  :: now == END_TIME -> break
   od
 }
 
