--- a/internal/node/apierror.go
+++ b/internal/node/apierror.go
@@ -32,14 +32,14 @@
 	defaultRetryAfterSeconds = 1
 )
 
-// apiError is the error response that ends a request of a client.
+// apiError is the error response that ends a request of a caller.
 type apiError struct {
 	status  int
 	code    string
 	message string
 	// param names the invalid field or header of the request, if there is one.
 	param string
-	// runState tells the client whether the request may have run.
+	// runState tells the caller whether the request may have run.
 	runState attempt.RunState
 	// retryAfter is the time after which to retry. It is 0 if a retry of the same request would
 	// fail again.
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -21,9 +21,9 @@
 const (
 	// startedStreamTimeout applies after each frame.
 	startedStreamTimeout = 2 * time.Second
-	// queuedStreamTimeout applies until the first frame and while the request is queued at its
-	// engine. The stream is kept if the engine is still the same process and connected to the
-	// router that reads its events.
+	// queuedStreamTimeout applies until the first frame. It starts again instead of ending the
+	// stream while the request is queued at its engine, the engine is still the same process and
+	// the router that reads its events is connected to it.
 	queuedStreamTimeout = 2 * time.Second
 )
 
@@ -55,7 +55,7 @@
 	// reportedCachedTokens is the number of cached prompt tokens that the engine of the first
 	// attempt reported, or the first number above 0 of a later one.
 	reportedCachedTokens int
-	// failure is the error for the client if the last placement failed. It is nil if the outcome
+	// failure is the error for the caller if the last placement failed. It is nil if the outcome
 	// of the last attempt decides.
 	failure *apiError
 }
@@ -145,7 +145,7 @@
 	return x.node.retryBudget.TryWithdraw()
 }
 
-// abort ends a request whose client has disconnected or whose deadline has passed.
+// abort ends a request whose caller has disconnected or whose deadline has passed.
 func (x *execution) abort(ctx context.Context) {
 	if x.address != "" {
 		x.node.cancelAttempt(x.address, x.request.id, x.state.Attempt())
@@ -158,7 +158,7 @@
 	x.fail(failure)
 }
 
-// fail counts and logs the failed request and writes the error to the client.
+// fail counts and logs the failed request and writes the error to the caller.
 func (x *execution) fail(failure *apiError) {
 	x.node.metrics.countRequest(failure.code, string(failure.runState))
 	x.node.log.Log(events.RequestFailed, events.Fields{
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -36,10 +36,10 @@
 	PathPartition = "/lab/cut"
 )
 
-// idleTimeout is the time after which idle client connections are closed.
+// idleTimeout is the time after which idle connections of callers are closed.
 const idleTimeout = 2 * time.Minute
 
-// serveHTTP starts serving the HTTP API for clients and operators.
+// serveHTTP starts serving the HTTP API for callers and operators.
 func (n *Node) serveHTTP(listener net.Listener) error {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -115,7 +115,7 @@
 			return
 		}
 		defer n.release(c)
-		// The read timeout only applies to the body. The client sends nothing after it.
+		// The read timeout only applies to the body. The caller sends nothing after it.
 		_ = http.NewResponseController(writer).SetReadDeadline(time.Time{})
 		n.execute(writer, request, c)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,7 +71,7 @@
 	nextStaleSweep time.Time
 
 	// admissionMutex guards the fields below up to ejector, which apply to the requests that
-	// clients send to this router.
+	// callers send to this router.
 	admissionMutex sync.Mutex
 	limiter        *admission.Limiter
 	retryBudget    *admission.RetryBudget
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -20,13 +20,13 @@
 	"github.com/clovertiller/clovertiller/internal/prompt"
 )
 
-// Headers of the client API.
+// Headers of requests from callers and of responses to them.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	// headerIssuedAt is the RFC 3339 issue time of an idempotency key that is not a UUIDv7.
 	headerIssuedAt   = "X-Clovertiller-Issued-At"
 	headerRepeatable = "X-Clovertiller-Repeatable"
-	// headerDeadline is the time in milliseconds for which the client waits.
+	// headerDeadline is the time in milliseconds for which the caller waits.
 	headerDeadline      = "X-Clovertiller-Deadline-Ms"
 	headerRunState      = "X-Clovertiller-Run-State"
 	headerWeightVersion = "X-Clovertiller-Weight-Version"
@@ -79,7 +79,7 @@
 	tenant  *config.Tenant
 	model   string
 	adapter string
-	// displayModel is the model field as sent by the client, including the adapter.
+	// displayModel is the model field as sent by the caller, including the adapter.
 	displayModel string
 	pool         string
 	// prompt is the rendered prompt. promptTokens is its estimated length.
@@ -97,7 +97,7 @@
 	repeatable     bool
 	idempotencyKey string
 	issuedAt       time.Time
-	// timeout is the time from the start of execution for which the client waits.
+	// timeout is the time from the start of execution for which the caller waits.
 	timeout time.Duration
 }
 
@@ -275,7 +275,7 @@
 }
 
 // setRepeatable determines whether the request may run again after a failure. An idempotency key
-// means that running the request twice matters to the client, so it makes the request unrepeatable
+// means that the caller does not want the request to run twice, so it makes the request unrepeatable
 // unless the body or the header states otherwise.
 func (c *completionRequest) setRepeatable(body *completionBody, header http.Header) *apiError {
 	c.idempotencyKey = header.Get(headerIdempotencyKey)
@@ -318,7 +318,7 @@
 	return nil
 }
 
-// setTimeout sets the time for which the client waits.
+// setTimeout sets the time for which the caller waits.
 func (c *completionRequest) setTimeout(header http.Header, defaultMillis int) *apiError {
 	c.timeout = time.Duration(defaultMillis) * time.Millisecond
 	value := header.Get(headerDeadline)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -11,7 +11,7 @@
 	"github.com/clovertiller/clovertiller/internal/fleet"
 )
 
-// relay relays an engine's output to the client until the stream ends. It drops frames that do not
+// relay relays an engine's output to the caller until the stream ends. It drops frames that do not
 // belong to the current attempt or do not start at the next offset.
 func (x *execution) relay(ctx context.Context, stream *engineapi.Stream) attempt.Action {
 	defer stream.Close()
@@ -52,7 +52,7 @@
 	x.node.log.Log(events.FrameDropped, events.Fields{"request": x.request.id, "attempt": frame.Attempt, "offset": frame.Offset, "expected": x.state.Offset()})
 }
 
-// relayFrame writes an output frame to the client, or drops it if it is not the expected one.
+// relayFrame writes an output frame to the caller, or drops it if it is not the expected one.
 func (x *execution) relayFrame(frame *engineapi.Frame) {
 	if !x.state.AcceptFrame(frame.Attempt, frame.Offset, frame.Count) {
 		x.dropFrame(frame)
--- a/internal/node/relay_bench_test.go
+++ b/internal/node/relay_bench_test.go
@@ -125,14 +125,14 @@
 }
 
 // benchmarkOverSockets measures transfer between an engine that writes each token separately and a
-// client, both connected over loopback TCP.
-func benchmarkOverSockets(b *testing.B, transfer func(engine, client net.Conn)) {
+// caller, both connected over loopback TCP.
+func benchmarkOverSockets(b *testing.B, transfer func(engine, caller net.Conn)) {
 	frames := bytes.SplitAfter(newBenchStream(), []byte("\n\n"))
 	engineWriter, engineReader := connectionPair(b)
-	clientWriter, clientReader := connectionPair(b)
+	callerWriter, callerReader := connectionPair(b)
 	defer engineWriter.Close()
-	defer clientWriter.Close()
-	go io.Copy(io.Discard, clientReader)
+	defer callerWriter.Close()
+	go io.Copy(io.Discard, callerReader)
 	b.ResetTimer()
 	for b.Loop() {
 		go func() {
@@ -140,7 +140,7 @@
 				engineWriter.Write(frame)
 			}
 		}()
-		transfer(engineReader, clientWriter)
+		transfer(engineReader, callerWriter)
 	}
 	b.ReportMetric(float64(benchTokens)*float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
@@ -148,9 +148,9 @@
 func BenchmarkRelayOverSockets(b *testing.B) {
 	node := &Node{log: events.NewLogger(io.Discard, "n", logrus.ErrorLevel)}
 	node.metrics = newMetrics(node)
-	benchmarkOverSockets(b, func(engine, client net.Conn) {
+	benchmarkOverSockets(b, func(engine, caller net.Conn) {
 		x := newBenchExecution(node)
-		x.sink = newResponseSink(&connectionWriter{client, http.Header{}}, x.request)
+		x.sink = newResponseSink(&connectionWriter{caller, http.Header{}}, x.request)
 		reader := engineapi.NewFrameReader(bufio.NewReaderSize(engine, 4<<10))
 		x.relay(context.Background(), engineapi.NewStream(reader, io.NopCloser(nil)))
 	})
@@ -158,14 +158,14 @@
 
 func BenchmarkCopyOverSockets(b *testing.B) {
 	length := len(newBenchStream())
-	benchmarkOverSockets(b, func(engine, client net.Conn) {
+	benchmarkOverSockets(b, func(engine, caller net.Conn) {
 		buffer := make([]byte, 4<<10)
 		for remaining := length; remaining > 0; {
 			count, err := engine.Read(buffer)
 			if err != nil {
 				b.Fatal(err)
 			}
-			client.Write(buffer[:count])
+			caller.Write(buffer[:count])
 			remaining -= count
 		}
 	})
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -18,13 +18,13 @@
 	escapedText []byte
 }
 
-// responseSink writes a response in the form that the client requested.
+// responseSink writes a response in the form that the caller requested.
 type responseSink interface {
 	// begin sets the response headers. It is called once, before the first chunk.
 	begin(weightVersion, runner string)
 	// writeChunk adds an output chunk in the engine's encoding.
 	writeChunk(data []byte)
-	// flush sends the added chunks to the client.
+	// flush sends the added chunks to the caller.
 	flush()
 	// finish completes the response.
 	finish(result completionResult)
@@ -94,7 +94,7 @@
 }
 
 // sseSink streams the response as server-sent events. The engine's chunks already have the format
-// that the client requested and are written unchanged.
+// that the caller requested and are written unchanged.
 type sseSink struct {
 	writer  http.ResponseWriter
 	request *completionRequest
@@ -118,7 +118,7 @@
 	if len(s.buffer) == 0 {
 		return
 	}
-	// The error is ignored because the request's context ends when the client disconnects.
+	// The error is ignored because the request's context ends when the caller disconnects.
 	s.writer.Write(s.buffer)
 	s.buffer = s.buffer[:0]
 	s.writer.(http.Flusher).Flush()
--- a/internal/node/runnerevents.go
+++ b/internal/node/runnerevents.go
@@ -107,7 +107,7 @@
 	engineapi.StateDraining: fleet.Draining,
 }
 
-// loadFromEngine converts a load. Its AsOf stays zero.
+// loadFromEngine converts a load from the engine's format. It does not set MeasuredAt.
 func loadFromEngine(load engineapi.Load) fleet.Load {
 	converted := fleet.Load{Running: load.Running, Waiting: load.Waiting, PrefillRate: load.PrefillRate, MaxRunning: load.MaxRunning}
 	copy(converted.QueuedTokens[:], load.QueuedTokens)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -18,7 +18,7 @@
 	Node   string `yaml:"node"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// HTTPAddress is the IP:port at which clients and operators connect.
+	// HTTPAddress is the IP:port at which callers and operators connect.
 	HTTPAddress string `yaml:"httpAddress"`
 	// PeerAddress is the IP:port at which other routers connect.
 	PeerAddress string `yaml:"peerAddress"`
@@ -36,7 +36,7 @@
 	FaultEndpoint bool `yaml:"faultEndpoint"`
 }
 
-// Limits are the limits on requests of clients, and the defaults for values that they omit.
+// Limits are the limits on requests of callers, and the defaults for values that they omit.
 type Limits struct {
 	MaxBodyBytes        int64 `yaml:"maxBodyBytes"`
 	MaxHeaderBytes      int   `yaml:"maxHeaderBytes"`
