--- a/internal/lab/soak/calls.go
+++ b/internal/lab/soak/calls.go
@@ -104,7 +104,8 @@
 	callTimeout  = 3 * time.Second
 	// responseSlack is how long after its timeout a call may still be answered.
 	responseSlack = time.Second
-	// revocationSlack is a margin that is kept to maxRevokeDelay.
+	// revocationSlack is added to maxRevokeDelay for the time after which the use of a revoked key
+	// is a failure.
 	revocationSlack = 100 * time.Millisecond
 )
 
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -144,8 +144,8 @@
 	return c.weightVersion
 }
 
-// One in revokedKeyShare calls may use a revoked key.
-const revokedKeyShare = 8
+// callsPerRevokedKey is the mean number of calls of which one uses a revoked key, if there is any.
+const callsPerRevokedKey = 8
 
 // validKey returns a key that is not revoked.
 func (c *configuration) validKey() string {
@@ -159,7 +159,7 @@
 func (c *configuration) randomKey(random *rand.Rand) (key, tenant string, addedAt, revokedAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.revokedAt) > 0 && random.IntN(revokedKeyShare) == 0 {
+	if len(c.revokedAt) > 0 && random.IntN(callsPerRevokedKey) == 0 {
 		for number := 1; number < c.keyCount; number++ {
 			key := fmt.Sprintf("key-%d", number)
 			if at, revoked := c.revokedAt[key]; revoked && random.IntN(2) == 0 {
--- a/internal/lab/soak/descriptors.go
+++ b/internal/lab/soak/descriptors.go
@@ -34,8 +34,8 @@
 }
 
 // checkDescriptors returns a trace.LimitExceeded error if the descriptor limit is too low for the
-// number of gateways and runners. The fakes could not accept more connections, which would look
-// like a failure of the gateways.
+// number of gateways and runners. The simulated store and runners could not accept more
+// connections, which would look like a failure of the gateways.
 func (s Settings) checkDescriptors() error {
 	limit, err := descriptorLimit()
 	if err != nil {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -226,7 +226,7 @@
 
 func (s *Soak) compactStoreHistory(time.Duration) (string, func()) {
 	s.store.CompactHistory()
-	return "store forgets its history", func() {}
+	return "compact the history of the store", func() {}
 }
 
 func (s *Soak) changeConfig(time.Duration) (string, func()) {
@@ -236,7 +236,7 @@
 
 func (s *Soak) revokeKey(time.Duration) (string, func()) {
 	s.config.update(true)
-	return "a key is taken away", func() {}
+	return "revoke an API key", func() {}
 }
 
 func (s *Soak) bumpWeights(time.Duration) (string, func()) {
--- a/internal/lab/soak/keyupdates.go
+++ b/internal/lab/soak/keyupdates.go
@@ -24,7 +24,7 @@
 	}
 	late := lateRequest{
 		kind: "older configuration", gateway: call.gatewayName, runner: "any runner", requestID: call.id, observedAt: call.sentAt, updateAge: call.sentAt.Sub(call.keyAddedAt),
-		undisturbed: min(s.undisturbedFor(call.sentAt, storeSubject, call.gatewayName), s.informedFor(call.sentAt, call.gatewayName)),
+		undisturbedDuration: min(s.undisturbedFor(call.sentAt, storeSubject, call.gatewayName), s.informedFor(call.sentAt, call.gatewayName)),
 	}
-	return late, late.updateAge > maxConfigDelay && late.undisturbed > contactTime
+	return late, late.updateAge > maxConfigDelay && late.undisturbedDuration > settleTime
 }
--- a/internal/lab/soak/peers.go
+++ b/internal/lab/soak/peers.go
@@ -15,11 +15,12 @@
 	// meanPeerFaultInterval is the mean interval between two faults of connections between
 	// gateways.
 	meanPeerFaultInterval = 2 * time.Second
-	// One in cutOffShare of these faults also cuts a gateway off the store.
-	cutOffShare = 3
+	// faultsPerCutOff is the mean number of these faults of which one also cuts a gateway off the
+	// store.
+	faultsPerCutOff = 3
 	// cutOffDuration is how long a gateway stays cut off. It exceeds the delay of the update plus
 	// the time in which the gateway need not know it.
-	cutOffDuration = maxCutOffUpdateDelay + maxDrainDelay + contactTime
+	cutOffDuration = maxCutOffUpdateDelay + maxDrainDelay + settleTime
 	// maxCutOffUpdateDelay is the maximum time between the cut-off and the update. It is short
 	// because a gateway that receives no updates uses its state only until the configuration
 	// expires.
@@ -53,7 +54,7 @@
 		if !time.Now().Before(deadline) || ctx.Err() != nil {
 			break
 		}
-		if f.random.IntN(cutOffShare) == 0 {
+		if f.random.IntN(faultsPerCutOff) == 0 {
 			f.cutOff()
 		} else {
 			f.mutePeersRepeatedly()
@@ -86,7 +87,7 @@
 		f.runAfter(delay, func() { mutePeers(muted) })
 		delay += f.randomDuration(maxSilenceInterval)
 	}
-	f.soak.logf("fault: open connections from others fall silent: %s", strings.Join(names, ", then "))
+	f.soak.logf("fault: open connections from other gateways are muted: %s", strings.Join(names, ", then "))
 }
 
 // cutOff mutes all open connections between gateways, cuts one gateway off the store and drains a
@@ -100,7 +101,7 @@
 	mutePeers(s.processes)
 	f.runAfter(f.randomDuration(maxCutOffUpdateDelay), drain.run)
 	f.runAfter(cutOffDuration, func() { p.storeProxy.SetMode(faultproxy.Pass); endDisturbance() })
-	s.logf("fault: %s is cut off the store and all open connections between gateways fall silent, %s", p.name, drain.name)
+	s.logf("fault: %s is cut off the store and all open connections between gateways are muted, %s", p.name, drain.name)
 }
 
 // runAfter calls do after the delay, in the group.
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -20,18 +20,19 @@
 	maxCrashDelay = 400 * time.Millisecond
 	// maxPoisonInterval is the maximum interval between two calls with the same content, and
 	// poisonDuration how long calls with the same content are sent: longer than three crashes and
-	// contactTime take.
+	// settleTime take.
 	maxPoisonInterval = 900 * time.Millisecond
 	poisonDuration    = 12 * time.Second
 	// minReplaceDelay and maxReplaceDelay bound the time until a crashed runner is replaced.
 	minReplaceDelay, maxReplaceDelay = time.Second, 3 * time.Second
-	// maxLateSends is how often a content may be sent to runners later than contactTime after the
+	// maxLateSends is how often a content may be sent to runners later than settleTime after the
 	// third crash.
 	maxLateSends = 3
 	// quarantinedBody is the response body of calls that are refused because of a quarantine.
 	quarantinedBody = "runners ended under requests with this content\n"
-	// At most one in wrongRefusalShare of the other calls may be refused because of a quarantine.
-	wrongRefusalShare = 200
+	// callsPerWrongRefusal is the minimum number of calls without such content for each one of
+	// them that is refused because of a quarantine.
+	callsPerWrongRefusal = 200
 )
 
 // poisonInjector sends contents that crash runners, and replaces the crashed runners. It has its
@@ -141,7 +142,7 @@
 	}
 	for body, count := range lateSends {
 		if count > maxLateSends {
-			s.failf("ended runners: %q was sent %d times later than %v after the third of %d runner crashes", body, count, contactTime, len(p.crashTimes[body]))
+			s.failf("ended runners: %q was sent %d times later than %v after the third of %d runner crashes", body, count, settleTime, len(p.crashTimes[body]))
 		}
 	}
 	calls, refused := 0, 0
@@ -153,20 +154,20 @@
 			refused++
 		}
 	}
-	if refused*wrongRefusalShare > calls {
+	if refused*callsPerWrongRefusal > calls {
 		s.failf("innocent: %d of %d calls were refused as if they had crashed runners", refused, calls)
 	}
 	s.logf("poison: %d contents, crashes %v, %d of %d other calls refused", len(p.crashTimes), p.crashCounts(), refused, calls)
 }
 
-// isLateSend reports whether the call reached a runner later than contactTime after the third crash
+// isLateSend reports whether the call reached a runner later than settleTime after the third crash
 // of its content, from an undisturbed gateway of the current version.
 func (p *poisonInjector) isLateSend(call *callRecord, at time.Time) bool {
 	crashTimes := p.crashTimes[call.body]
-	if len(crashTimes) < 3 || at.Sub(crashTimes[2]) <= contactTime || p.soak.olderGateways[call.gatewayName] {
+	if len(crashTimes) < 3 || at.Sub(crashTimes[2]) <= settleTime || p.soak.olderGateways[call.gatewayName] {
 		return false
 	}
-	return p.soak.undisturbedFor(at, storeSubject, call.gatewayName, gatewayStoreSubject(call.gatewayName)) > contactTime
+	return p.soak.undisturbedFor(at, storeSubject, call.gatewayName, gatewayStoreSubject(call.gatewayName)) > settleTime
 }
 
 // crashCounts returns the number of crashes of each content in ascending order.
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -78,7 +78,7 @@
 		"listen": map[string]any{"front": p.addresses.CallAddress, "ready": p.addresses.ReadinessAddress, "control": p.peerProxy.Address, "control_bind": p.addresses.PeerAddress},
 		"seeds":  p.seeds,
 		"bounds": map[string]any{
-			"contact_ms": contactTime.Milliseconds(), "grace_s": gracePeriod.Seconds(), "revoke_ms": maxRevokeDelay.Milliseconds(),
+			"contact_ms": settleTime.Milliseconds(), "grace_s": gracePeriod.Seconds(), "revoke_ms": maxRevokeDelay.Milliseconds(),
 			"lease_ms": leaseDuration.Milliseconds(), "version_ms": maxOldWeightsTime.Milliseconds(), "budget_ratio": 0.2,
 		},
 		"platform": map[string]any{"address": p.storeProxy.Address},
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -21,13 +21,13 @@
 	backupInterval = 250 * time.Millisecond
 	maxBackupAge   = 2500 * time.Millisecond
 	// maxDowntime is the maximum time for which the store is unavailable, and maxRewriteDelay the
-	// maximum time from its return until the operator and the runners have written again. Together
+	// maximum time from its restore until the operator and the runners have written again. Together
 	// with the age of the backup this is less than the bound within which a revocation takes
 	// effect: gateways that all restarted meanwhile cannot know a revocation that the store has
 	// lost.
 	maxDowntime     = time.Second
 	maxRewriteDelay = 700 * time.Millisecond
-	// maxLateRewriteDelay is the maximum time from the return of the store until a late operator
+	// maxLateRewriteDelay is the maximum time from the restore of the store until a late operator
 	// writes again. It stays within the bound for revocations.
 	maxLateRewriteDelay = 3200 * time.Millisecond
 	// entryExpiry is the time after a restore at which the restored directory entries of crashed
@@ -100,7 +100,7 @@
 func (f *restoreInjector) restore() {
 	s, downtime := f.soak, f.randomDuration(maxDowntime)
 	chosen := f.randomBackup(downtime)
-	s.logf("fault: the store goes away for %v and comes back from a copy that is %v old then", downtime.Round(time.Millisecond), (time.Since(chosen.takenAt) + downtime).Round(time.Millisecond))
+	s.logf("fault: the store is unavailable for %v and then restored from a backup that is %v old", downtime.Round(time.Millisecond), (time.Since(chosen.takenAt) + downtime).Round(time.Millisecond))
 	defer s.disturbances.begin(storeSubject)()
 	for _, p := range s.processes {
 		p.storeEndpoint.SetFault(storestand.Reset)
@@ -128,10 +128,10 @@
 	s := f.soak
 	switch f.random.IntN(restoreChangeChoices) {
 	case 0:
-		s.logf("fault: a key is taken away after the return")
+		s.logf("fault: an API key is revoked after the restore")
 		s.config.update(true)
 	case 1:
-		s.logf("fault: new weights after the return")
+		s.logf("fault: new weights are requested after the restore")
 		s.config.bumpWeights()
 	}
 }
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -21,13 +21,14 @@
 	// minSignalDuration and maxSignalDuration bound how long it sends the signal.
 	meanSignalInterval                   = 1500 * time.Millisecond
 	minSignalDuration, maxSignalDuration = 5 * time.Second, 12 * time.Second
-	// maxRest is the maximum rest that a runner asks for.
-	maxRest = 4 * time.Second
+	// maxBackoff is the maximum backoff that a runner asks for.
+	maxBackoff = 4 * time.Second
 	// maxReactionTime is the time within which a gateway must react to a rate limit or to a request
-	// for rest.
+	// for backoff.
 	maxReactionTime = 500 * time.Millisecond
-	// maxRequestsInRest is how many requests a gateway may send to a runner during a rest.
-	maxRequestsInRest = 2
+	// maxRequestsInBackoff is how many requests a gateway may send to a runner during a backoff
+	// that the runner asked for.
+	maxRequestsInBackoff = 2
 	// During any limitWindow a runner may receive limitFactor times its rate limit plus limitSlack
 	// requests.
 	limitWindow = 4 * time.Second
@@ -44,7 +45,7 @@
 const (
 	limitSignal signalKind = iota
 	leavingSignal
-	restSignal
+	backoffSignal
 	signalKindCount
 )
 
@@ -94,7 +95,7 @@
 // returns the number of signals started.
 func (f *signalInjector) startSignal(runner *runnerstand.Runner, kind signalKind) int {
 	duration := minSignalDuration + time.Duration(f.random.Int64N(int64(maxSignalDuration-minSignalDuration)))
-	rate, rest := limitRates[f.random.IntN(len(limitRates))], time.Duration(f.random.Int64N(int64(maxRest)))
+	rate, backoff := limitRates[f.random.IntN(len(limitRates))], time.Duration(f.random.Int64N(int64(maxBackoff)))
 	entryDelay := time.Duration(f.random.Int64N(int64(2 * duration)))
 	if f.isSignalling(runner.ID) {
 		return 0
@@ -106,8 +107,8 @@
 			f.signalLimit(runner, rate, duration)
 		case leavingSignal:
 			f.signalLeaving(runner, entryDelay, duration)
-		case restSignal:
-			f.signalRest(runner, rest, duration)
+		case backoffSignal:
+			f.signalBackoff(runner, backoff, duration)
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -135,7 +136,7 @@
 
 // signalLimit makes the runner announce a rate limit.
 func (f *signalInjector) signalLimit(runner *runnerstand.Runner, rate float64, duration time.Duration) {
-	f.soak.logf("signal: %s takes %v requests a second for %v", runner.ID, rate, duration.Round(time.Millisecond))
+	f.soak.logf("signal: %s announces a limit of %v requests per second for %v", runner.ID, rate, duration.Round(time.Millisecond))
 	runner.SetResponseHeaders(platform.HeaderServerLimit, strconv.FormatFloat(rate, 'f', -1, 64))
 	time.Sleep(duration)
 	runner.SetResponseHeaders()
@@ -144,7 +145,7 @@
 // signalLeaving makes the runner announce that it is leaving and then restarts it. Its directory
 // entry shows the drain after entryDelay, or never if that is longer than the duration.
 func (f *signalInjector) signalLeaving(runner *runnerstand.Runner, entryDelay, duration time.Duration) {
-	f.soak.logf("signal: %s leaves for %v, by its entry after %v", runner.ID, duration.Round(time.Millisecond), entryDelay.Round(time.Millisecond))
+	f.soak.logf("signal: %s announces for %v that it is leaving, and its directory entry shows that after %v", runner.ID, duration.Round(time.Millisecond), entryDelay.Round(time.Millisecond))
 	runner.SetResponseHeaders(platform.HeaderServerLeaving, "1")
 	stopDraining := func() {}
 	time.Sleep(min(entryDelay, duration))
@@ -158,10 +159,10 @@
 	f.soak.runners.writeEntry(runner)
 }
 
-// signalRest makes the runner refuse all calls and ask for a rest.
-func (f *signalInjector) signalRest(runner *runnerstand.Runner, rest, duration time.Duration) {
-	f.soak.logf("signal: %s turns all away for %v and asks for %v of rest", runner.ID, duration.Round(time.Millisecond), rest.Round(time.Millisecond))
-	runner.SetResponseHeaders(platform.HeaderRetryAfter, fmt.Sprintf("%.3f", rest.Seconds()))
+// signalBackoff makes the runner refuse all calls and ask for backoff.
+func (f *signalInjector) signalBackoff(runner *runnerstand.Runner, backoff, duration time.Duration) {
+	f.soak.logf("signal: %s refuses all calls for %v and asks for a backoff of %v", runner.ID, duration.Round(time.Millisecond), backoff.Round(time.Millisecond))
+	runner.SetResponseHeaders(platform.HeaderRetryAfter, fmt.Sprintf("%.3f", backoff.Seconds()))
 	runner.SetBehaviour(runnerstand.Sheds)
 	time.Sleep(duration)
 	runner.SetBehaviour(runnerstand.Normal)
@@ -207,7 +208,7 @@
 				f.checkLimit(runner.ID, signal, arrivals)
 			}
 		}
-		f.checkRests(runner.ID, arrivals)
+		f.checkBackoffs(runner.ID, arrivals)
 	}
 }
 
@@ -258,7 +259,7 @@
 	allowed := int(limitFactor*signal.rate*limitWindow.Seconds() + limitSlack)
 	var counted []time.Time
 	for _, arrival := range arrivals {
-		if !signal.covers(arrival.ReceivedAt) || arrival.ReceivedAt.Sub(signal.from) < contactTime {
+		if !signal.covers(arrival.ReceivedAt) || arrival.ReceivedAt.Sub(signal.from) < settleTime {
 			continue
 		}
 		forwardedAt, known := f.firstForwardedAt(limitSignal, signal, gatewayRunner{arrival.gateway, runner}, arrival.ReceivedAt)
@@ -276,10 +277,10 @@
 	}
 }
 
-// checkRests checks that a gateway sends at most maxRequestsInRest requests to a runner that asked
-// it for a rest. Refusals that the gateway may not have received, because the path was disturbed, do
-// not count.
-func (f *signalInjector) checkRests(runner string, arrivals []receivedRequest) {
+// checkBackoffs checks that a gateway sends at most maxRequestsInBackoff requests to a runner that
+// asked it for backoff. Refusals that the gateway may not have received, because the path was
+// disturbed, do not count.
+func (f *signalInjector) checkBackoffs(runner string, arrivals []receivedRequest) {
 	for i, refused := range arrivals {
 		if refused.RetryAfter == 0 || f.soak.undisturbedFor(refused.ReceivedAt.Add(maxReactionTime), refused.gateway, runnerPathSubject(runner)) <= maxReactionTime {
 			continue
@@ -291,8 +292,8 @@
 				count++
 			}
 		}
-		if count > maxRequestsInRest {
-			f.soak.failf("rest: %s had asked %s for %v of rest at %s and got %d requests from it", runner, refused.gateway, refused.RetryAfter, formatTime(refused.ReceivedAt), count)
+		if count > maxRequestsInBackoff {
+			f.soak.failf("rest: %s had asked %s for a backoff of %v at %s and got %d requests from it", runner, refused.gateway, refused.RetryAfter, formatTime(refused.ReceivedAt), count)
 			return
 		}
 	}
--- a/internal/lab/soak/silences.go
+++ b/internal/lab/soak/silences.go
@@ -22,7 +22,7 @@
 	maxUpdateDelay = time.Second
 	// minDrainTime is the minimum time for which a runner drains. It exceeds the time in which
 	// gateways need not know of the drain.
-	minDrainTime = maxDrainDelay + contactTime + time.Second
+	minDrainTime = maxDrainDelay + settleTime + time.Second
 )
 
 // delayedStep is a part of a fault that runs after a delay. The name is shown in logs.
@@ -58,11 +58,11 @@
 	kinds := []string{platform.KindRunners, platform.KindWeightVersions}
 	kind := kinds[s.random.IntN(len(kinds))]
 	silences := []delayedStep{
-		{name: "open connections to the store of " + p.name + " fall silent", run: func() { s.muteStoreConnections(p) }},
-		{name: "all open connections to the store fall silent", run: func() { s.muteStoreConnections(s.processes...) }},
-		{name: "open connections to runner " + runner.ID + " fall silent", run: func() { s.muteRunnerConnections(runner.ID) }},
-		{name: "watches of " + kind + " of " + p.name + " are lost", run: func() { s.abandonWatches(kind, p) }},
-		{name: "all watches of " + kind + " are lost", run: func() { s.abandonWatches(kind, s.processes...) }},
+		{name: "open connections to the store of " + p.name + " are muted", run: func() { s.muteStoreConnections(p) }},
+		{name: "all open connections to the store are muted", run: func() { s.muteStoreConnections(s.processes...) }},
+		{name: "open connections to runner " + runner.ID + " are muted", run: func() { s.muteRunnerConnections(runner.ID) }},
+		{name: "watches of " + kind + " of " + p.name + " are abandoned", run: func() { s.abandonWatches(kind, p) }},
+		{name: "all watches of " + kind + " are abandoned", run: func() { s.abandonWatches(kind, s.processes...) }},
 	}
 	return silences[s.random.IntN(len(silences))]
 }
@@ -75,7 +75,7 @@
 
 // drainStep returns a step that drains the runner for minDrainTime.
 func (s *Soak) drainStep(runner *runnerstand.Runner) delayedStep {
-	return delayedStep{name: "runner " + runner.ID + " leaves", run: func() {
+	return delayedStep{name: "runner " + runner.ID + " drains", run: func() {
 		stopDraining := s.runners.startDraining(runner)
 		time.Sleep(minDrainTime)
 		stopDraining()
@@ -97,7 +97,7 @@
 	s.runners.proxy(id).SetMode(faultproxy.MuteExisting)
 }
 
-// abandonWatches leaves the pending watches of the processes without an answer. It is recorded as a
+// abandonWatches leaves the pending watches of the processes without a response. It is recorded as a
 // disturbance of the store.
 func (s *Soak) abandonWatches(kind string, processes ...*process) {
 	defer s.disturbances.begin(storeSubject)()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,6 @@
-// Package soak runs gateways as separate processes against fakes of the platform, injects random
-// faults, and checks what callers and runners observe against the guarantees of the product.
+// Package soak runs gateways as separate processes against a simulated store and simulated runners,
+// injects random faults, and checks what callers and runners observe against the promises of the
+// product.
 //
 // The faults and calls of a run are determined by its seed. Their timing depends on the real clock,
 // so a seed reproduces the faults but not every interleaving.
@@ -33,7 +34,7 @@
 	// Suspensions suspends machines. With Suspensions the program must use SuspendableClock.
 	Poison      bool
 	Suspensions bool
-	// Signals makes runners announce that they are leaving, set rate limits or ask for rest.
+	// Signals makes runners announce that they are leaving, set rate limits or ask for backoff.
 	Signals bool
 	// Restores restores the store from backups.
 	Restores bool
@@ -69,13 +70,13 @@
 	// maxOldWeightsTime is how long old weights may be used after new ones were requested. It is
 	// short, so that weights change several times in a run.
 	maxOldWeightsTime = 5 * time.Second
-	// contactTime is how long after a disturbance a gateway is not held to time bounds.
-	contactTime = 3 * time.Second
+	// settleTime is how long after a disturbance a gateway is not held to time bounds.
+	settleTime = 3 * time.Second
 	// maxDrainDelay is the time after which no more requests may reach a draining runner.
 	maxDrainDelay = 2 * time.Second
 	gracePeriod   = 4 * time.Second
-	// settleTime is the time after the last fault within which everything must have recovered.
-	settleTime = 6 * time.Second
+	// maxRecoveryTime is the time after the last fault within which everything must have recovered.
+	maxRecoveryTime = 6 * time.Second
 )
 
 // Soak is a run.
@@ -99,7 +100,7 @@
 	failures []string
 }
 
-// Report is the result of a run. Failures lists the violated guarantees.
+// Report is the result of a run. Failures lists the broken promises.
 type Report struct {
 	Calls    int
 	Served   int
@@ -107,7 +108,7 @@
 	Failures []string
 }
 
-// Run performs a run. It returns an error if the run could not be performed; violated guarantees
+// Run performs a run. It returns an error if the run could not be performed; broken promises
 // are only reported.
 func Run(ctx context.Context, settings Settings) (Report, error) {
 	if err := settings.checkDescriptors(); err != nil {
@@ -122,12 +123,12 @@
 	if err := s.start(); err != nil {
 		return Report{}, err
 	}
-	load, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var group sync.WaitGroup
-	group.Go(func() { s.watchDescriptors(load) })
+	group.Go(func() { s.watchDescriptors(loadCtx) })
 	for i := range callers {
 		group.Add(1)
-		go func() { defer group.Done(); s.sendCalls(load, rand.New(rand.NewPCG(settings.Seed, uint64(i)))) }()
+		go func() { defer group.Done(); s.sendCalls(loadCtx, rand.New(rand.NewPCG(settings.Seed, uint64(i)))) }()
 	}
 	faults := s.injectFaults(ctx)
 	s.poisons.stop()
@@ -149,7 +150,7 @@
 	return Report{Calls: calls, Served: served, Faults: faults, Failures: s.failures}, ctx.Err()
 }
 
-// failf records and logs a violated guarantee.
+// failf records and logs a broken promise.
 func (s *Soak) failf(format string, args ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -243,7 +244,7 @@
 // checkRecovery waits until every gateway is ready and all engines have the latest weights, and
 // fails the run if that takes too long.
 func (s *Soak) checkRecovery(ctx context.Context) {
-	deadline := time.Now().Add(settleTime + leaseDuration + maxOldWeightsTime)
+	deadline := time.Now().Add(maxRecoveryTime + leaseDuration + maxOldWeightsTime)
 	for _, p := range s.processes {
 		if !p.waitReady(ctx, deadline) {
 			s.failf("recovery: %s is not ready after the last fault", p.name)
@@ -258,7 +259,7 @@
 		}
 	}
 	if ctx.Err() == nil {
-		time.Sleep(settleTime / 3)
+		time.Sleep(maxRecoveryTime / 3)
 	}
 }
 
--- a/internal/lab/soak/updates.go
+++ b/internal/lab/soak/updates.go
@@ -16,8 +16,8 @@
 	observedAt time.Time
 	// updateAge is the time between the change in the store and observedAt. undisturbed is how long
 	// nothing relevant had been disturbed by then.
-	updateAge   time.Duration
-	undisturbed time.Duration
+	updateAge           time.Duration
+	undisturbedDuration time.Duration
 }
 
 // checkUpdates checks, by the calls that runners received, that undisturbed gateways learned in
@@ -53,7 +53,7 @@
 	for group, requests := range grouped {
 		first := requests[0]
 		s.failf("%s: %d requests of %s at %s, the first (%s) at %s, %v after the update and %v after the last disturbance",
-			group.kind, len(requests), group.gateway, group.runner, first.requestID, formatTime(first.observedAt), first.updateAge, first.undisturbed)
+			group.kind, len(requests), group.gateway, group.runner, first.requestID, formatTime(first.observedAt), first.updateAge, first.undisturbedDuration)
 	}
 }
 
@@ -70,9 +70,9 @@
 	}
 	late := lateRequest{
 		kind: "leaving", gateway: call.gatewayName, runner: runner, requestID: call.id, observedAt: arrival.ReceivedAt, updateAge: arrival.ReceivedAt.Sub(since),
-		undisturbed: min(s.undisturbedFor(arrival.ReceivedAt, storeSubject, call.gatewayName, runnerPathSubject(runner)), s.informedFor(arrival.ReceivedAt, call.gatewayName)),
+		undisturbedDuration: min(s.undisturbedFor(arrival.ReceivedAt, storeSubject, call.gatewayName, runnerPathSubject(runner)), s.informedFor(arrival.ReceivedAt, call.gatewayName)),
 	}
-	return late, late.updateAge > maxDrainDelay && late.undisturbed > contactTime
+	return late, late.updateAge > maxDrainDelay && late.undisturbedDuration > settleTime
 }
 
 // checkWeightVersion reports whether the weights with which the run started had been replaced for
@@ -86,10 +86,10 @@
 	}
 	late := lateRequest{
 		kind: "older weights", gateway: call.gatewayName, runner: runner, requestID: call.id, observedAt: run.StartedAt, updateAge: run.StartedAt.Sub(replacementTime),
-		undisturbed: s.undisturbedFor(run.StartedAt, call.gatewayName, runnerPathSubject(runner)),
+		undisturbedDuration: s.undisturbedFor(run.StartedAt, call.gatewayName, runnerPathSubject(runner)),
 	}
 	countedAge := min(late.updateAge, s.undisturbedFor(run.StartedAt, storeSubject), s.informedFor(run.StartedAt, call.gatewayName))
-	return late, countedAge > maxOldWeightsTime && late.undisturbed > contactTime
+	return late, countedAge > maxOldWeightsTime && late.undisturbedDuration > settleTime
 }
 
 // informedFor returns for how long the gateway could learn what the store holds, from the store or
@@ -104,7 +104,7 @@
 	return longest
 }
 
-// undisturbedFor returns for how long none of the subjects had been disturbed at the moment.
+// undisturbedDuration returns for how long none of the subjects had been disturbed at the moment.
 func (s *Soak) undisturbedFor(moment time.Time, subjects ...string) time.Duration {
 	return moment.Sub(s.disturbances.lastDisturbed(moment, subjects...))
 }
--- a/internal/lab/soak/updates_test.go
+++ b/internal/lab/soak/updates_test.go
@@ -56,10 +56,10 @@
 // updateCase describes what happened before a request: the age of the update, and how long ago the
 // subject was last disturbed.
 type updateCase struct {
-	updateAge   time.Duration
-	subject     string
-	undisturbed time.Duration
-	wantFailure bool
+	updateAge           time.Duration
+	subject             string
+	undisturbedDuration time.Duration
+	wantFailure         bool
 }
 
 // Guards against a check that misses requests to draining runners, or reports requests of gateways
@@ -68,11 +68,11 @@
 	for name, test := range map[string]updateCase{
 		"late":                            {updateAge: maxDrainDelay + 100*time.Millisecond, wantFailure: true},
 		"in time":                         {updateAge: maxDrainDelay - 100*time.Millisecond},
-		"gateway disturbed":               {updateAge: 2 * maxDrainDelay, subject: testGateway, undisturbed: contactTime - 100*time.Millisecond},
-		"gateway disturbed long ago":      {updateAge: 2 * maxDrainDelay, subject: testGateway, undisturbed: contactTime + 100*time.Millisecond, wantFailure: true},
-		"its store disturbed":             {updateAge: 2 * maxDrainDelay, subject: gatewayStoreSubject(testGateway), undisturbed: contactTime - 100*time.Millisecond},
+		"gateway disturbed":               {updateAge: 2 * maxDrainDelay, subject: testGateway, undisturbedDuration: settleTime - 100*time.Millisecond},
+		"gateway disturbed long ago":      {updateAge: 2 * maxDrainDelay, subject: testGateway, undisturbedDuration: settleTime + 100*time.Millisecond, wantFailure: true},
+		"its store disturbed":             {updateAge: 2 * maxDrainDelay, subject: gatewayStoreSubject(testGateway), undisturbedDuration: settleTime - 100*time.Millisecond},
 		"other gateway disturbed":         {updateAge: 2 * maxDrainDelay, subject: "gateway-1", wantFailure: true},
-		"store disturbed":                 {updateAge: 2 * maxDrainDelay, subject: storeSubject, undisturbed: contactTime - 100*time.Millisecond},
+		"store disturbed":                 {updateAge: 2 * maxDrainDelay, subject: storeSubject, undisturbedDuration: settleTime - 100*time.Millisecond},
 		"path to the runner disturbed":    {updateAge: 2 * maxDrainDelay, subject: runnerPathSubject("e0")},
 		"path to other runners disturbed": {updateAge: 2 * maxDrainDelay, subject: runnerPathSubject("e1"), wantFailure: true},
 	} {
@@ -83,7 +83,7 @@
 			sendCallTo(t, runner)
 			arrivedAt := runner.ArrivalLog()[0].ReceivedAt
 			s.runners.drains[runner.ID][0].from = arrivedAt.Add(-test.updateAge)
-			s.disturbances.addPast(arrivedAt, test.subject, test.undisturbed)
+			s.disturbances.addPast(arrivedAt, test.subject, test.undisturbedDuration)
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "leaving: 1 requests of gateway-0 at e0")
 		})
@@ -96,13 +96,13 @@
 	for name, test := range map[string]updateCase{
 		"late":                       {updateAge: maxOldWeightsTime + 100*time.Millisecond, wantFailure: true},
 		"in time":                    {updateAge: maxOldWeightsTime - 100*time.Millisecond},
-		"gateway disturbed":          {updateAge: 2 * maxOldWeightsTime, subject: testGateway, undisturbed: contactTime - 100*time.Millisecond},
-		"gateway disturbed long ago": {updateAge: 2 * maxOldWeightsTime, subject: testGateway, undisturbed: contactTime + 100*time.Millisecond, wantFailure: true},
+		"gateway disturbed":          {updateAge: 2 * maxOldWeightsTime, subject: testGateway, undisturbedDuration: settleTime - 100*time.Millisecond},
+		"gateway disturbed long ago": {updateAge: 2 * maxOldWeightsTime, subject: testGateway, undisturbedDuration: settleTime + 100*time.Millisecond, wantFailure: true},
 		"other gateway disturbed":    {updateAge: 2 * maxOldWeightsTime, subject: "gateway-1", wantFailure: true},
-		"its store disturbed":        {updateAge: 2 * maxOldWeightsTime, subject: gatewayStoreSubject(testGateway), undisturbed: maxOldWeightsTime - 100*time.Millisecond},
-		"store disturbed":            {updateAge: 2 * maxOldWeightsTime, subject: storeSubject, undisturbed: maxOldWeightsTime - 100*time.Millisecond},
-		"store disturbed long ago":   {updateAge: 2 * maxOldWeightsTime, subject: storeSubject, undisturbed: maxOldWeightsTime + 100*time.Millisecond, wantFailure: true},
-		"path disturbed long ago":    {updateAge: 2 * maxOldWeightsTime, subject: runnerPathSubject("e0"), undisturbed: contactTime + 100*time.Millisecond, wantFailure: true},
+		"its store disturbed":        {updateAge: 2 * maxOldWeightsTime, subject: gatewayStoreSubject(testGateway), undisturbedDuration: maxOldWeightsTime - 100*time.Millisecond},
+		"store disturbed":            {updateAge: 2 * maxOldWeightsTime, subject: storeSubject, undisturbedDuration: maxOldWeightsTime - 100*time.Millisecond},
+		"store disturbed long ago":   {updateAge: 2 * maxOldWeightsTime, subject: storeSubject, undisturbedDuration: maxOldWeightsTime + 100*time.Millisecond, wantFailure: true},
+		"path disturbed long ago":    {updateAge: 2 * maxOldWeightsTime, subject: runnerPathSubject("e0"), undisturbedDuration: settleTime + 100*time.Millisecond, wantFailure: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -111,7 +111,7 @@
 			sendCallTo(t, runner)
 			startedAt := runner.Runs()[0].StartedAt
 			s.config.weightChangeTimes[0] = startedAt.Add(-test.updateAge)
-			s.disturbances.addPast(startedAt, test.subject, test.undisturbed)
+			s.disturbances.addPast(startedAt, test.subject, test.undisturbedDuration)
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "older weights: 1 requests of gateway-0 at e0")
 		})
@@ -141,7 +141,7 @@
 			arrivedAt := runner.ArrivalLog()[0].ReceivedAt
 			s.runners.drains[runner.ID][0].from = arrivedAt.Add(-2 * maxDrainDelay)
 			for _, subject := range test.disturbed {
-				s.disturbances.addPast(arrivedAt, subject, contactTime-100*time.Millisecond)
+				s.disturbances.addPast(arrivedAt, subject, settleTime-100*time.Millisecond)
 			}
 			s.checkUpdates()
 			expectFailure(t, s, test.wantFailure, "leaving: 1 requests of gateway-0 at e0")
