--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -10,18 +10,18 @@
 )
 
 // The port range lies below the ephemeral ports (32768 to 60999 by default on Linux). The kernel
-// may give an ephemeral port to an outgoing connection before the caller listens on it.
+// may give an ephemeral port to an outgoing connection before a process listens on it.
 const (
 	minPort = 12000
 	maxPort = 30000
 	// portsPerBlock is the number of ports that a process reserves at a time. Processes that
 	// allocated from the same block could return the same port, since the port stays free until
-	// its caller listens on it.
+	// some process listens on it.
 	portsPerBlock = 600
 	blockCount    = (maxPort - minPort) / portsPerBlock
 )
 
-// draw is where this process draws its ports from.
+// allocator holds the ports that this process allocates.
 var allocator struct {
 	sync.Mutex
 	// reservations listen on the first ports of the reserved blocks until the process exits. The
--- a/internal/lab/runnerstand/poison.go
+++ b/internal/lab/runnerstand/poison.go
@@ -38,7 +38,7 @@
 		header.Set(platform.HeaderWeightVersions, strconv.FormatUint(r.WeightVersion(), 10))
 		header.Set(platform.HeaderResponseStamp, r.ID+"."+run.RequestID)
 		fmt.Fprint(writer, formatEvent(1))
-		// The runner crashes whether or not the caller received the event.
+		// The runner crashes whether or not the gateway received the event.
 		_ = http.NewResponseController(writer).Flush()
 	}
 	r.Close()
--- a/internal/lab/runnerstand/records.go
+++ b/internal/lab/runnerstand/records.go
@@ -38,7 +38,7 @@
 	Holder           string `json:"holder"`
 	FencingToken     uint64 `json:"fence"`
 	ExpectedRevision uint64 `json:"expected_rev"`
-	// Status is the HTTP status of the runner's answer, 0 if it ignored the order. ReceivedAt is
+	// Status is the HTTP status of the runner's response, 0 if it ignored the order. ReceivedAt is
 	// when the order arrived.
 	Status     int       `json:"-"`
 	ReceivedAt time.Time `json:"-"`
--- a/internal/lab/runnerstand/responses.go
+++ b/internal/lab/runnerstand/responses.go
@@ -26,7 +26,7 @@
 // formatEvent returns the server-sent event with the id.
 func formatEvent(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// writeStream sends the events after the last one that the caller received. If the caller names a
+// writeStream sends the events after the last one that the gateway received. If the gateway names a
 // backup runner, that runner gets a KV copy of the run. TruncatesResponse breaks the connection in
 // the middle of the second event that is sent.
 func (r *Runner) writeStream(writer http.ResponseWriter, request *http.Request, behaviour Behaviour) {
--- a/internal/lab/runnerstand/runner.go
+++ b/internal/lab/runnerstand/runner.go
@@ -1,5 +1,5 @@
-// Package runnerstand provides a fake of the platform's runners for tests. It processes calls,
-// streams events, accepts weight orders, and can be set to misbehave.
+// Package runnerstand provides simulated runners of the platform for tests. They process calls,
+// stream events, accept weight orders, and can be set to misbehave.
 package runnerstand
 
 import (
@@ -20,9 +20,9 @@
 
 // Behaviours of a runner.
 const (
-	// Normal answers correctly.
+	// Normal responds correctly.
 	Normal Behaviour = iota
-	// Fails answers with status 500 after processing the call.
+	// Fails responds with status 500 after processing the call.
 	Fails
 	// Sheds refuses the call with status 503 without processing it.
 	Sheds
@@ -79,7 +79,7 @@
 	FindPeer func(address string) *Runner
 }
 
-// Runner is a fake runner. It is safe for concurrent use.
+// Runner is a simulated runner. It is safe for concurrent use.
 type Runner struct {
 	Config
 	Address string
@@ -97,7 +97,7 @@
 	// weightRevision counts the applied orders. An order must name the current value.
 	weightRevision uint64
 	fencingToken   uint64
-	// ignoresOrders is set if orders are neither answered nor applied.
+	// ignoresOrders is set if orders get no response and are not applied.
 	ignoresOrders bool
 	// kvCopies holds the request IDs of runs at other runners of which this one has a KV copy.
 	kvCopies map[string]bool
@@ -110,7 +110,7 @@
 	aborted   chan struct{}
 	// responseHeaders are extra headers of all responses to calls.
 	responseHeaders http.Header
-	// reportCount counts the requests for a report. They are answered after reportDelay.
+	// reportCount counts the requests for a report. The responses are sent after reportDelay.
 	reportCount int
 	reportDelay time.Duration
 }
@@ -135,7 +135,7 @@
 	r.fencingToken = token
 }
 
-// IgnoreOrders makes the runner neither answer nor apply orders.
+// IgnoreOrders makes the runner neither respond to orders nor apply them.
 func (r *Runner) IgnoreOrders() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -221,7 +221,7 @@
 	case platform.PathOrder:
 		r.handleOrder(writer, request)
 	case platform.PathCacheEvents, platform.PathCacheList:
-		// The fake has no prompt cache to list.
+		// A simulated runner has no prompt cache to list.
 		writer.WriteHeader(http.StatusNotFound)
 	default:
 		r.handleCall(writer, request)
@@ -252,7 +252,7 @@
 }
 
 // recordOrder records the order and applies it unless orders are ignored. It returns the HTTP
-// status, and false if the order gets no answer.
+// status, and false if the order gets no response.
 func (r *Runner) recordOrder(order Order) (status int, answered bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/runnerstand/timing.go
+++ b/internal/lab/runnerstand/timing.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// SetReportDelay sets how long the runner takes to answer a request for its report.
+// SetReportDelay sets how long the runner takes to respond to a request for its report.
 func (r *Runner) SetReportDelay(delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -64,7 +64,7 @@
 	return r.reportCount
 }
 
-// countReport counts a request for a report and returns the delay of its answer.
+// countReport counts a request for a report and returns the delay of its response.
 func (r *Runner) countReport() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/storestand/endpoint.go
+++ b/internal/lab/storestand/endpoint.go
@@ -19,17 +19,17 @@
 
 // Faults of an endpoint.
 const (
-	// Healthy answers calls.
+	// Healthy responds to calls.
 	Healthy Fault = iota
 	// Busy refuses all calls with status 503.
 	Busy
 	// Throttled refuses all calls with status 429.
 	Throttled
-	// Hangs leaves all calls without an answer.
+	// Hangs leaves all calls without a response.
 	Hangs
-	// Reset closes the connections of all calls without an answer.
+	// Reset closes the connections of all calls without a response.
 	Reset
-	// LosesResponses applies writes but closes the connection instead of answering them.
+	// LosesResponses applies writes but closes the connection instead of responding to them.
 	LosesResponses
 )
 
@@ -53,10 +53,10 @@
 	// staleListCount counts the calls that accept stale lists.
 	staleListCount int
 	// abandoned holds, for each kind, a channel that is closed to leave the pending watches
-	// without an answer.
+	// without a response.
 	abandoned map[string]chan struct{}
-	// replicaRevisions holds the revision at which watches are answered, by kind. Watches of
-	// other kinds are answered at the latest revision.
+	// replicaRevisions holds, by kind, the latest revision that watches return. Watches of other
+	// kinds return changes up to the latest revision.
 	replicaRevisions map[string]uint64
 }
 
@@ -99,8 +99,8 @@
 	e.store.mutex.Unlock()
 }
 
-// AbandonWatches leaves the pending watches of the kind without an answer. New watches are
-// answered.
+// AbandonWatches leaves the pending watches of the kind without a response. New watches get
+// one.
 func (e *Endpoint) AbandonWatches(kind string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -121,7 +121,7 @@
 	return e.abandoned[kind]
 }
 
-// SetReplicaRevision makes watches of the kinds answer like a replica that has not received
+// SetReplicaRevision makes watches of the kinds respond like a replica that has not received
 // changes after the revision.
 func (e *Endpoint) SetReplicaRevision(revision uint64, kinds ...string) {
 	e.mutex.Lock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// CatchUp makes all watches answer at the latest revision again.
+// CatchUp makes all watches return changes up to the latest revision again.
 func (e *Endpoint) CatchUp() {
 	e.mutex.Lock()
 	clear(e.replicaRevisions)
@@ -229,7 +229,7 @@
 	writeJSON(writer, http.StatusOK, map[string]any{"items": items, "more": more, "at": listRevision})
 }
 
-// handleWatch answers as soon as there are changes after the watched revision, or without any
+// handleWatch responds as soon as there are changes after the watched revision, or without any
 // at the end of the requested wait.
 func (e *Endpoint) handleWatch(writer http.ResponseWriter, request *http.Request, kind string) {
 	query := request.URL.Query()
@@ -281,6 +281,6 @@
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// Encode fails only if the caller has disconnected.
+	// Encode fails only if the client has disconnected.
 	_ = json.NewEncoder(writer).Encode(body)
 }
--- a/internal/lab/storestand/restore.go
+++ b/internal/lab/storestand/restore.go
@@ -49,7 +49,7 @@
 	return s.revision
 }
 
-// SetEraFormat sets the function that formats the era for the header of later answers. If it
+// SetEraFormat sets the function that formats the era for the header of later responses. If it
 // returns an empty string, the header is omitted.
 func (s *Store) SetEraFormat(format func(era uint64) string) {
 	s.mutex.Lock()
@@ -59,16 +59,16 @@
 
 func formatDecimalEra(era uint64) string { return strconv.FormatUint(era, 10) }
 
-// eraWriter writes the answer to a call that arrived in the given era. A store that was restored
-// since then does not know the call, so its connection is closed.
+// eraWriter writes the response to a call that arrived in the given era. A store that was
+// restored since then does not know the call, so its connection is closed.
 type eraWriter struct {
 	http.ResponseWriter
 	store *Store
 	era   uint64
 }
 
-// bindToEra returns a writer for the answer to a call that arrived in the current era, and sets
-// the era header.
+// bindToEra returns a writer for the response to a call that arrived in the current era, and
+// sets the era header.
 func (s *Store) bindToEra(writer http.ResponseWriter) http.ResponseWriter {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/storestand/store.go
+++ b/internal/lab/storestand/store.go
@@ -1,4 +1,4 @@
-// Package storestand provides an in-memory fake of the platform's store for tests. It holds
+// Package storestand provides a simulated platform store in memory for tests. It holds
 // objects by kind and name under one revision counter, and serves lists, watches and conditional
 // writes. Its endpoints inject the faults that the documentation of the platform describes.
 package storestand
@@ -32,7 +32,7 @@
 	Object  Object `json:"object"`
 }
 
-// Store is a fake store. It is safe for concurrent use.
+// Store is a simulated store. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
@@ -44,7 +44,7 @@
 	changed           chan struct{}
 	// era is 1 plus the number of restores.
 	era uint64
-	// formatEra formats the era for the header of answers, empty to omit the header.
+	// formatEra formats the era for the header of responses, empty to omit the header.
 	formatEra func(era uint64) string
 }
 
@@ -148,7 +148,7 @@
 	return append([]Event{}, history[first:]...), s.revision, false, s.changed
 }
 
-// applyRequest applies a write request and returns the HTTP status with the object for the answer.
+// applyRequest applies a write request and returns the HTTP status and the object for the response.
 // A put with a revision is applied only if it is the revision of the object.
 func (s *Store) applyRequest(method, kind, name string, body Object) (int, Object) {
 	s.mutex.Lock()
