--- a/internal/lab/cluster/calls.go
+++ b/internal/lab/cluster/calls.go
@@ -28,7 +28,7 @@
 // its creation time.
 func NewIdempotencyKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Outcome is the result of a Call as its client saw it.
+// Outcome is the result of a Call as its caller saw it.
 type Outcome struct {
 	// Status is the HTTP status, or 0 without a response.
 	Status     int
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -11,11 +11,11 @@
 	"github.com/clovertiller/clovertiller/internal/lab/ledger"
 )
 
-// fakeBench earns more with the second build, and fails on failingDay.
-type fakeBench struct{ failingDay string }
+// simulatedBench earns more with the second build, and fails on failingDay.
+type simulatedBench struct{ failingDay string }
 
-func (p fakeBench) RunDay(_ context.Context, run BenchRun) (*ledger.Report, error) {
-	if run.Day == p.failingDay {
+func (b simulatedBench) RunDay(_ context.Context, run BenchRun) (*ledger.Report, error) {
+	if run.Day == b.failingDay {
 		return nil, errors.New("given up")
 	}
 	worth := 0.5 + float64(run.Seed)/100
@@ -29,7 +29,7 @@
 
 func TestBuildsAreComparedOnTheSameDays(t *testing.T) {
 	g := NewWithT(t)
-	pairs, err := Run(context.Background(), settings, fakeBench{})
+	pairs, err := Run(context.Background(), settings, simulatedBench{})
 	g.Expect(err).NotTo(HaveOccurred())
 	differences := Differences(pairs)
 	g.Expect(differences).To(HaveLen(2))
@@ -47,7 +47,7 @@
 func TestFailedRunStopsComparison(t *testing.T) {
 	failing := settings
 	failing.Days = []string{"quiet-1", "scale-1"}
-	_, err := Run(context.Background(), failing, fakeBench{failingDay: "scale-1"})
+	_, err := Run(context.Background(), failing, simulatedBench{failingDay: "scale-1"})
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring("given up")))
 }
 
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -28,18 +28,18 @@
 // which they were scheduled.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	if !a[i].dueAt.Equal(a[j].dueAt) {
-		return a[i].dueAt.Before(a[j].dueAt)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if !q[i].dueAt.Equal(q[j].dueAt) {
+		return q[i].dueAt.Before(q[j].dueAt)
 	}
-	return a[i].order < a[j].order
+	return q[i].order < q[j].order
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -336,7 +336,7 @@
 	return placement.Choose(query.Request, candidates, query.Weights, r.random)
 }
 
-// refuse records the refusal of a request. The client retries once, after the delay that the
+// refuse records the refusal of a request. The caller retries once, after the delay that the
 // response demands. If there is no runner, the request waits instead.
 func (r *emulation) refuse(pending *pendingRequest, pick placement.Pick) {
 	if pick.Status == placement.NoRunner {
--- a/internal/lab/engineserver/relay.go
+++ b/internal/lab/engineserver/relay.go
@@ -10,7 +10,7 @@
 // cutAfterFrames is the number of output frames after which a stream is cut.
 const cutAfterFrames = 3
 
-// chunk is the data of an output frame, in the format of the client's API.
+// chunk is the data of an output frame, in the format of the API that the caller uses.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -76,7 +76,7 @@
 	return true
 }
 
-// relay writes the frames of a stream to the client as the engine produces them, from the output
+// relay writes the frames of a stream to the router as the engine produces them, from the output
 // token at offset on.
 func (s *Server) relay(writer http.ResponseWriter, request *http.Request, stream *attemptStream, offset int) {
 	s.openRelays.Add(1)
--- a/internal/lab/engineserver/server.go
+++ b/internal/lab/engineserver/server.go
@@ -122,7 +122,7 @@
 	publisher    *publisher
 	// runCounts holds the number of started runs by prompt digest.
 	runCounts map[string]int
-	// openRelays counts the responses that are being streamed to clients.
+	// openRelays counts the responses that are being streamed to routers.
 	openRelays sync.WaitGroup
 	stopped    bool
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger attributes the lost requests of a bench day to causes. It counts the lost requests
-// in the logs of the routers by cause, route, tenant, router, runner and time, and reads from the
-// report of the bench what each cause cost.
+// Package ledger attributes the lost requests of a day to causes. A day is one run of the users'
+// bench. The package counts the lost requests in the logs of the routers by cause, route, tenant,
+// router, runner and time, and reads from the report of the bench what each cause cost.
 package ledger
 
 import (
--- a/internal/lab/ledger/write.go
+++ b/internal/lab/ledger/write.go
@@ -46,10 +46,10 @@
 	for _, part := range r.Parts {
 		fmt.Fprintf(out, "%7.4f  lost of %.2f: %s\n", part.Amount*(1-part.Share), part.Amount, part.Name)
 	}
-	costs := slices.DeleteFunc(slices.Clone(r.Costs), func(p ReportRow) bool { return p.Share <= 0 })
+	costs := slices.DeleteFunc(slices.Clone(r.Costs), func(row ReportRow) bool { return row.Share <= 0 })
 	slices.SortFunc(costs, func(a, b ReportRow) int { return cmp.Compare(b.Share, a.Share) })
-	for _, price := range costs {
-		fmt.Fprintf(out, "%7.4f  %.1f %s\n", price.Share, price.Amount, price.Name)
+	for _, cost := range costs {
+		fmt.Fprintf(out, "%7.4f  %.1f %s\n", cost.Share, cost.Amount, cost.Name)
 	}
 	for _, class := range r.Classes {
 		fmt.Fprintf(out, "%-20s %6d asked, %6d in time, %5d late, %5d refused, %5d failed, earned %.3f\n",
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -170,7 +170,7 @@
 // maxAttempts is the maximum number of times that a request is sent, including retries.
 const maxAttempts = 8
 
-// sendWithRetries sends a request and adds its result to the report. Like a well-behaved client,
+// sendWithRetries sends a request and adds its result to the report. Like a well-behaved caller,
 // it retries a request that was not run, or that is repeatable, after the delay that the response
 // demands.
 func (r *activeRun) sendWithRetries(ctx context.Context, request workload.Request) {
@@ -291,7 +291,7 @@
 	return time.Duration(body.Error.RetryAfterMillis) * time.Millisecond, mayRetry && body.Error.RetryAfterMillis > 0
 }
 
-// Completion is a streamed completion as the client received it.
+// Completion is a streamed completion as the caller received it.
 type Completion struct {
 	Text string
 	// Chunks is the number of received chunks with output.
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -11,7 +11,7 @@
 
 const modulePath = "github.com/clovertiller/clovertiller"
 
-// Guards against test servers and experiments that become part of the product binary.
+// Guards against simulated servers and experiments that become part of the product binary.
 func TestProductDoesNotImportLabPackages(t *testing.T) {
 	g := NewWithT(t)
 	output, err := exec.Command("go", "list", "-deps", modulePath+"/cmd/clovertiller").Output()
