--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -121,7 +121,7 @@
 	return command{subcommand, func(context.Context) error { return experiment.Run(os.Stdout, settings) }}
 }
 
-// errIncorrectAnswers is the error of a run with lost, duplicated or wrong answers.
+// errIncorrectAnswers is the error of a run with lost, duplicated or wrong responses.
 var errIncorrectAnswers = errors.New("not every request was answered completely, exactly once and correctly")
 
 func loadCommand() command {
--- a/test/prove/cache_test.go
+++ b/test/prove/cache_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe(promises[2], func() {
-	// doExact sends a call and expects a complete answer with the expected text.
+	// doExact sends a call and expects a complete response with the expected text.
 	doExact := func(c *cluster.Cluster, tenant, prompt string) cluster.Outcome {
 		GinkgoHelper()
 		call := cluster.Call{Tenant: tenant, Prompt: prompt, MaxTokens: 10}
--- a/test/prove/restart_test.go
+++ b/test/prove/restart_test.go
@@ -13,9 +13,9 @@
 	"github.com/clovertiller/clovertiller/internal/lab/platformserver"
 )
 
-// awaitServed sends calls to a router until one is answered completely. It returns the time until
-// the first token of that answer and the number of refused calls. Every refusal must be reported
-// as not run.
+// awaitServed sends calls to a router until one gets a complete response. It returns the time
+// until the first token of that response and the number of refused calls. Every refusal must be
+// reported as not run.
 func awaitServed(c *cluster.Cluster, router int) (time.Duration, int) {
 	GinkgoHelper()
 	startedAt := time.Now()
--- a/test/prove/streams_test.go
+++ b/test/prove/streams_test.go
@@ -10,7 +10,7 @@
 	"github.com/clovertiller/clovertiller/internal/lab/engineserver"
 )
 
-// expectAllExact expects that every call has a complete answer with the expected text.
+// expectAllExact expects that every call has a complete response with the expected text.
 func expectAllExact(calls []cluster.Call, outcomes []cluster.Outcome) {
 	GinkgoHelper()
 	for i, outcome := range outcomes {
--- a/test/prove/suite_test.go
+++ b/test/prove/suite_test.go
@@ -109,7 +109,7 @@
 	return outcomes
 }
 
-// expectTruthfulOutcome checks that a complete answer has the expected text, and that a call
+// expectTruthfulOutcome checks that a complete response has the expected text, and that a call
 // reported as not run was not run. All promises require this of every outcome.
 func expectTruthfulOutcome(c *cluster.Cluster, call cluster.Call, outcome cluster.Outcome) {
 	GinkgoHelper()
