--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -119,7 +119,7 @@
 	if !c.view.valid {
 		inZone := c.UsableInZone(c.self.Zone)
 		relays := rendezvous.Ranked(inZone, relayKey, RelaysPerZone)
-		c.view = derivedView{valid: true, usableInZone: inZone, isRelay: slices.Contains(relays, c.self.ID), hash: c.hashView()}
+		c.view = derivedView{valid: true, usableInZone: inZone, isRelay: slices.Contains(relays, c.self.ID), hash: c.computeViewHash()}
 	}
 	return &c.view
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -90,9 +90,9 @@
 
 func (c *Core) viewHash() uint64 { return c.currentView().hash }
 
-// hashView returns the XOR of the hashes of all members that are not dead. It does not depend on
-// their order.
-func (c *Core) hashView() uint64 {
+// computeViewHash returns the XOR of the hashes of all members that are not dead. It does not depend
+// on their order.
+func (c *Core) computeViewHash() uint64 {
 	hash := memberHash(c.self)
 	for _, record := range c.members {
 		if record.member.State != Dead {
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -46,6 +46,8 @@
 	writtenStatuses map[v1.Key]v1.Status
 }
 
+// controllerLoop maintains the controller lease. While this node holds it, the loop sends orders to
+// runners and writes the status of resources.
 func (n *Node) controllerLoop() {
 	c := &controller{node: n, candidate: lease.NewCandidate(n.settings.Node, leaseDuration), writtenStatuses: map[v1.Key]v1.Status{}}
 	for n.sleep(controllerInterval) {
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -156,8 +156,8 @@
 func (n *Node) maxWait(c *completionRequest) time.Duration {
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
-	factor := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
-	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * factor * float64(time.Millisecond))
+	maxWaitFactor := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
+	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * maxWaitFactor * float64(time.Millisecond))
 }
 
 // modelList is the response body of PathModels.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node implements the router process. It connects the packages that decide without I/O
 // (control, cacheindex, placement, claim, attempt and others) to the clock, to network connections
-// and to the HTTP API.
+// and to the HTTP API. Among its peers a router is called a node.
 package node
 
 import (
