--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -8,6 +8,7 @@
 	"github.com/clovertiller/clovertiller/internal/lab/enginemodel"
 )
 
+// scheduleFaults schedules the faults at the times that Faults states.
 func (r *emulation) scheduleFaults() {
 	faults, duration := r.settings.Faults, r.settings.Duration
 	if faults.ShiftPopularity {
--- a/internal/lab/engineserver/publisher.go
+++ b/internal/lab/engineserver/publisher.go
@@ -96,6 +96,8 @@
 	}
 }
 
+// handleEvents streams the published events to a subscriber. It has an event published at once, so
+// that the subscriber does not have to wait for the current status.
 func (p *publisher) handleEvents(writer http.ResponseWriter, request *http.Request) {
 	events := make(chan []byte, 256)
 	p.mutex.Lock()
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -134,6 +134,7 @@
 	}
 }
 
+// serve connects to the server and forwards both directions of the link until either side closes.
 func (p *Proxy) serve(l *link) {
 	defer p.closeLink(l)
 	if p.effectiveMode(l) == Reset {
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -27,7 +27,7 @@
 	return listener.Addr().String()
 }
 
-func TestModes(t *testing.T) {
+func TestRoundTripInEachMode(t *testing.T) {
 	g := NewWithT(t)
 	proxy, err := Start(startEchoServer(g))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -76,7 +76,7 @@
 	}
 	// roundTrip reports whether the byte was echoed. silent is set if the read timed out, that
 	// is, if neither data nor the end of the connection arrived.
-	roundTrip := func(conn net.Conn) (answered, silent bool) {
+	roundTrip := func(conn net.Conn) (echoed, silent bool) {
 		conn.SetDeadline(time.Now().Add(200 * time.Millisecond))
 		if _, err := conn.Write([]byte("x")); err != nil {
 			return false, false
@@ -86,8 +86,8 @@
 	}
 	first, second := dial(), dial()
 	for _, conn := range []net.Conn{first, second} {
-		answered, _ := roundTrip(conn)
-		g.Expect(answered).To(BeTrue())
+		echoed, _ := roundTrip(conn)
+		g.Expect(echoed).To(BeTrue())
 	}
 	for _, mode := range []Mode{MuteExisting, Pass, Blackhole, Pass, MuteExisting} {
 		proxy.SetMode(mode)
@@ -96,8 +96,8 @@
 			g.Expect(silent).To(BeTrue(), "muted, then %v", mode)
 		}
 		if mode != Blackhole {
-			answered, _ := roundTrip(dial())
-			g.Expect(answered).To(BeTrue(), "a new connection in %v", mode)
+			echoed, _ := roundTrip(dial())
+			g.Expect(echoed).To(BeTrue(), "a new connection in %v", mode)
 		}
 	}
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -102,8 +102,8 @@
 		if outcome := line.StringField("outcome"); outcome != "complete" {
 			return "not served: " + outcome, true
 		}
-		if by := line.StringField("late_by"); by != "" {
-			return "late: " + by, true
+		if lateCause := line.StringField("late_by"); lateCause != "" {
+			return "late: " + lateCause, true
 		}
 		return "", true
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// checkReadiness polls the readiness of every router once.
 func (r *activeRun) checkReadiness() {
 	var group sync.WaitGroup
 	for i, router := range r.settings.Routers {
--- a/internal/lab/platformserver/server.go
+++ b/internal/lab/platformserver/server.go
@@ -212,6 +212,8 @@
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
+// handleWatch sends batches of changes until the request ends or the platform is down. If the history
+// does not reach back to the requested revision, it responds with status 410.
 func (s *Server) handleWatch(writer http.ResponseWriter, request *http.Request) {
 	revision, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	if err != nil {
--- a/internal/lab/platformserver/store.go
+++ b/internal/lab/platformserver/store.go
@@ -128,6 +128,7 @@
 	return s.commit(object), true
 }
 
+// delete deletes the object if it exists and has the given version.
 func (s *store) delete(key v1.Key, version uint64) (found, versionMatched bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/runnerstand/runner.go
+++ b/internal/lab/runnerstand/runner.go
@@ -209,6 +209,7 @@
 	r.weightVersion = version
 }
 
+// serve handles one request. It refuses a request that is meant for another runner.
 func (r *Runner) serve(writer http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get(platform.HeaderExpectInstance); expected != "" && expected != r.ID {
 		writer.Header().Set(platform.HeaderInstanceID, r.ID)
--- a/internal/lab/soak/configuration.go
+++ b/internal/lab/soak/configuration.go
@@ -144,7 +144,7 @@
 	return c.weightVersion
 }
 
-// callsPerRevokedKey is the mean number of calls of which one uses a revoked key, if there is any.
+// callsPerRevokedKey is the mean number of calls of which one may use a revoked key.
 const callsPerRevokedKey = 8
 
 // validKey returns a key that is not revoked.
@@ -162,8 +162,8 @@
 	if len(c.revokedAt) > 0 && random.IntN(callsPerRevokedKey) == 0 {
 		for number := 1; number < c.keyCount; number++ {
 			key := fmt.Sprintf("key-%d", number)
-			if at, revoked := c.revokedAt[key]; revoked && random.IntN(2) == 0 {
-				return key, tenantName, time.Time{}, at
+			if keyRevokedAt, revoked := c.revokedAt[key]; revoked && random.IntN(2) == 0 {
+				return key, tenantName, time.Time{}, keyRevokedAt
 			}
 		}
 	}
--- a/internal/lab/soak/disturbances.go
+++ b/internal/lab/soak/disturbances.go
@@ -16,7 +16,7 @@
 // runnerPathSubject returns the subject of faults of the path to the runner.
 func runnerPathSubject(runner string) string { return "path to " + runner }
 
-// interval is a time interval during which something was disturbed.
+// interval is a time interval, such as that of a disturbance, a drain or a signal.
 type interval struct {
 	from time.Time
 	// to is zero while the interval has not ended.
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -97,6 +97,7 @@
 	return running[s.random.IntN(len(running))]
 }
 
+// freeze stops a random gateway by SIGSTOP and lets it continue at the end of the fault.
 func (s *Soak) freeze(duration time.Duration) (string, func()) {
 	p := s.randomProcess()
 	p.markUnavailable(duration + startupTime)
@@ -105,6 +106,7 @@
 	return "freeze " + p.name, func() { p.signal(syscall.SIGCONT); endDisturbance() }
 }
 
+// restart returns a fault that ends a random gateway by the signal and starts it again.
 func (s *Soak) restart(signal syscall.Signal) startFault {
 	return func(duration time.Duration) (string, func()) {
 		p := s.randomProcess()
@@ -115,6 +117,7 @@
 	}
 }
 
+// killAll kills all gateways at the same time and starts them again at the end of the fault.
 func (s *Soak) killAll(duration time.Duration) (string, func()) {
 	var exited []<-chan struct{}
 	var endDisturbances []func()
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restores.go
@@ -33,8 +33,9 @@
 	// entryExpiry is the time after a restore at which the restored directory entries of crashed
 	// runners expire.
 	entryExpiry = 3 * time.Second
-	// One in restoreChangeChoices restores is followed by a key revocation, and one by new weights.
-	restoreChangeChoices = 3
+	// restoresPerChange is the mean number of restores of which one is followed by a key
+	// revocation and another one by new weights.
+	restoresPerChange = 3
 )
 
 // timedBackup is a backup of the store with the time when it was taken.
@@ -126,7 +127,7 @@
 // gateways have already seen are assigned to other changes.
 func (f *restoreInjector) changeAfterRestore() {
 	s := f.soak
-	switch f.random.IntN(restoreChangeChoices) {
+	switch f.random.IntN(restoresPerChange) {
 	case 0:
 		s.logf("fault: an API key is revoked after the restore")
 		s.config.update(true)
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -43,8 +43,11 @@
 type signalKind uint8
 
 const (
+	// limitSignal announces a rate limit.
 	limitSignal signalKind = iota
+	// leavingSignal announces that the runner is leaving.
 	leavingSignal
+	// backoffSignal refuses calls and asks for backoff.
 	backoffSignal
 	signalKindCount
 )
--- a/internal/lab/storestand/endpoint.go
+++ b/internal/lab/storestand/endpoint.go
@@ -160,6 +160,7 @@
 	return e.fault
 }
 
+// serve applies the fault of the endpoint to a call, or handles the call.
 func (e *Endpoint) serve(writer http.ResponseWriter, request *http.Request) {
 	e.mutex.Lock()
 	e.callCount++
