--- a/cmd/clovertiller-lab/main.go
+++ b/cmd/clovertiller-lab/main.go
@@ -125,7 +125,7 @@
 var errIncorrectAnswers = errors.New("not every request was answered completely, exactly once and correctly")
 
 func loadCommand() command {
-	subcommand := newSubcommand("load", "Send requests of both workloads to routers and check every answer.")
+	subcommand := newSubcommand("load", "Send requests of both workloads to routers and check every response.")
 	settings := load.Settings{Requests: 600, Concurrency: 24, Seed: 1, Workload: workload.DefaultSettings()}
 	routers, platform, summaryName := "127.0.0.1:7800", "", "load"
 	smallPrompts := false
@@ -134,7 +134,7 @@
 	subcommand.String(&summaryName, "", "name", "Name at the start of the summary line.")
 	subcommand.Int(&settings.Requests, "n", "requests", "Number of requests.")
 	subcommand.Int(&settings.Concurrency, "c", "concurrency", "Number of concurrent requests.")
-	subcommand.Float64(&settings.RequestsPerSecond, "", "rate", "Requests per second; 0 sends the next request when an answer arrives.")
+	subcommand.Float64(&settings.RequestsPerSecond, "", "rate", "Requests per second; 0 sends the next request when a response arrives.")
 	subcommand.UInt64(&settings.Seed, "", "seed", "Random seed of the workload.")
 	subcommand.Bool(&smallPrompts, "", "small", "Use short prompts.")
 	return command{subcommand, func(ctx context.Context) error {
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -428,7 +428,7 @@
 }
 
 // publishChanges sends the runner's cache changes and report with the configured lag and losses,
-// and schedules the next time. A lost event uses up its sequence number.
+// and schedules its next call. A lost event uses up its sequence number.
 func (r *emulation) publishChanges(runner *emulatedRunner) {
 	runner.eventSequence++
 	sequence, incarnation := runner.eventSequence, runner.incarnation
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -47,7 +47,7 @@
 	limitSignal signalKind = iota
 	// leavingSignal announces that the runner is leaving.
 	leavingSignal
-	// backoffSignal refuses calls and asks for backoff.
+	// backoffSignal asks for backoff while the runner refuses all calls.
 	backoffSignal
 	signalKindCount
 )
