--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -36,10 +36,10 @@
 	PathPartition = "/lab/cut"
 )
 
-// idleTimeout is the time after which idle client connections are closed.
+// idleTimeout is the time after which idle connections of callers are closed.
 const idleTimeout = 2 * time.Minute
 
-// serveHTTP starts serving the HTTP API for clients and operators.
+// serveHTTP starts serving the HTTP API for callers and operators.
 func (n *Node) serveHTTP(listener net.Listener) error {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -115,7 +115,7 @@
 			return
 		}
 		defer n.release(c)
-		// The read timeout only applies to the body. The client sends nothing after it.
+		// The read timeout only applies to the body. The caller sends nothing after it.
 		_ = http.NewResponseController(writer).SetReadDeadline(time.Time{})
 		n.execute(writer, request, c)
 	}
@@ -156,8 +156,8 @@
 func (n *Node) maxWait(c *completionRequest) time.Duration {
 	n.admissionMutex.Lock()
 	defer n.admissionMutex.Unlock()
-	factor := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
-	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * factor * float64(time.Millisecond))
+	maxWaitFactor := n.limiter.MaxWaitFactor(time.Now(), c.tenant.Name)
+	return time.Duration(float64(c.tenant.Tier.MaxWaitMillis) * maxWaitFactor * float64(time.Millisecond))
 }
 
 // modelList is the response body of PathModels.
