--- a/internal/gateway/cachefeed.go
+++ b/internal/gateway/cachefeed.go
@@ -7,35 +7,36 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of following the feed of another router.
+// Times of following the cache feed of another router.
 const (
-	// wholeFeedInterval is the least time between two requests for a whole feed: it
-	// is some hundred kilobytes, and a router that finds no fresh proof asks one
-	// seed after the other.
-	wholeFeedInterval = 3 * time.Second
-	// feedPatience is how long what a feed said is used without hearing from it:
-	// runners turn over what they keep in some seconds.
-	feedPatience = 5 * time.Second
+	// feedSnapshotInterval is the minimum interval between two requests for a snapshot of a
+	// feed. A snapshot has several hundred kilobytes, and a router that finds no recent proof
+	// asks one seed after another.
+	feedSnapshotInterval = 3 * time.Second
+	// feedTimeout is how long the contents of a followed feed are used after its last delta:
+	// runners replace what they cache within seconds.
+	feedTimeout = 5 * time.Second
 )
 
 // followedFeed is a position in the feed of another router.
 type followedFeed struct {
-	address     string
-	id, through uint64
-	// wholeAt is when all of a feed was asked for last, and heardAt when anything came.
-	wholeAt, heardAt time.Time
+	address      string
+	id, position uint64
+	// snapshotRequestedAt is when a snapshot was last requested, and lastDeltaAt when the last
+	// delta arrived.
+	snapshotRequestedAt, lastDeltaAt time.Time
 }
 
-// forgetSilent drops what a feed said that has not been heard of for long, and no
-// longer gives on what nobody asks for.
-func (r *cacheReader) forgetSilent() {
+// dropSilentFeed drops the contents of the followed feed if it has been silent for feedTimeout,
+// and stops relaying a feed that is silent or that no follower has requested for as long.
+func (r *cacheReader) dropSilentFeed() {
 	r.mutex.Lock()
-	silent := !r.followed.heardAt.IsZero() && r.gateway.since(r.followed.heardAt) > feedPatience
+	silent := !r.followed.lastDeltaAt.IsZero() && r.gateway.since(r.followed.lastDeltaAt) > feedTimeout
 	if silent {
-		r.followed = followedFeed{wholeAt: r.followed.wholeAt}
+		r.followed = followedFeed{snapshotRequestedAt: r.followed.snapshotRequestedAt}
 	}
-	if silent || r.gateway.since(r.askedAt) > feedPatience {
-		r.feed, r.whole = nil, false
+	if silent || r.gateway.since(r.lastPulledAt) > feedTimeout {
+		r.feed, r.feedComplete = nil, false
 	}
 	r.mutex.Unlock()
 	if silent {
@@ -45,76 +46,78 @@
 	}
 }
 
-// ask adds to a pull what is asked of the address's feed: what changed in the one
-// that is followed, or the whole of another one, now and then.
-func (r *cacheReader) ask(address string, pull *wire.CopyPull) {
+// addToPull adds a request for cache contents to a pull from the router at the address: the
+// changes since the last pull if its feed is the one that is followed, otherwise a snapshot, at
+// most once per feedSnapshotInterval.
+func (r *cacheReader) addToPull(address string, pull *wire.CopyPull) {
 	now := r.gateway.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.reads || r.gateway.ports.Caches == nil {
+	if r.readsHolders || r.gateway.ports.Caches == nil {
 		return
 	}
 	if r.followed.address == address {
-		pull.WantsCache, pull.CacheFeed, pull.CacheThrough = true, r.followed.id, r.followed.through
+		pull.WantsCache, pull.CacheFeed, pull.CacheThrough = true, r.followed.id, r.followed.position
 		return
 	}
-	if now.Sub(r.followed.wholeAt) >= wholeFeedInterval {
+	if now.Sub(r.followed.snapshotRequestedAt) >= feedSnapshotInterval {
 		pull.WantsCache = true
-		r.followed.wholeAt = now
+		r.followed.snapshotRequestedAt = now
 	}
 }
 
-// answer returns what a follower lacks of the own feed, nil while there is none. A
-// router that does not read begins to give on what it is told, from the next whole
-// feed on.
-func (r *cacheReader) answer(id, through uint64) *wire.CacheDelta {
+// deltaSince returns the changes of the own feed since the follower's position, or a snapshot
+// if the follower was following another feed. It returns nil if there is no complete feed. A
+// router that does not read runners itself starts to relay the feed that it follows, beginning
+// with the next snapshot it receives.
+func (r *cacheReader) deltaSince(feedID, position uint64) *wire.CacheDelta {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.askedAt = r.gateway.now()
+	r.lastPulledAt = r.gateway.now()
 	if r.feed == nil && r.gateway.ports.Caches != nil {
-		r.beginFeed()
-		r.followed = followedFeed{heardAt: r.followed.heardAt}
+		r.startFeed()
+		r.followed = followedFeed{lastDeltaAt: r.followed.lastDeltaAt}
 	}
-	if r.feed == nil || !(r.reads || r.whole) {
+	if r.feed == nil || !(r.readsHolders || r.feedComplete) {
 		return nil
 	}
 	var delta cacheindex.FeedDelta
-	if id == r.id {
-		delta = r.feed.Since(through)
+	if feedID == r.feedID {
+		delta = r.feed.Since(position)
 	} else {
 		delta = r.feed.Snapshot()
 	}
-	return cacheDeltaToWire(r.id, delta)
+	return cacheDeltaToWire(r.feedID, delta)
 }
 
-// told takes what the router at the address answered.
-func (r *cacheReader) told(address string, message *wire.CacheDelta) {
+// receiveDelta applies the delta that the router at the address returned.
+func (r *cacheReader) receiveDelta(address string, message *wire.CacheDelta) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.reads {
+	if r.readsHolders {
 		return
 	}
 	if message == nil {
 		if r.followed.address != address {
-			// It has no feed yet, or none at all: asking again costs next to nothing.
-			r.followed.wholeAt = time.Time{}
+			// It has no feed yet, or will never have one. Asking again is cheap.
+			r.followed.snapshotRequestedAt = time.Time{}
 		}
 		return
 	}
 	if !message.GetFull() && (r.followed.address != address || r.followed.id != message.GetFeed()) {
 		return
 	}
-	r.followed.address, r.followed.id, r.followed.through = address, message.GetFeed(), message.GetThrough()
-	r.followed.heardAt = r.gateway.now()
+	r.followed.address, r.followed.id, r.followed.position = address, message.GetFeed(), message.GetThrough()
+	r.followed.lastDeltaAt = r.gateway.now()
 	delta := cacheDeltaFromWire(message)
-	r.apply(delta)
+	r.applyDelta(delta)
 	if r.feed != nil {
-		r.whole = r.whole || delta.Full
+		r.feedComplete = r.feedComplete || delta.Full
 		r.feed.Apply(delta)
 	}
 }
 
-// cacheDeltaToWire joins the changes by holder; only the last one of a part counts.
+// cacheDeltaToWire groups the changes by holder. Only the last change of each part is kept.
 func cacheDeltaToWire(id uint64, delta cacheindex.FeedDelta) *wire.CacheDelta {
 	message := &wire.CacheDelta{Feed: id, Through: delta.Through, Full: delta.Full}
 	last := map[cacheindex.PartChange]bool{}
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -10,81 +10,82 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// Times of reading what runners keep.
+// Times of reading which prompt parts runners hold.
 const (
-	// cacheReadPause is the pause between two calls for the changes of one runner, so
-	// that changes that come together travel together. What routers know is old by
-	// this, the 0.08 s of the events themselves and their pull; fresher was worth
-	// 0.008 on further (docs/POLICY.md).
-	cacheReadPause = 80 * time.Millisecond
-	// cacheReadsPerSecond bounds the calls of one router: the pause grows with the
-	// number of runners. It is what 90 runners took when all were read in rounds.
-	cacheReadsPerSecond = 200
-	// cacheReadWait is how long a call may be held until there are changes, the
-	// longest that runners allow. Calls that wait under 200 ms are priced like
-	// health checks, longer ones are free.
-	cacheReadWait = time.Second
-	// cacheReadTime bounds one call: its wait and a slow answer.
-	cacheReadTime = 1400 * time.Millisecond
-	// cacheRetryPause is the pause after a call that failed.
-	cacheRetryPause = 300 * time.Millisecond
-	// cacheListInterval is how often everything that a runner keeps is read again:
-	// a few events never arrive, and what they would have said is wrong until then.
+	// cacheReadDelay is the delay between two calls for the changes of one runner, so that
+	// several changes are fetched together. What routers know lags by this delay, by the 0.08 s
+	// of the events themselves and by the interval of pulls. A shorter delay improved the
+	// result by only 0.008 (docs/POLICY.md).
+	cacheReadDelay = 80 * time.Millisecond
+	// maxCacheReadsPerSecond limits the calls of one router: the delay grows with the number of
+	// runners. It is the rate that 90 runners needed when all were read in rounds.
+	maxCacheReadsPerSecond = 200
+	// cacheLongPollWait is how long a call may wait for changes, the maximum that runners
+	// allow. Calls that wait less than 200 ms cost as much as health checks; longer ones are
+	// free.
+	cacheLongPollWait = time.Second
+	// cacheReadTimeout bounds one call, including its wait and a slow response.
+	cacheReadTimeout = 1400 * time.Millisecond
+	// cacheRetryDelay is the delay after a failed call.
+	cacheRetryDelay = 300 * time.Millisecond
+	// cacheListInterval is the interval at which the whole cache content of a runner is listed.
+	// Some events are lost, and the index is wrong about their parts until the next list.
 	cacheListInterval = 30 * time.Second
-	// cacheHoldersInterval is how often the runners that are read are compared with
-	// the directory, and a follower looks whether its feed has fallen silent.
-	cacheHoldersInterval = 200 * time.Millisecond
+	// cacheHolderCheckInterval is how often the set of runners being read is compared with the
+	// directory, and a follower checks whether its feed is silent.
+	cacheHolderCheckInterval = 200 * time.Millisecond
 )
 
-// What was read, in counters.
+// Labels of cache reads in metrics.
 const (
-	readList    = "list"
-	readChanges = "changes"
-	readFailed  = "failed"
+	readResultList    = "list"
+	readResultChanges = "changes"
+	readResultFailed  = "failed"
 )
 
-// cacheReader reads what runners and stores of kept cache keep, at seeds only.
-// All others are told with the changes that they pull, so the calls do not grow
-// with the number of routers, not even when all read the store of objects
-// themselves because no seed proves anything. A router that others pull from, as
-// seeds refer them to it, gives on what it is told.
+// cacheReader reads which prompt parts runners and cache stores hold. Only seeds read them. All
+// other routers receive the changes with their pulls, so that the number of calls does not grow
+// with the number of routers, not even when all routers read the object store themselves
+// because no seed can prove its copies. A router to which seeds refer others relays the feed
+// that it follows.
 type cacheReader struct {
 	gateway *Gateway
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// reads is true at a router that reads runners and stores itself.
-	reads bool
-	// feed is what was read, or what is given on; nil at a router without followers.
+	// readsHolders is set if this router reads runners and cache stores itself.
+	readsHolders bool
+	// feed holds what was read or is relayed. It is nil on a router without followers that does
+	// not read holders.
 	feed *cacheindex.Feed
-	// whole is true once a feed that is given on holds everything, and askedAt is when
-	// a follower last asked for it.
-	whole   bool
-	askedAt time.Time
-	// id names the feed to those that follow it: another one for each new feed.
-	id uint64
-	// holders is how far each runner and store that is being read has been read.
-	holders map[string]*holderReading
-	// applied is how far the own feed is applied to the own index.
-	applied uint64
+	// feedComplete is set once a relayed feed has received a snapshot, and lastPulledAt is when
+	// a follower last requested the feed.
+	feedComplete bool
+	lastPulledAt time.Time
+	// feedID identifies the feed to its followers. Each new feed has another ID.
+	feedID uint64
+	// holders holds the read state of each runner and cache store that is being read.
+	holders map[string]*holderState
+	// appliedPosition is the position up to which the own feed is applied to the own index.
+	appliedPosition uint64
 	// followed is the feed of another router that this one follows.
 	followed followedFeed
 }
 
-// holderReading is how far one runner or store has been read.
-type holderReading struct {
-	// source is the runner's incarnation and address that are read.
+// holderState is the read state of one runner or cache store.
+type holderState struct {
+	// source is the incarnation and address being read.
 	source backend.CacheHolder
-	// stop ends the reading.
+	// stop stops the task that reads the holder.
 	stop     context.CancelFunc
 	position CachePosition
-	// listAt is when everything is to be read.
-	listAt time.Time
-	// failing is true while calls fail, so that only the first one is logged.
+	// nextListAt is when the whole content is to be listed again.
+	nextListAt time.Time
+	// failing is set while calls fail, so that only the first failure is logged.
 	failing bool
 }
 
 func newCacheReader(g *Gateway) *cacheReader {
-	return &cacheReader{gateway: g, holders: map[string]*holderReading{}}
+	return &cacheReader{gateway: g, holders: map[string]*holderState{}}
 }
 
 func (r *cacheReader) run() {
@@ -92,35 +93,35 @@
 	if g.ports.Caches == nil {
 		return
 	}
-	for g.pause(g.jitter(cacheHoldersInterval)) {
-		r.setReading(g.relays.isSource())
-		current := g.view.Load()
+	for g.pause(g.jitter(cacheHolderCheckInterval)) {
+		r.setReadsHolders(g.relays.isSource())
+		current := g.activeConfig.Load()
 		switch {
-		case !r.reads:
-			r.forgetSilent()
+		case !r.readsHolders:
+			r.dropSilentFeed()
 		case current != nil:
-			r.readFrom(current.table.CacheStores())
+			r.updateHolders(current.table.CacheStores())
 		}
 	}
 }
 
-// setReading begins or ends to read what runners keep, if that is news: seeds
-// change with the settings. What was known comes from another source then, and is
-// dropped.
-func (r *cacheReader) setReading(reads bool) {
+// setReadsHolders starts or stops reading holders if the given value is a change: the settings
+// may change the seeds. Everything known is dropped, as it comes from another source from now
+// on.
+func (r *cacheReader) setReadsHolders(reads bool) {
 	r.mutex.Lock()
-	if reads == r.reads {
+	if reads == r.readsHolders {
 		r.mutex.Unlock()
 		return
 	}
-	r.reads = reads
-	for holder, reading := range r.holders {
-		reading.stop()
+	r.readsHolders = reads
+	for holder, state := range r.holders {
+		state.stop()
 		delete(r.holders, holder)
 	}
-	r.feed, r.whole, r.applied, r.followed = nil, false, 0, followedFeed{}
+	r.feed, r.feedComplete, r.appliedPosition, r.followed = nil, false, 0, followedFeed{}
 	if reads {
-		r.beginFeed()
+		r.startFeed()
 	}
 	r.mutex.Unlock()
 	r.gateway.mutex.Lock()
@@ -128,14 +129,14 @@
 	r.gateway.mutex.Unlock()
 }
 
-// beginFeed begins an empty feed of its own name. The mutex is held.
-func (r *cacheReader) beginFeed() {
-	r.feed, r.id = cacheindex.NewFeed(), uint64(time.Now().UnixNano())
+// startFeed starts an empty feed with a new ID. The mutex is held.
+func (r *cacheReader) startFeed() {
+	r.feed, r.feedID = cacheindex.NewFeed(), uint64(time.Now().UnixNano())
 }
 
-// readFrom begins to read the runners and stores that are new, and ends with those
-// that are no longer there.
-func (r *cacheReader) readFrom(stores []string) {
+// updateHolders starts reading new runners and cache stores, and stops reading those that are
+// gone.
+func (r *cacheReader) updateHolders(stores []string) {
 	g := r.gateway
 	g.mutex.Lock()
 	runners := g.runners.CacheHolders()
@@ -143,27 +144,27 @@
 	listed := map[string]bool{}
 	for _, address := range stores {
 		listed[address] = true
-		r.begin(address, backend.CacheHolder{Address: address}, "")
+		r.startReading(address, backend.CacheHolder{Address: address}, "")
 	}
 	for id, source := range runners {
-		r.begin(id, source, id)
+		r.startReading(id, source, id)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := func(holder string) bool { return listed[holder] || runners[holder].Address != "" }
-	for holder, reading := range r.holders {
+	for holder, state := range r.holders {
 		if !known(holder) {
-			reading.stop()
+			state.stop()
 			delete(r.holders, holder)
 		}
 	}
 	r.feed.RetainHolders(known)
-	r.applyOwn()
+	r.applyOwnFeed()
 }
 
-// begin reads the holder from now on, unless it is being read. What an earlier incarnation
-// of a runner kept is gone with it.
-func (r *cacheReader) begin(holder string, source backend.CacheHolder, runner string) {
+// startReading starts reading the holder unless it is already being read. Parts of an earlier
+// incarnation of a runner are dropped, as they were lost with it.
+func (r *cacheReader) startReading(holder string, source backend.CacheHolder, runner string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.holders[holder]; known != nil {
@@ -174,99 +175,99 @@
 		r.feed.Replace(holder, nil)
 	}
 	ctx, cancel := context.WithCancel(r.gateway.ctx)
-	reading := &holderReading{stop: cancel, source: source}
-	r.holders[holder] = reading
+	state := &holderState{stop: cancel, source: source}
+	r.holders[holder] = state
 	r.gateway.spawn(func() {
 		for {
-			pause := r.pauseAfter(r.read(ctx, holder, source.Address, runner, reading))
-			if !waitFor(ctx, r.gateway.jitter(pause)) {
+			delay := r.nextDelay(r.readHolder(ctx, holder, source.Address, runner, state))
+			if !waitFor(ctx, r.gateway.jitter(delay)) {
 				return
 			}
 		}
 	})
 }
 
-// pauseAfter is the pause after a call.
-func (r *cacheReader) pauseAfter(err error) time.Duration {
+// nextDelay returns the delay after a call with the given result.
+func (r *cacheReader) nextDelay(err error) time.Duration {
 	if err != nil {
-		return cacheRetryPause
+		return cacheRetryDelay
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return max(cacheReadPause, time.Duration(len(r.holders))*time.Second/cacheReadsPerSecond)
+	return max(cacheReadDelay, time.Duration(len(r.holders))*time.Second/maxCacheReadsPerSecond)
 }
 
-// applyOwn applies the own feed's news to the own index. The mutex is held.
-func (r *cacheReader) applyOwn() {
-	delta := r.feed.Since(r.applied)
-	r.applied = delta.Through
-	r.apply(delta)
+// applyOwnFeed applies new changes of the own feed to the own index. The mutex is held.
+func (r *cacheReader) applyOwnFeed() {
+	delta := r.feed.Since(r.appliedPosition)
+	r.appliedPosition = delta.Through
+	r.applyDelta(delta)
 }
 
-func (r *cacheReader) apply(delta cacheindex.FeedDelta) {
+func (r *cacheReader) applyDelta(delta cacheindex.FeedDelta) {
 	g := r.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.runners.ApplyCacheDelta(delta)
 }
 
-// read reads what one runner or store keeps: the changes, or everything when the
-// changes do not tell.
-func (r *cacheReader) read(ctx context.Context, holder, address, runner string, reading *holderReading) error {
-	ctx, cancel := context.WithTimeout(ctx, cacheReadTime)
+// readHolder reads the changes of one runner or cache store, or its whole content when a list
+// is due.
+func (r *cacheReader) readHolder(ctx context.Context, holder, address, runner string, state *holderState) error {
+	ctx, cancel := context.WithTimeout(ctx, cacheReadTimeout)
 	defer cancel()
 	r.mutex.Lock()
-	after, lists := reading.position, !r.gateway.now().Before(reading.listAt)
+	after, listAll := state.position, !r.gateway.now().Before(state.nextListAt)
 	r.mutex.Unlock()
-	if lists {
+	if listAll {
 		parts, position, err := r.gateway.ports.Caches.CacheList(ctx, address, runner)
-		r.takeList(holder, reading, parts, position, err)
+		r.handleList(holder, state, parts, position, err)
 		return err
 	}
-	changes, err := r.gateway.ports.Caches.CacheChanges(ctx, address, runner, after, cacheReadWait)
-	r.takeChanges(holder, reading, changes, err)
+	changes, err := r.gateway.ports.Caches.CacheChanges(ctx, address, runner, after, cacheLongPollWait)
+	r.handleChanges(holder, state, changes, err)
 	return err
 }
 
-func (r *cacheReader) takeList(holder string, reading *holderReading, parts []CachedPart, position CachePosition, err error) {
+func (r *cacheReader) handleList(holder string, state *holderState, parts []CachedPart, position CachePosition, err error) {
 	if err != nil {
-		r.failed(holder, reading, err)
+		r.recordFailure(holder, state, err)
 		return
 	}
 	hashes := make([]uint64, 0, len(parts))
 	for _, part := range parts {
 		hashes = append(hashes, backend.PartHash(part.Salt, part.Part))
 	}
-	r.gateway.metrics.cacheReads.WithLabelValues(readList).Inc()
+	r.gateway.metrics.cacheReads.WithLabelValues(readResultList).Inc()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.holders[holder] != reading {
+	if r.holders[holder] != state {
 		return
 	}
-	reading.failing = false
+	state.failing = false
 	r.feed.Replace(holder, hashes)
-	reading.position = position
-	reading.listAt = r.gateway.now().Add(r.gateway.jitter(cacheListInterval))
-	r.applyOwn()
+	state.position = position
+	state.nextListAt = r.gateway.now().Add(r.gateway.jitter(cacheListInterval))
+	r.applyOwnFeed()
 }
 
-func (r *cacheReader) takeChanges(holder string, reading *holderReading, changes CacheChanges, err error) {
+func (r *cacheReader) handleChanges(holder string, state *holderState, changes CacheChanges, err error) {
 	if err != nil {
-		r.failed(holder, reading, err)
+		r.recordFailure(holder, state, err)
 		return
 	}
-	r.gateway.metrics.cacheReads.WithLabelValues(readChanges).Inc()
+	r.gateway.metrics.cacheReads.WithLabelValues(readResultChanges).Inc()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.holders[holder] != reading {
+	if r.holders[holder] != state {
 		return
 	}
-	reading.failing = false
-	if changes.Incomplete || changes.Position.Epoch != reading.position.Epoch {
-		reading.listAt = time.Time{}
+	state.failing = false
+	if changes.Incomplete || changes.Position.Epoch != state.position.Epoch {
+		state.nextListAt = time.Time{}
 		return
 	}
-	reading.position = changes.Position
+	state.position = changes.Position
 	for _, event := range changes.Events {
 		hash := backend.PartHash(event.Salt, event.Part)
 		if event.Removed {
@@ -275,16 +276,16 @@
 			r.feed.Add(holder, hash)
 		}
 	}
-	r.applyOwn()
+	r.applyOwnFeed()
 }
 
-// failed notes that a runner or store could not be read; what was known stays
-// until it is read again or leaves the directory.
-func (r *cacheReader) failed(holder string, reading *holderReading, err error) {
-	r.gateway.metrics.cacheReads.WithLabelValues(readFailed).Inc()
+// recordFailure records that a runner or cache store could not be read. What was known about it
+// is kept until it is read again or leaves the directory.
+func (r *cacheReader) recordFailure(holder string, state *holderState, err error) {
+	r.gateway.metrics.cacheReads.WithLabelValues(readResultFailed).Inc()
 	r.mutex.Lock()
-	first := !reading.failing
-	reading.failing = true
+	first := !state.failing
+	state.failing = true
 	r.mutex.Unlock()
 	if first && r.gateway.ctx.Err() == nil {
 		r.gateway.log.Log(events.CacheReadFailed, events.Fields{"holder": holder, "error": err.Error()})
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -11,100 +11,103 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Times of watching the store of kept cache.
+// Times of checking the cache stores.
 const (
-	cacheStoreInterval = 2 * time.Second
-	cacheStoreTimeout  = 300 * time.Millisecond
+	cacheStoreCheckInterval = 2 * time.Second
+	cacheStoreCheckTimeout  = 300 * time.Millisecond
 )
 
-// cacheStoreWatch knows which stores of kept cache answer: a runner that fetches
-// from a dead one loses time. Routers that read the store ask for themselves; the
-// others are told with the changes that they pull, as a store's answer is long.
-type cacheStoreWatch struct {
+// cacheStoreMonitor tracks which cache stores are available: a runner that fetches from an
+// unavailable one loses time. Routers that read the object store check the cache stores
+// themselves. The others receive the result with their pulls, as the response of a cache store
+// is long.
+type cacheStoreMonitor struct {
 	gateway *Gateway
-	state   atomic.Pointer[cacheStores]
+	status  atomic.Pointer[cacheStoreStatus]
 }
 
-// cacheStores tells which stores of one configuration answer. It is never changed.
-type cacheStores struct {
-	// config is the version of the configuration that lists them.
-	config uint64
-	// answering has bit i set when the i-th store answers. Stores beyond the 64th
+// cacheStoreStatus holds the availability of the cache stores of one configuration. It is
+// immutable.
+type cacheStoreStatus struct {
+	// configVersion is the version of the configuration that lists the cache stores.
+	configVersion uint64
+	// availableBits has bit i set if the i-th cache store is available. Stores beyond the 64th
 	// have no bit and are not used.
-	answering uint64
+	availableBits uint64
 }
 
-func (s *cacheStores) answers(i int) bool { return s.answering&(1<<i) != 0 }
+func (s *cacheStoreStatus) isAvailable(i int) bool { return s.availableBits&(1<<i) != 0 }
 
-func newCacheStoreWatch(g *Gateway) *cacheStoreWatch {
-	w := &cacheStoreWatch{gateway: g}
-	w.state.Store(&cacheStores{})
-	return w
+func newCacheStoreMonitor(g *Gateway) *cacheStoreMonitor {
+	m := &cacheStoreMonitor{gateway: g}
+	m.status.Store(&cacheStoreStatus{})
+	return m
 }
 
-// storeOf returns the store that keeps the family's shared parts, the same one
-// on all routers, or "" when none answers.
-func (w *cacheStoreWatch) storeOf(table *routing.Table, family uint64) string {
-	state := w.state.Load()
+// storeForFamily returns the address of the cache store that keeps the shared parts of the
+// prompt family, or "" if none is available. All routers choose the same one.
+func (m *cacheStoreMonitor) storeForFamily(table *routing.Table, family uint64) string {
+	status := m.status.Load()
 	var usable []string
 	for i, address := range table.CacheStores() {
-		if state.answers(i) {
+		if status.isAvailable(i) {
 			usable = append(usable, address)
 		}
 	}
 	return rendezvous.Owner(usable, family)
 }
 
-func (w *cacheStoreWatch) run() {
-	g := w.gateway
+func (m *cacheStoreMonitor) run() {
+	g := m.gateway
 	interval := firstRetry
 	for g.pause(g.jitter(interval)) {
-		current := g.view.Load()
+		current := g.activeConfig.Load()
 		if current == nil {
 			continue
 		}
-		interval = cacheStoreInterval
-		if g.direct.on() {
-			w.check(current.table)
+		interval = cacheStoreCheckInterval
+		if g.directReads.on() {
+			m.check(current.table)
 		}
 	}
 }
 
-// check asks all stores at once and notes which answer.
-func (w *cacheStoreWatch) check(table *routing.Table) {
-	g := w.gateway
-	ctx, cancel := context.WithTimeout(g.ctx, cacheStoreTimeout)
+// check queries all cache stores concurrently and records which of them respond.
+func (m *cacheStoreMonitor) check(table *routing.Table) {
+	g := m.gateway
+	ctx, cancel := context.WithTimeout(g.ctx, cacheStoreCheckTimeout)
 	defer cancel()
-	var answering atomic.Uint64
+	var availableBits atomic.Uint64
 	var group sync.WaitGroup
 	for i, address := range table.CacheStores() {
 		group.Go(func() {
-			if g.ports.Runners.CacheStoreAnswers(ctx, address) {
-				answering.Or(1 << i)
+			if g.ports.Runners.CacheStoreAvailable(ctx, address) {
+				availableBits.Or(1 << i)
 			}
 		})
 	}
 	group.Wait()
 	if g.ctx.Err() == nil {
-		w.note(table, cacheStores{config: table.Version, answering: answering.Load()}, "own check")
+		m.setStatus(table, cacheStoreStatus{configVersion: table.Version, availableBits: availableBits.Load()}, "own check")
 	}
 }
 
-// told takes another router's word, if it is about the configuration in force.
-func (w *cacheStoreWatch) told(state cacheStores, source string) {
-	current := w.gateway.view.Load()
-	if current == nil || current.table.Version != state.config || w.gateway.direct.on() {
+// receiveStatus records the status reported by another router if it belongs to the
+// configuration in force.
+func (m *cacheStoreMonitor) receiveStatus(status cacheStoreStatus, source string) {
+	current := m.gateway.activeConfig.Load()
+	if current == nil || current.table.Version != status.configVersion || m.gateway.directReads.on() {
 		return
 	}
-	w.note(current.table, state, source)
+	m.setStatus(current.table, status, source)
 }
 
-// note puts the state in force and logs what changed.
-func (w *cacheStoreWatch) note(table *routing.Table, state cacheStores, source string) {
-	before := w.state.Swap(&state)
+// setStatus replaces the status and logs what changed.
+func (m *cacheStoreMonitor) setStatus(table *routing.Table, status cacheStoreStatus, source string) {
+	before := m.status.Swap(&status)
 	for i, address := range table.CacheStores() {
-		if before.answers(i) != state.answers(i) {
-			w.gateway.log.Log(events.CacheStoreAvailabilityChanged, events.Fields{"address": address, "answers": state.answers(i), "source": source})
+		if before.isAvailable(i) != status.isAvailable(i) {
+			m.gateway.log.Log(events.CacheStoreAvailabilityChanged, events.Fields{"address": address, "answers": status.isAvailable(i), "source": source})
 		}
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -43,7 +43,7 @@
 	caller  *http.Request
 	facts   CallFacts
 	arrived time.Time
-	view    *view
+	view    *activeConfig
 	route   *routing.Route
 	tenant  *routing.Tenant
 	service string
@@ -128,10 +128,10 @@
 // serveCall answers one request of a caller.
 func (g *Gateway) serveCall(writer http.ResponseWriter, request *http.Request) {
 	now := g.now()
-	g.awaitStart(request.Context(), now)
+	g.waitForStartup(request.Context(), now)
 	c := &call{
 		gateway: g, writer: writer, control: http.NewResponseController(writer), caller: request,
-		facts: g.ports.Protocol.Call(request.Header), arrived: now, view: g.view.Load(),
+		facts: g.ports.Protocol.Call(request.Header), arrived: now, view: g.activeConfig.Load(),
 	}
 	// A deadline of an earlier request on this connection must not hold here.
 	_ = c.control.SetWriteDeadline(time.Now().Add(longestCall))
@@ -205,7 +205,7 @@
 	if c.view == nil {
 		return unavailable("no configuration is known yet", startRetryAfter)
 	}
-	fresh := c.view.fresh(c.gateway.now(), c.gateway.settings.ConfigLease)
+	fresh := c.view.isFresh(c.gateway.now(), c.gateway.settings.ConfigLease)
 	c.route = c.view.table.Match(c.caller.Host, path(c.caller))
 	if c.route == nil {
 		if !fresh {
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -14,14 +14,14 @@
 	if len(c.facts.Prompt) < 2 {
 		return
 	}
-	now, store := c.gateway.now(), c.gateway.cacheStores.storeOf(c.view.table, c.query.Family)
+	now, store := c.gateway.now(), c.gateway.cacheStores.storeForFamily(c.view.table, c.query.Family)
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
 	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weights, store)
 	dispatch.FetchFrom = source.Address
 	c.fetched = sourceLabel(source.Address, store)
-	c.gateway.metrics.sources.WithLabelValues(c.fetched).Inc()
-	if store != "" && !source.StoreHasAll && c.gateway.saves.ShouldSave(now, c.query, c.weights) {
+	c.gateway.metrics.fetchSources.WithLabelValues(c.fetched).Inc()
+	if store != "" && !source.StoreHasAll && c.gateway.saveThrottle.ShouldSave(now, c.query, c.weights) {
 		dispatch.SaveTo = store
 	}
 }
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -30,7 +30,7 @@
 	switch {
 	case verdict.State == quarantine.Quarantined:
 		return unavailable(reasonQuarantined, verdict.Until.Sub(now))
-	case verdict.State == quarantine.OnTrial && c.gateway.ends.atWork(c.content):
+	case verdict.State == quarantine.OnTrial && c.gateway.endedRunners.atWork(c.content):
 		return unavailable(reasonQuarantined, trialRetryAfter)
 	}
 	return nil
@@ -72,11 +72,11 @@
 // noteRun notes how the run of a send ended.
 func (c *call) noteRun(how quarantine.RunOutcome) {
 	g, now := c.gateway, c.gateway.now()
-	g.ends.end(now, c.run, how)
+	g.endedRunners.end(now, c.run, how)
 	switch how {
 	case quarantine.Survived:
 		g.suspects.outlived(now, c.content)
 	case quarantine.ConnectionLost:
-		c.brokeOff, c.checked = true, g.ends.check(c.runner)
+		c.brokeOff, c.checked = true, g.endedRunners.check(c.runner)
 	}
 }
--- a/internal/gateway/checkpoints.go
+++ b/internal/gateway/checkpoints.go
@@ -8,60 +8,61 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// checkpoint says that the store's revision was the newest at the moment. It counts the
-// changes of all kinds, so a copy that is complete up to it lacked nothing then, and what
-// has a higher revision of the same era was written later.
+// checkpoint records that the revision was the store's newest at the given time. Revisions
+// count the changes of all kinds of objects. A copy that is complete up to the revision
+// therefore lacked nothing at that time, and an object with a higher revision of the same era
+// was written later.
 type checkpoint struct {
 	revision storerev.Revision
 	at       time.Time
 }
 
-// keptCheckpoints is how many revisions are kept: with up to five changes a second those of
-// three seconds, which is longer than lost watches keep news away.
-const keptCheckpoints = 16
+// maxCheckpoints is the number of revisions kept. With up to five changes per second it covers
+// three seconds, which is longer than lost watches can delay changes.
+const maxCheckpoints = 16
 
-// checkpoints holds those of the latest revisions, each with the last moment at which it was
-// the newest. It is safe for concurrent use.
+// checkpoints holds the checkpoints of the latest revisions, each with the last time at which
+// it was the newest. It is safe for concurrent use.
 type checkpoints struct {
-	mutex sync.Mutex
-	kept  []checkpoint
+	mutex  sync.Mutex
+	recent []checkpoint
 }
 
-func (c *checkpoints) note(known checkpoint) {
+func (c *checkpoints) add(added checkpoint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if last := len(c.kept) - 1; last >= 0 && c.kept[last].revision == known.revision {
-		c.kept[last].at = namings.Later(c.kept[last].at, known.at)
+	if last := len(c.recent) - 1; last >= 0 && c.recent[last].revision == added.revision {
+		c.recent[last].at = namings.Later(c.recent[last].at, added.at)
 		return
 	}
-	if len(c.kept) == keptCheckpoints {
-		c.kept = append(c.kept[:0], c.kept[1:]...)
+	if len(c.recent) == maxCheckpoints {
+		c.recent = append(c.recent[:0], c.recent[1:]...)
 	}
-	c.kept = append(c.kept, known)
+	c.recent = append(c.recent, added)
 }
 
-// newest returns the latest one, or false when there is none.
+// newest returns the latest checkpoint, and false if there is none.
 func (c *checkpoints) newest() (checkpoint, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var newest checkpoint
-	for _, known := range c.kept {
-		if known.at.After(newest.at) {
-			newest = known
+	for _, entry := range c.recent {
+		if entry.at.After(newest.at) {
+			newest = entry
 		}
 	}
-	return newest, len(c.kept) > 0
+	return newest, len(c.recent) > 0
 }
 
-// before returns the latest moment at which what has the revision had not been written, zero
-// when none is known.
-func (c *checkpoints) before(revision storerev.Revision) time.Time {
+// latestBefore returns the latest known time at which an object with the revision had not yet
+// been written, zero if none is known.
+func (c *checkpoints) latestBefore(revision storerev.Revision) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var latest time.Time
-	for _, known := range c.kept {
-		if revision.WrittenAfter(known.revision) {
-			latest = namings.Later(latest, known.at)
+	for _, entry := range c.recent {
+		if revision.WrittenAfter(entry.revision) {
+			latest = namings.Later(latest, entry.at)
 		}
 	}
 	return latest
--- a/internal/gateway/collectors.go
+++ b/internal/gateway/collectors.go
@@ -4,59 +4,60 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// runnerStates counts the runners of the directory by service and state when
-// the figures are read.
-type runnerStates struct{ gateway *Gateway }
+// runnerStateCollector counts the runners of the directory by service and state when metrics
+// are collected.
+type runnerStateCollector struct{ gateway *Gateway }
 
-var runnerStatesDescription = prometheus.NewDesc(namespace+"_runners", "Runners in the directory, by what this router thinks of them.", []string{"service", "state"}, nil)
+var runnerStatesDesc = prometheus.NewDesc(namespace+"_runners", "Runners in the directory, by what this router thinks of them.", []string{"service", "state"}, nil)
 
 // Describe implements prometheus.Collector.
-func (s *runnerStates) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- runnerStatesDescription
+func (c *runnerStateCollector) Describe(ch chan<- *prometheus.Desc) {
+	ch <- runnerStatesDesc
 }
 
 // Collect implements prometheus.Collector.
-func (s *runnerStates) Collect(figures chan<- prometheus.Metric) {
-	s.gateway.mutex.Lock()
-	counts := s.gateway.runners.CountStates(s.gateway.now())
-	s.gateway.mutex.Unlock()
+func (c *runnerStateCollector) Collect(ch chan<- prometheus.Metric) {
+	c.gateway.mutex.Lock()
+	counts := c.gateway.runners.CountStates(c.gateway.now())
+	c.gateway.mutex.Unlock()
 	for key, count := range counts {
-		figures <- prometheus.MustNewConstMetric(runnerStatesDescription, prometheus.GaugeValue, float64(count), key.Service, key.State.String())
+		ch <- prometheus.MustNewConstMetric(runnerStatesDesc, prometheus.GaugeValue, float64(count), key.Service, key.State.String())
 	}
 }
 
-// copyAges tells the age of the copy of each kind when the figures are read.
-type copyAges struct{ gateway *Gateway }
+// copyAgeCollector reports the age of each kind's copy when metrics are collected.
+type copyAgeCollector struct{ gateway *Gateway }
 
-var copyAgeDescription = prometheus.NewDesc(namespace+"_copy_age_seconds", "Time since the copy of a kind of objects was known to lack nothing.", []string{"kind"}, nil)
+var copyAgeDesc = prometheus.NewDesc(namespace+"_copy_age_seconds", "Time since the copy of a kind of objects was known to lack nothing.", []string{"kind"}, nil)
 
 // Describe implements prometheus.Collector.
-func (a *copyAges) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- copyAgeDescription
+func (c *copyAgeCollector) Describe(ch chan<- *prometheus.Desc) {
+	ch <- copyAgeDesc
 }
 
 // Collect implements prometheus.Collector.
-func (a *copyAges) Collect(figures chan<- prometheus.Metric) {
+func (c *copyAgeCollector) Collect(ch chan<- prometheus.Metric) {
 	for _, kind := range objectKinds {
-		if age, known := a.gateway.copies.age(a.gateway.now(), kind); known {
-			figures <- prometheus.MustNewConstMetric(copyAgeDescription, prometheus.GaugeValue, age.Seconds(), kind.String())
+		if age, known := c.gateway.copies.age(c.gateway.now(), kind); known {
+			ch <- prometheus.MustNewConstMetric(copyAgeDesc, prometheus.GaugeValue, age.Seconds(), kind.String())
 		}
 	}
 }
 
-// contentStates counts the contents that may end runners when the figures are read.
-type contentStates struct{ gateway *Gateway }
+// contentStateCollector counts the contents that may end runners, by state, when metrics are
+// collected.
+type contentStateCollector struct{ gateway *Gateway }
 
-var contentStatesDescription = prometheus.NewDesc(namespace+"_contents", "Contents of requests under which runners have ended, by what follows for them.", []string{"state"}, nil)
+var contentStatesDesc = prometheus.NewDesc(namespace+"_contents", "Contents of requests under which runners have ended, by what follows for them.", []string{"state"}, nil)
 
 // Describe implements prometheus.Collector.
-func (s *contentStates) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- contentStatesDescription
+func (c *contentStateCollector) Describe(ch chan<- *prometheus.Desc) {
+	ch <- contentStatesDesc
 }
 
 // Collect implements prometheus.Collector.
-func (s *contentStates) Collect(figures chan<- prometheus.Metric) {
-	for state, count := range s.gateway.suspects.counts() {
-		figures <- prometheus.MustNewConstMetric(contentStatesDescription, prometheus.GaugeValue, float64(count), state.String())
+func (c *contentStateCollector) Collect(ch chan<- prometheus.Metric) {
+	for state, count := range c.gateway.suspects.counts() {
+		ch <- prometheus.MustNewConstMetric(contentStatesDesc, prometheus.GaugeValue, float64(count), state.String())
 	}
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -38,7 +38,7 @@
 	// without the mutex, which is held while whole lists are decoded.
 	proven map[ObjectKind]*atomic.Pointer[time.Time]
 	// reached holds the highest revisions that any copy has reached, with when, in their
-	// order; there are keptCheckpoints at most.
+	// order; there are maxCheckpoints at most.
 	reached []checkpoint
 	// checkpoints are the store's latest revisions.
 	checkpoints checkpoints
@@ -129,8 +129,8 @@
 	if proven.given && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
 		c.prove(kind, proven.at)
 	}
-	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.proven(c.gateway.now()) {
-		c.gateway.startup.finish()
+	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.configIsProven(c.gateway.now()) {
+		c.gateway.startup.markReady()
 	}
 	c.mutex.Unlock()
 	if outcome == config.Applied && len(delta.Objects) > 0 && before > 0 {
@@ -187,11 +187,11 @@
 
 // applyConfig puts a configuration in force. It never goes back to an older one.
 func (g *Gateway) applyConfig(object Object) {
-	current := g.view.Load()
-	if current != nil && !current.precedes(object) {
+	current := g.activeConfig.Load()
+	if current != nil && !current.isSupersededBy(object) {
 		return
 	}
-	next := &view{table: routing.NewTable(object.Config), revision: object.Revision}
+	next := &activeConfig{table: routing.NewTable(object.Config), revision: object.Revision}
 	if current != nil {
 		next.provenAt = current.provenAt
 	}
@@ -199,13 +199,13 @@
 	g.splitter.Retain(object.Config)
 	g.runners.SetServices(serviceNames(object.Config))
 	g.mutex.Unlock()
-	g.view.Store(next)
+	g.activeConfig.Store(next)
 	g.log.Log(events.ConfigInForce, events.Fields{
 		"version": object.Config.Version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
 		"routes": len(object.Config.Routes), "services": len(object.Config.Services), "tenants": len(object.Config.Tenants),
 	})
 	if current == nil {
-		g.log.Log(events.NodeServing, events.Fields{"after_ms": g.since(g.started).Milliseconds()})
+		g.log.Log(events.NodeServing, events.Fields{"after_ms": g.since(g.startedAt).Milliseconds()})
 	}
 }
 
@@ -220,10 +220,10 @@
 // prove notes that the configuration in force was so at the moment. The copies'
 // mutex is held, so the view does not change in between.
 func (g *Gateway) prove(at time.Time) {
-	current := g.view.Load()
+	current := g.activeConfig.Load()
 	if current == nil {
-		if known := g.unconfigured.Load(); known == nil || at.After(*known) {
-			g.unconfigured.Store(&at)
+		if known := g.provenEmptyAt.Load(); known == nil || at.After(*known) {
+			g.provenEmptyAt.Store(&at)
 		}
 		return
 	}
@@ -232,19 +232,19 @@
 	}
 	proven := *current
 	proven.provenAt = at
-	g.view.Store(&proven)
-	if proven.fresh(g.now(), g.settings.ConfigLease) && g.stale.CompareAndSwap(true, false) {
+	g.activeConfig.Store(&proven)
+	if proven.isFresh(g.now(), g.settings.ConfigLease) && g.configStale.CompareAndSwap(true, false) {
 		g.log.Log(events.ConfigProven, events.Fields{"version": current.table.Version, "unproven_ms": g.since(current.provenAt).Milliseconds()})
 	}
 }
 
 // noteStale logs once that the configuration in force is no longer proved.
 func (g *Gateway) noteStale(now time.Time) {
-	current := g.view.Load()
-	if current == nil || current.provenAt.IsZero() || current.fresh(now, g.settings.ConfigLease) {
+	current := g.activeConfig.Load()
+	if current == nil || current.provenAt.IsZero() || current.isFresh(now, g.settings.ConfigLease) {
 		return
 	}
-	if g.stale.CompareAndSwap(false, true) {
+	if g.configStale.CompareAndSwap(false, true) {
 		g.log.Log(events.ConfigStale, events.Fields{"version": current.table.Version, "revision": current.revision.Number(), "unproven_ms": now.Sub(current.provenAt).Milliseconds()})
 	}
 }
@@ -252,24 +252,24 @@
 func (g *Gateway) applyWeights(object Object) {
 	now := g.now()
 	model, version := object.Weights.Model, object.Weights.Version
-	news := g.newsOfWeights(now, object.Revision)
+	news := g.weightNews(now, object.Revision)
 	g.mutex.Lock()
-	known := g.bounds.Of(model)
+	known := g.weightBounds.Of(model)
 	if version <= known.Named() {
 		g.mutex.Unlock()
 		return
 	}
 	known.Learn(version, news)
-	g.runners.WeightTargets().SetTarget(model, version, namings.Older(g.settings.namingTimes(), news))
-	g.countOlder(model, known)
-	until := known.OlderUntil(g.settings.namingTimes())
+	g.runners.WeightTargets().SetTarget(model, version, namings.Older(g.settings.namingConfig(), news))
+	g.updateOlderDeadlines(model, known)
+	until := known.OlderUntil(g.settings.namingConfig())
 	g.mutex.Unlock()
 	g.log.Log(events.WeightsNamed, events.Fields{
 		"model": model, "version": version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
 		"older_until_ms": until.Sub(now).Milliseconds(), "copy_age_ms": g.copies.ageMillis(now, WeightObjects),
 	})
 	select {
-	case g.named <- struct{}{}:
+	case g.weightsNamed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/gateway/copyproofs.go
+++ b/internal/gateway/copyproofs.go
@@ -34,7 +34,7 @@
 		return
 	}
 	c.reached = append(c.reached, known)
-	c.reached = slices.Delete(c.reached, 0, max(len(c.reached)-keptCheckpoints, 0))
+	c.reached = slices.Delete(c.reached, 0, max(len(c.reached)-maxCheckpoints, 0))
 }
 
 // reachedBy returns the highest revision that any copy had reached by the moment, 0 when
@@ -99,7 +99,7 @@
 func (r *relays) checkProofs(answer *wire.CopyAnswer, sent time.Time, configAge time.Duration) {
 	copies := r.gateway.copies
 	if answer.GetStoreRevision() > 0 {
-		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sent.Add(-wire.Age(answer.GetStoreAgeMillis()))})
+		copies.checkpoints.add(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sent.Add(-wire.Age(answer.GetStoreAgeMillis()))})
 	}
 	if !answer.GetTellsProofs() {
 		newest, _ := copies.checkpoints.newest()
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -5,8 +5,8 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// ignoreObject notes that an object is not used. A directory entry that cannot be read
-// says that the runner known by its name until now is no longer one.
+// ignoreObject logs that an object is not used. If it is an unreadable directory entry, the
+// runner known under its name is removed, since the entry no longer describes it.
 func (g *Gateway) ignoreObject(kind ObjectKind, object Object, fault string) {
 	g.log.Log(events.ObjectUnreadable, events.Fields{"kind": kind.String(), "name": object.Name, "revision": object.Revision.Number(), "fault": fault})
 	if kind == RunnerObjects {
@@ -14,7 +14,7 @@
 	}
 }
 
-// retainRunners takes out runners that a whole list does not hold.
+// retainRunners removes the runners that are missing from a complete list.
 func (g *Gateway) retainRunners(objects []v1.Object) {
 	listed := map[string]bool{}
 	for _, object := range objects {
@@ -28,7 +28,7 @@
 	}
 }
 
-// applyRunner takes a directory entry.
+// applyRunner applies a directory entry.
 func (g *Gateway) applyRunner(object Object) {
 	if object.Gone {
 		g.removeRunner(object, "gone")
@@ -41,14 +41,14 @@
 	runner := *object.Runner
 	g.mutex.Lock()
 	before, known := g.runners.Get(runner.ID)
-	forged := g.runners.WrittenByOther(runner)
-	added := !forged && g.runners.Put(runner)
+	writtenByOther := g.runners.WrittenByOther(runner)
+	added := !writtenByOther && g.runners.Put(runner)
 	g.mutex.Unlock()
 	switch {
-	case forged:
+	case writtenByOther:
 		g.ignoreObject(RunnerObjects, object, "runner: the entry no longer names its incarnation")
 	case added && known && before.Service == runner.Service:
-		// What idle connections led to has ended.
+		// Idle connections lead to the previous incarnation.
 		g.ports.RunnerPool.CloseIdle(before.Address)
 		g.log.Log(events.RunnerRestarted, events.Fields{"runner": runner.ID, "address": runner.Address, "incarnation": runner.Incarnation, "before": before.Incarnation, "draining": runner.Draining, "revision": object.Revision.Number(), "copy_age_ms": age})
 	case added:
@@ -58,7 +58,7 @@
 	}
 }
 
-// removeRunner takes out the runner that the object named until now, if there is one.
+// removeRunner removes the runner with the object's name, if there is one.
 func (g *Gateway) removeRunner(object Object, cause string) {
 	g.mutex.Lock()
 	removed := g.runners.Remove(object.Name)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -70,7 +70,7 @@
 }
 
 func (f *follower) run() {
-	for f.gateway.direct.wait(f.gateway.ctx) {
+	for f.gateway.directReads.wait(f.gateway.ctx) {
 		if err := f.step(); err != nil {
 			f.failed(err)
 			continue
@@ -161,7 +161,7 @@
 // noteBehind notes an answer that is older than what was known, and logs the first of several.
 func (f *follower) noteBehind(call string, answer storeAnswer) {
 	g := f.gateway
-	g.metrics.storeBehind.WithLabelValues(f.kind.String()).Inc()
+	g.metrics.staleStoreAnswers.WithLabelValues(f.kind.String()).Inc()
 	if f.behind.Swap(true) {
 		return
 	}
@@ -177,8 +177,8 @@
 	g := f.gateway
 	answer := storeAnswer{known: g.copies.newestRevision(), sent: f.gateway.now()}
 	answer.objects, answer.revision, answer.err = made()
-	g.metrics.storeCall(f.kind.String(), name, g.since(answer.sent))
-	g.disturbance.note(answer.sent, answer.err, ctx.Err())
+	g.metrics.observeStoreCall(f.kind.String(), name, g.since(answer.sent))
+	g.storeFailures.record(answer.sent, answer.err, ctx.Err())
 	return answer
 }
 
@@ -208,7 +208,7 @@
 	known = checkpoint{revision: answer.revision, at: provenSince(g.now(), answer.sent, wait, answer.objects)}
 	shown = g.copies.shownBy(answer, known.at)
 	if shown {
-		g.copies.checkpoints.note(known)
+		g.copies.checkpoints.add(known)
 	}
 	delta := config.Delta{From: revision, Through: throughOf(answer.objects, revision, answer.revision), Objects: answer.objects}
 	g.copies.apply(f.kind, delta, proof{at: known.at, given: shown})
@@ -225,7 +225,7 @@
 	}
 	// An answer that brings a change proves what was known when its watch was sent only,
 	// and a wait after it is short, so that the proof does not grow too old meanwhile.
-	left := proofAge - configSlack - f.gateway.since(f.gateway.provenAt())
+	left := proofAge - configSlack - f.gateway.since(f.gateway.configProvenAt())
 	return min(f.wait, max(left, regainWait))
 }
 
@@ -271,7 +271,7 @@
 		f.lost = true
 		g.log.Log(events.StoreUnavailable, events.Fields{"kind": f.kind.String(), "revision": g.copies.revision(f.kind).Number(), "error": err.Error()})
 	}
-	g.backOff(f.failures-1, firstRetry, lastRetry)
+	g.backoff(f.failures-1, firstRetry, lastRetry)
 }
 
 // historyGone has the copy listed anew, unless another router tells what the store holds in a new
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway is the shell of a router in front of a platform that keeps
-// configuration, directory and lease in a store: it takes callers' requests,
-// sends them to runners and brings runners to the named weights.
+// Package gateway runs a router on a platform that keeps the configuration, the directory of
+// runners and the lease in an object store. The router accepts callers' requests, sends them to
+// runners and updates the runners to the target weights.
 //
-// What is decided is decided by the pure packages routing, backend, placement,
-// attempt, admission, lease and rollout; how the platform writes things is
-// behind the ports in ports.go.
+// The package does the I/O. Decisions are made by the packages routing, backend, placement,
+// attempt, admission, lease and rollout, which have none. The platform's formats and protocols
+// are behind the interfaces in ports.go and runnerports.go.
 package gateway
 
 import (
@@ -28,147 +28,153 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Ports are the platform's implementations of what the gateway needs.
+// Ports holds the platform's implementations of the interfaces that the gateway uses.
 type Ports struct {
 	Protocol Protocol
 	Store    Store
-	// Decode reads an object of the store.
+	// Decode decodes an object of the store.
 	Decode  func(kind ObjectKind, object v1.Object) Object
 	Runners RunnerControl
-	// Caches reads what runners keep; nil reads nothing.
+	// Caches reads which prompt parts runners and cache stores hold. If it is nil, nothing is
+	// read.
 	Caches CacheReader
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
-	// DroppedLines returns how many log lines were dropped; nil counts none.
+	// DroppedLines returns the number of log lines dropped so far. It may be nil.
 	DroppedLines func() uint64
-	// RunnerPool carries requests to runners.
+	// RunnerPool holds the connections over which requests are sent to runners.
 	RunnerPool *httpconn.Pool
-	// Clock tells moments that others count by, too.
+	// Clock is the source of all times that are compared with those of other processes.
 	Clock Clock
 }
 
-// view is a configuration with the moment that it was proved to be in force.
-// Both change together, so that a request never joins an old configuration with
-// a newer proof.
-type view struct {
+// activeConfig is the configuration in force and the time at which it was last proven, that is,
+// confirmed by the store as current. Both are replaced together, so that a request never
+// combines an old configuration with a newer proof.
+type activeConfig struct {
 	table *routing.Table
-	// revision is the store's revision of the configuration.
+	// revision is the store's revision of the configuration object.
 	revision storerev.Revision
-	// provenAt is when the call was sent whose answer proved the configuration.
+	// provenAt is when the call was sent whose response proved the configuration.
 	provenAt time.Time
 }
 
-// precedes tells whether the object holds a configuration that replaces the one in force. At one
-// revision a later version does: it was lost by a store that came back from a copy.
-func (v *view) precedes(object Object) bool {
-	if object.Revision == v.revision {
-		return object.Config.Version > v.table.Version
+// isSupersededBy reports whether the object holds a configuration that replaces the active one.
+// At the same revision, a later version does: a store that was restored from a backup has lost
+// that version and assigned its revision again.
+func (c *activeConfig) isSupersededBy(object Object) bool {
+	if object.Revision == c.revision {
+		return object.Config.Version > c.table.Version
 	}
-	return object.Revision > v.revision && object.Config.Version >= v.table.Version
+	return object.Revision > c.revision && object.Config.Version >= c.table.Version
 }
 
-// Gateway is one router process.
+// Gateway is one router process. Start creates it.
 type Gateway struct {
 	settings Settings
 	ports    Ports
 	log      *events.Logger
 	metrics  *metrics
 
-	view     atomic.Pointer[view]
-	draining atomic.Bool
-	// stale is true while the configuration in force is known to be unproved.
-	stale atomic.Bool
-	// unconfigured is the newest moment at which the store was proved to hold no
-	// configuration, nil before.
-	unconfigured atomic.Pointer[time.Time]
+	activeConfig atomic.Pointer[activeConfig]
+	draining     atomic.Bool
+	// configStale is set while the configuration is known to be no longer proven.
+	configStale atomic.Bool
+	// provenEmptyAt is the latest time at which the store was proven to hold no configuration,
+	// nil if it never was.
+	provenEmptyAt atomic.Pointer[time.Time]
 
-	// mutex guards the state below; it is never held over I/O.
+	// mutex guards the fields below. It is never held during I/O.
 	mutex   sync.Mutex
 	runners *backend.Set
-	// unbegun are the requests that are withdrawn if they do not begin in time.
-	unbegun map[*unbegunSend]struct{}
-	// bounds are what is known of when weights were named.
-	bounds   namings.Table
-	splitter *routing.Splitter
-	saves    *backend.SaveThrottle
-	// retries holds the budget for further attempts of each service.
-	retries map[string]*admission.RetryBudget
-	random  *rand.Rand
-	// order decides which requests for the same runners are refused.
-	order *admission.LoadShedder
-	// routers is how many routers there seem to be, 0 when unknown.
-	routers atomic.Int64
-	// leaseToken is the fencing token while this router orders runners, or 0.
+	// pendingSends holds the streams that their runners have not yet been seen to start. They
+	// are withdrawn if they do not start before their weights expire.
+	pendingSends map[*unbegunSend]struct{}
+	// weightBounds holds what is known about when each model's weights were named.
+	weightBounds namings.Table
+	splitter     *routing.Splitter
+	saveThrottle *backend.SaveThrottle
+	// retryBudgets holds the budget for further attempts of each service.
+	retryBudgets map[string]*admission.RetryBudget
+	random       *rand.Rand
+	// loadShedder decides which of the requests for the same runners are refused.
+	loadShedder *admission.LoadShedder
+	// knownRouters is the estimated number of routers, 0 if unknown.
+	knownRouters atomic.Int64
+	// leaseToken is the fencing token while this router holds the lease on ordering runners,
+	// otherwise 0.
 	leaseToken atomic.Uint64
-	// directoryRevision is the revision of the directory in force.
+	// directoryRevision is the revision of the directory in use.
 	directoryRevision atomic.Uint64
-	// copies are the copies of the store's objects, direct tells whether this
-	// router reads the store itself, and relays connects it with others.
-	copies *copies
-	direct *directSwitch
-	relays *relays
-	// followers read each kind of objects while this router reads the store.
+	// copies holds this router's copies of the store's objects, directReads tells whether it
+	// reads the store itself, and relays exchanges changes with other routers.
+	copies      *copies
+	directReads *directSwitch
+	relays      *relays
+	// followers read the store, one for each kind of object, while directReads is on.
 	followers []*follower
-	// era is how often the store came back from a copy.
+	// era is the newest known era of the store, which rises with each restore from a backup.
 	era *storeEra
-	// transfer has other routers tell what the store lost before this one started.
+	// transfer requests from other routers the changes that a restored store had lost before
+	// this router started.
 	transfer *stateTransfer
-	// disturbance is when a call to the store last failed.
-	disturbance disturbance
-	// schedulers place requests for other routers, or this one's.
+	// storeFailures records when calls to the store last failed.
+	storeFailures storeFailures
+	// schedulers places requests, either on behalf of other routers or by asking them.
 	schedulers *schedulers
-	// limits keeps tenants to their limits, and shares to their fair shares of short services.
+	// limits enforces the tenants' quotas, and shares their fair shares of overloaded services.
 	limits *limits.Client
 	shares *shares
-	// ends finds out which runners have ended, and under which requests.
-	ends *runnerEnds
-	// signals are what runners say of themselves in answers.
+	// endedRunners detects which runners have ended, and which requests they were running.
+	endedRunners *runnerEnds
+	// signals holds what runners report about themselves in their responses.
 	signals *signals
-	// suspects are the contents of requests under which runners have ended.
+	// suspects holds the request contents during which runners have ended.
 	suspects *suspects
-	// cacheStores watches the stores of kept cache.
-	cacheStores *cacheStoreWatch
-	// caches reads what runners and stores keep, for all routers that ask.
+	// cacheStores monitors which cache stores are available.
+	cacheStores *cacheStoreMonitor
+	// caches reads which prompt parts runners and cache stores hold, and passes this on to
+	// other routers.
 	caches *cacheReader
-	// named is told when a version of weights was named.
-	named chan struct{}
+	// weightsNamed receives a value when a new version of a model's weights is named.
+	weightsNamed chan struct{}
 
-	callers   *http.Server
-	readiness *http.Server
-	figures   *http.Server
-	ctx       context.Context
-	cancel    context.CancelFunc
-	group     sync.WaitGroup
-	started   time.Time
-	startup   *startup
+	callerServer    *http.Server
+	readinessServer *http.Server
+	metricsServer   *http.Server
+	ctx             context.Context
+	cancel          context.CancelFunc
+	goroutines      sync.WaitGroup
+	startedAt       time.Time
+	startup         *startup
 }
 
-// Start runs a gateway until Stop.
+// Start starts a gateway, which runs until Stop or Kill.
 func Start(settings Settings, ports Ports, logger *events.Logger) (*Gateway, error) {
 	settings.SetDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	started := ports.Clock.Now()
 	g := &Gateway{
-		settings: settings, ports: ports, log: logger, ctx: ctx, cancel: cancel, started: started, startup: newStartup(),
-		runners:  backend.NewSet(settings.Zone),
-		unbegun:  map[*unbegunSend]struct{}{},
-		bounds:   namings.Table{},
-		splitter: routing.NewSplitter(),
-		saves:    backend.NewSaveThrottle(),
-		retries:  map[string]*admission.RetryBudget{},
-		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		named:    make(chan struct{}, 1),
+		settings: settings, ports: ports, log: logger, ctx: ctx, cancel: cancel, startedAt: started, startup: newStartup(),
+		runners:      backend.NewSet(settings.Zone),
+		pendingSends: map[*unbegunSend]struct{}{},
+		weightBounds: namings.Table{},
+		splitter:     routing.NewSplitter(),
+		saveThrottle: backend.NewSaveThrottle(),
+		retryBudgets: map[string]*admission.RetryBudget{},
+		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		weightsNamed: make(chan struct{}, 1),
 	}
-	g.order = admission.NewLoadShedder(g.random)
-	g.runners.SetRolloutTime(time.Duration(rolloutShare * float64(settings.WeightDeadline)))
+	g.loadShedder = admission.NewLoadShedder(g.random)
+	g.runners.SetRolloutTime(time.Duration(rolloutDeadlineShare * float64(settings.WeightDeadline)))
 	g.metrics = newMetrics(g)
-	ports.RunnerPool.OnOpen, ports.RunnerPool.OnSilentClosed = g.metrics.connections.Inc, g.metrics.silentConnections.Inc
+	ports.RunnerPool.OnOpen, ports.RunnerPool.OnSilentClosed = g.metrics.runnerConnections.Inc, g.metrics.silentRunnerConnections.Inc
 	ports.RunnerPool.SilenceTimeout = runnerSilence
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
-	g.ends, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
-	g.cacheStores = newCacheStoreWatch(g)
+	g.endedRunners, g.suspects, g.signals = newRunnerEnds(g), newSuspects(g), newSignals(g)
+	g.cacheStores = newCacheStoreMonitor(g)
 	g.caches = newCacheReader(g)
-	g.copies, g.direct, g.relays = newCopies(g), newDirectSwitch(), newRelays(g)
+	g.copies, g.directReads, g.relays = newCopies(g), newDirectSwitch(), newRelays(g)
 	g.era, g.transfer = newStoreEra(g), newStateTransfer(g)
 	ports.Store.OnEra(g.era.told)
 	g.limits = limits.New(g.limitsConfig())
@@ -196,70 +202,75 @@
 	return g, nil
 }
 
-func (g *Gateway) spawn(loop func()) {
-	g.group.Add(1)
+func (g *Gateway) spawn(task func()) {
+	g.goroutines.Add(1)
 	go func() {
-		defer g.group.Done()
-		loop()
+		defer g.goroutines.Done()
+		task()
 	}()
 }
 
-// pause waits for the duration, or returns false when the gateway stops.
+// pause waits for the duration. It returns false if the gateway stops first.
 func (g *Gateway) pause(duration time.Duration) bool { return waitFor(g.ctx, duration) }
 
-// sweepInterval is how often idle connections and the log's state are looked at.
+// sweepInterval is the interval of checks for idle connections, suspensions, outdated records
+// and dropped log lines.
 const sweepInterval = time.Second
 
 func (g *Gateway) sweepLoop() {
 	reported, suspended := uint64(0), time.Duration(0)
 	for g.pause(sweepInterval) {
 		g.ports.RunnerPool.CloseExpired(time.Now())
-		suspended = g.noteSuspended(suspended)
+		suspended = g.recordSuspension(suspended)
 		g.noteStale(g.now())
-		g.ends.sweep(g.now())
+		g.endedRunners.sweep(g.now())
 		g.signals.sweep(g.now())
 		g.suspects.sweep(g.now())
-		if dropped := g.droppedLines(); dropped > reported {
+		if dropped := g.droppedLogLines(); dropped > reported {
 			g.log.Log(events.LogLinesDropped, events.Fields{"lines": dropped - reported, "total": dropped})
 			reported = dropped
 		}
 	}
 }
 
-func (g *Gateway) droppedLines() uint64 {
+func (g *Gateway) droppedLogLines() uint64 {
 	if g.ports.DroppedLines == nil {
 		return 0
 	}
 	return g.ports.DroppedLines()
 }
 
-// jitter returns a duration between half of the given one and all of it.
+// jitter returns a random duration between half of the given one and all of it.
 func (g *Gateway) jitter(duration time.Duration) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return duration/2 + time.Duration(g.random.Int64N(int64(duration/2)+1))
 }
 
-// maxDoublings keeps the shift of backOff small: pauses are at their longest before.
+// maxDoublings bounds the shift in backoff, which would overflow otherwise. The calls to the
+// store reach their maximum delay before; state transfers stop growing at 16 times the initial
+// delay.
 const maxDoublings = 4
 
-// backOff waits after one more failed call than the failures before it, twice as long each
-// time from the first pause to the longest. It returns false when the gateway stops.
-func (g *Gateway) backOff(failures int, first, longest time.Duration) bool {
-	return g.pause(g.jitter(min(first<<min(failures, maxDoublings), longest)))
+// backoff waits after a failed call that was preceded by the given number of failures. The
+// delay doubles with each failure from initial to maximum and is jittered. It returns false if
+// the gateway stops.
+func (g *Gateway) backoff(failures int, initial, maximum time.Duration) bool {
+	return g.pause(g.jitter(min(initial<<min(failures, maxDoublings), maximum)))
 }
 
-// noteSuspended notes that the machine was suspended, and returns for how long in all. What
-// timers were to withdraw meanwhile is withdrawn now.
-func (g *Gateway) noteSuspended(before time.Duration) time.Duration {
+// recordSuspension records that the machine was suspended and returns the total time of all
+// suspensions, given the previous total. Sends whose withdrawal timers should have fired during
+// the suspension are withdrawn now.
+func (g *Gateway) recordSuspension(previous time.Duration) time.Duration {
 	suspended := g.ports.Clock.Suspended()
-	if suspended == before {
-		return before
+	if suspended == previous {
+		return previous
 	}
-	g.metrics.suspensions.Add((suspended - before).Seconds())
-	g.log.Log(events.MachineSuspended, events.Fields{"suspended_ms": (suspended - before).Milliseconds()})
+	g.metrics.suspendedSeconds.Add((suspended - previous).Seconds())
+	g.log.Log(events.MachineSuspended, events.Fields{"suspended_ms": (suspended - previous).Milliseconds()})
 	g.mutex.Lock()
-	models := slices.Collect(maps.Keys(g.bounds))
+	models := slices.Collect(maps.Keys(g.weightBounds))
 	g.mutex.Unlock()
 	for _, model := range models {
 		g.withdrawUnbegun(g.now(), model)
@@ -267,36 +278,40 @@
 	return suspended
 }
 
-// proven tells whether the configuration in force is known well enough for
-// requests with a key.
-func (g *Gateway) proven(now time.Time) bool {
-	current := g.view.Load()
-	return current != nil && current.fresh(now, g.settings.ConfigLease)
+// configIsProven reports whether the configuration was proven recently enough to serve requests
+// with an API key.
+func (g *Gateway) configIsProven(now time.Time) bool {
+	current := g.activeConfig.Load()
+	return current != nil && current.isFresh(now, g.settings.ConfigLease)
 }
 
-// informed tells whether this router has heard from the store, itself or by others:
-// of a configuration, or that there is none yet.
-func (g *Gateway) informed() bool { return g.view.Load() != nil || g.unconfigured.Load() != nil }
+// knowsConfigState reports whether this router has learned from the store, directly or through
+// another router, either a configuration or that there is none.
+func (g *Gateway) knowsConfigState() bool {
+	return g.activeConfig.Load() != nil || g.provenEmptyAt.Load() != nil
+}
 
-// provenAt is the newest moment at which the store proved the configuration in
-// force, or that it has none; zero before.
-func (g *Gateway) provenAt() time.Time {
-	if current := g.view.Load(); current != nil {
+// configProvenAt returns the latest time at which the store proved the configuration, or proved
+// that it holds none. It is zero if neither has happened.
+func (g *Gateway) configProvenAt() time.Time {
+	if current := g.activeConfig.Load(); current != nil {
 		return current.provenAt
 	}
-	if empty := g.unconfigured.Load(); empty != nil {
+	if empty := g.provenEmptyAt.Load(); empty != nil {
 		return *empty
 	}
 	return time.Time{}
 }
 
-// leaseMargin is kept from the end of the lease on the configuration: the
-// store's watches may be silent for a second, and requests take a while to arrive.
-const leaseMargin = 1500 * time.Millisecond
+// configLeaseMargin is subtracted from the validity of the configuration: the store's watches
+// may be silent for a second, and requests take a while to arrive.
+const configLeaseMargin = 1500 * time.Millisecond
 
-func (v *view) fresh(now time.Time, lease time.Duration) bool {
-	return now.Sub(v.provenAt) < usableFor(lease)
+func (c *activeConfig) isFresh(now time.Time, lease time.Duration) bool {
+	return now.Sub(c.provenAt) < validAfterProof(lease)
 }
 
-// usableFor is how long after its proof what is held under the lease may be used.
-func usableFor(lease time.Duration) time.Duration { return lease - min(leaseMargin, lease/2) }
+// validAfterProof returns for how long after its proof a copy held under the lease may be used.
+func validAfterProof(lease time.Duration) time.Duration {
+	return lease - min(configLeaseMargin, lease/2)
+}
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -80,7 +80,7 @@
 	// Many read at once where there is no seed: a list that may be old costs the store little.
 	// One whose history is gone leads nowhere, and is not asked for again.
 	stale := !g.relays.isSource()
-	for g.direct.wait(g.ctx) {
+	for g.directReads.wait(g.ctx) {
 		next, err := k.learn(revision, stale)
 		if err == nil && next > 0 {
 			revision, failures = next, 0
@@ -114,7 +114,7 @@
 	} else {
 		kept, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
 	}
-	g.metrics.storeCall(quarantineKind, name, g.since(sent))
+	g.metrics.observeStoreCall(quarantineKind, name, g.since(sent))
 	switch {
 	case err != nil:
 		return revision, err
@@ -217,7 +217,7 @@
 // next returns a content whose record is to be written, or false when there is none or this
 // router does not read the store.
 func (k *keptQuarantines) next() (quarantine.ContentID, bool) {
-	if !k.gateway.direct.on() {
+	if !k.gateway.directReads.on() {
 		return quarantine.ContentID{}, false
 	}
 	k.mutex.Lock()
@@ -288,7 +288,7 @@
 	g, sent := k.gateway, k.gateway.now()
 	ctx, cancel := context.WithTimeout(g.ctx, quarantineCall)
 	defer cancel()
-	defer func() { g.metrics.storeCall(quarantineKind, callWrite, g.since(sent)) }()
+	defer func() { g.metrics.observeStoreCall(quarantineKind, callWrite, g.since(sent)) }()
 	return call(ctx)
 }
 
@@ -305,7 +305,7 @@
 	if err != nil && failures == 0 {
 		g.log.Log(events.QuarantineStoreCallFailed, events.Fields{"call": call, "error": err.Error()})
 	}
-	return g.backOff(failures, quarantineRetry, quarantineLongest)
+	return g.backoff(failures, quarantineRetry, quarantineLongest)
 }
 
 // fromTimesOfDay moves a record's moments, which the store has as times of day, to this
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -50,7 +50,7 @@
 // quarantining is a router with others, which is no seed and does not read the store yet.
 func quarantining(t *testing.T, store Store) *Gateway {
 	ctx, cancel := context.WithCancel(t.Context())
-	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, direct: newDirectSwitch(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
+	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, directReads: newDirectSwitch(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
 	gateway.relays = newRelays(gateway)
 	// Any will do: nothing is sent.
@@ -68,7 +68,7 @@
 	g := NewWithT(t)
 	store := &forgetfulStore{}
 	gateway := quarantining(t, store)
-	gateway.direct.set(true)
+	gateway.directReads.set(true)
 	done := make(chan struct{})
 	go func() { gateway.suspects.kept.follow(); close(done) }()
 	time.Sleep(300 * time.Millisecond)
--- a/internal/gateway/lastholder_test.go
+++ b/internal/gateway/lastholder_test.go
@@ -14,8 +14,8 @@
 func TestLastHolderOfTheLeaseSeeksItAgainAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	l := &leader{gateway: &Gateway{direct: newDirectSwitch()}, candidate: lease.NewCandidateWithGap("r1", orderLease, 3*time.Second)}
+	l := &leader{gateway: &Gateway{directReads: newDirectSwitch()}, candidate: lease.NewCandidateWithGap("r1", leaseDuration, 3*time.Second)}
 	l.candidate.RecordWrite(now, now, lease.Acquire, 92, l.candidate.Proposal(lease.Acquire))
 	// All runners' entries had run out and come back: for a moment nothing was outdated.
-	g.Expect(l.contends(now.Add(100*time.Millisecond), 3)).To(BeTrue())
+	g.Expect(l.seeksLease(now.Add(100*time.Millisecond), 3)).To(BeTrue())
 }
--- a/internal/gateway/lastorder_test.go
+++ b/internal/gateway/lastorder_test.go
@@ -12,11 +12,11 @@
 func TestOrderToTheLastStartIsNotWaitedFor(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	last := lastOrder{at: now, incarnation: 1, after: 4}
-	g.Expect(last.outstanding(now, RunnerReport{Incarnation: 1, Orders: 4})).To(BeTrue())
-	g.Expect(last.outstanding(now, RunnerReport{Incarnation: 1, Orders: 5})).To(BeFalse(), "it was taken")
-	g.Expect(last.outstanding(now, RunnerReport{Incarnation: 2, Orders: 0})).To(BeFalse(), "a new start")
-	g.Expect(lastOrder{}.outstanding(now, RunnerReport{})).To(BeFalse(), "nothing was ordered")
-	last.at = last.at.Add(-resendAfter)
-	g.Expect(last.outstanding(now, RunnerReport{Incarnation: 1, Orders: 4})).To(BeFalse(), "it took too long")
+	last := lastOrder{sentAt: now, incarnation: 1, acceptedBefore: 4}
+	g.Expect(last.isOutstanding(now, RunnerReport{Incarnation: 1, OrdersAccepted: 4})).To(BeTrue())
+	g.Expect(last.isOutstanding(now, RunnerReport{Incarnation: 1, OrdersAccepted: 5})).To(BeFalse(), "it was taken")
+	g.Expect(last.isOutstanding(now, RunnerReport{Incarnation: 2, OrdersAccepted: 0})).To(BeFalse(), "a new start")
+	g.Expect(lastOrder{}.isOutstanding(now, RunnerReport{})).To(BeFalse(), "nothing was ordered")
+	last.sentAt = last.sentAt.Add(-resendAfter)
+	g.Expect(last.isOutstanding(now, RunnerReport{Incarnation: 1, OrdersAccepted: 4})).To(BeFalse(), "it took too long")
 }
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -12,101 +12,103 @@
 
 // Times of the lease on ordering runners.
 const (
-	// leaderInterval is how often a router looks whether there is work to order.
-	leaderInterval = 200 * time.Millisecond
-	// standbyDelay is how long nothing may happen before routers that do not read
-	// the store seek the lease too.
+	// leaderPollInterval is how often a router checks whether runners need orders.
+	leaderPollInterval = 200 * time.Millisecond
+	// standbyDelay is how long the number of outdated runners must stay unchanged before
+	// routers that do not read the store also compete for the lease.
 	standbyDelay = 2 * time.Second
-	// orderLease is how long a holder acts on one write of the lease.
-	orderLease = time.Second
-	// gapMargin is added to the least time between the orders of two holders.
-	gapMargin = 250 * time.Millisecond
-	// leaseCall bounds one call on the lease.
-	leaseCall = 800 * time.Millisecond
-	// leaseWatch is how often a router that reads the store for all looks at another one's
-	// lease while there is work: the time until it may take the lease begins with the
-	// first look that shows the last renewal, so it begins that much late at the most.
-	leaseWatch = time.Second
-	// leaseRetry is the pause after a call on the lease that failed.
-	leaseRetry = 200 * time.Millisecond
+	// leaseDuration is how long a holder may act after one write of the lease.
+	leaseDuration = time.Second
+	// leaseGapMargin is added to the minimum time between the orders of two holders.
+	leaseGapMargin = 250 * time.Millisecond
+	// leaseCallTimeout bounds one call on the lease.
+	leaseCallTimeout = 800 * time.Millisecond
+	// leasePollInterval is how often a source, a router that reads the store on behalf of
+	// others, reads another router's lease while there is work. The time until it may acquire
+	// the lease starts with the first read that shows the last renewal, so it starts late by
+	// this interval at most.
+	leasePollInterval = time.Second
+	// leaseRetryDelay is the delay after a failed call on the lease.
+	leaseRetryDelay = 200 * time.Millisecond
 )
 
-// leader contends for the lease while there is something to order, and orders
-// while it holds it. A router that never has to order never calls the store
-// for it.
+// leader competes for the lease while runners need orders, and sends orders while it holds the
+// lease. A router that never has orders to send never calls the store for the lease.
 type leader struct {
 	gateway   *Gateway
 	candidate *lease.Candidate
-	rollout   *rollouts
-	// nextRead is when the lease is read again while another router holds it.
-	nextRead time.Time
-	held     bool
-	// outdated is how many runners had older weights than named when last looked,
-	// and changedAt when that number changed.
-	outdated  int
-	changedAt time.Time
+	rollout   *rolloutController
+	// nextReadAt is when the lease is read again while another router holds it.
+	nextReadAt time.Time
+	holdsLease bool
+	// outdatedRunners is the number of runners with weights older than the target at the last
+	// check, and outdatedChangedAt when this number last changed.
+	outdatedRunners   int
+	outdatedChangedAt time.Time
 }
 
 func newLeader(g *Gateway) *leader {
-	l := &leader{gateway: g, candidate: lease.NewCandidateWithGap(g.settings.Node, orderLease, g.settings.LeaseGap+gapMargin)}
-	l.rollout = newRollouts(g)
+	l := &leader{gateway: g, candidate: lease.NewCandidateWithGap(g.settings.Node, leaseDuration, g.settings.LeaseGap+leaseGapMargin)}
+	l.rollout = newRolloutController(g)
 	return l
 }
 
 func (l *leader) run() {
-	for l.wait() {
-		outdated := l.rollout.outdated()
+	for l.waitForWork() {
+		outdated := l.rollout.countOutdated()
 		if outdated == 0 {
-			l.outdated = 0
-			l.note(0, false)
+			l.outdatedRunners = 0
+			l.setHoldsLease(0, false)
 			continue
 		}
-		l.yieldIfFenced()
-		if !l.contends(l.gateway.now(), outdated) {
+		l.releaseIfFenced()
+		if !l.seeksLease(l.gateway.now(), outdated) {
 			continue
 		}
-		token, held := l.keep()
-		l.note(token, held)
+		token, held := l.acquireOrRenew()
+		l.setHoldsLease(token, held)
 		if held {
-			l.rollout.advance(l.term(token))
+			l.rollout.startUpdates(l.term(token))
 		}
 	}
 }
 
-// contends tells whether this router seeks the lease. Those that read the store do at once,
-// and the last holder, whose lease keeps the others waiting; all others only when nothing
-// happens, so that a named version does not bring a herd of calls.
-func (l *leader) contends(now time.Time, outdated int) bool {
-	if outdated != l.outdated {
-		l.outdated, l.changedAt = outdated, now
+// seeksLease reports whether this router competes for the lease. Routers that read the store do
+// so at once, and so does the last holder, as the others wait for its lease to expire. All
+// others do so only when there is no progress, so that a newly named version does not cause a
+// burst of calls from all routers.
+func (l *leader) seeksLease(now time.Time, outdated int) bool {
+	if outdated != l.outdatedRunners {
+		l.outdatedRunners, l.outdatedChangedAt = outdated, now
 	}
-	return l.gateway.direct.on() || l.held || l.candidate.IsLastHolder() || now.Sub(l.changedAt) >= standbyDelay
+	return l.gateway.directReads.on() || l.holdsLease || l.candidate.IsLastHolder() || now.Sub(l.outdatedChangedAt) >= standbyDelay
 }
 
-// wait returns when there may be something to do, or false when the gateway stops.
-func (l *leader) wait() bool {
+// waitForWork returns when there may be something to do. It returns false if the gateway stops.
+func (l *leader) waitForWork() bool {
 	select {
-	case <-l.gateway.named:
-	case <-time.After(leaderInterval):
+	case <-l.gateway.weightsNamed:
+	case <-time.After(leaderPollInterval):
 	case <-l.gateway.ctx.Done():
 	}
 	return l.gateway.ctx.Err() == nil
 }
 
-// term is the right to order under one fencing token.
+// term is a period during which one holder may order runners, identified by its fencing token.
 type term struct {
 	holder string
 	token  storerev.Revision
-	// until is when the right ends unless the lease is renewed.
-	until time.Time
+	// validUntil is when the term ends unless the lease is renewed.
+	validUntil time.Time
 }
 
 func (l *leader) term(token storerev.Revision) term {
-	return term{holder: l.gateway.settings.Node, token: token, until: l.candidate.ValidUntil()}
+	return term{holder: l.gateway.settings.Node, token: token, validUntil: l.candidate.ValidUntil()}
 }
 
-// keep takes or renews the lease and returns the fencing token while it is held.
-func (l *leader) keep() (storerev.Revision, bool) {
+// acquireOrRenew acquires or renews the lease if needed. It returns the fencing token and
+// whether the lease is held.
+func (l *leader) acquireOrRenew() (storerev.Revision, bool) {
 	now := l.gateway.now()
 	if era, since := l.gateway.era.known(); era > 0 {
 		l.candidate.EnterEra(since, era)
@@ -114,67 +116,68 @@
 	if token, held := l.candidate.Token(now); held {
 		switch l.candidate.Next(now) {
 		case lease.Renew:
-			l.write(lease.Renew)
+			l.writeLease(lease.Renew)
 		case lease.Acquire:
-			l.takeAnew(now)
+			l.reacquire(now)
 		default:
 			return token, true
 		}
 		return l.candidate.Token(l.gateway.now())
 	}
-	if now.Before(l.nextRead) || !l.read() {
+	if now.Before(l.nextReadAt) || !l.readLease() {
 		return 0, false
 	}
 	switch l.candidate.Next(l.gateway.now()) {
 	case lease.Acquire:
-		l.write(lease.Acquire)
+		l.writeLease(lease.Acquire)
 	case lease.Wait:
-		l.nextRead = l.nextLook()
+		l.nextReadAt = l.nextReadTime()
 	}
 	return l.candidate.Token(l.gateway.now())
 }
 
-// takeAnew takes the held lease in a new era of the store, which may not know of it.
-func (l *leader) takeAnew(now time.Time) {
-	if !now.Before(l.nextRead) && l.read() {
-		l.write(lease.Acquire)
+// reacquire acquires the held lease anew after the store has entered a new era, since the
+// restored store may lack it.
+func (l *leader) reacquire(now time.Time) {
+	if !now.Before(l.nextReadAt) && l.readLease() {
+		l.writeLease(lease.Acquire)
 	}
 }
 
-// nextLook returns when to read the lease that another router holds. Those that do not read
-// the store, or for want of seeds only, look when it may be free, so that they are no herd.
-func (l *leader) nextLook() time.Time {
-	freeAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetry))
-	if look := l.gateway.now().Add(leaseWatch); l.gateway.relays.isSource() && look.Before(freeAt) {
-		return look
+// nextReadTime returns when to read the lease that another router holds. Routers other than
+// sources read it when it may become available, so that they do not all poll it.
+func (l *leader) nextReadTime() time.Time {
+	availableAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetryDelay))
+	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.relays.isSource() && nextPoll.Before(availableAt) {
+		return nextPoll
 	}
-	return freeAt
+	return availableAt
 }
 
-// yieldIfFenced gives up a term whose token a runner refused. A new one is not
-// sought before the other holder's orders have had their time.
-func (l *leader) yieldIfFenced() {
+// releaseIfFenced gives up a term whose token a runner rejected. The lease is not sought again
+// before the other holder has had time for its orders.
+func (l *leader) releaseIfFenced() {
 	token, held := l.candidate.Token(l.gateway.now())
-	if !held || !l.rollout.refused(token) {
+	if !held || !l.rollout.isFenced(token) {
 		return
 	}
 	l.candidate.Release()
-	l.nextRead = l.gateway.now().Add(l.gateway.settings.LeaseGap + gapMargin)
+	l.nextReadAt = l.gateway.now().Add(l.gateway.settings.LeaseGap + leaseGapMargin)
 }
 
-// read observes the lease and tells whether it could.
-func (l *leader) read() bool {
-	ctx, cancel := context.WithTimeout(l.gateway.ctx, leaseCall)
+// readLease reads the lease and reports whether it succeeded.
+func (l *leader) readLease() bool {
+	ctx, cancel := context.WithTimeout(l.gateway.ctx, leaseCallTimeout)
 	defer cancel()
-	asked := l.gateway.now()
+	sentAt := l.gateway.now()
 	spec, revision, err := l.gateway.ports.Store.Lease(ctx)
 	now := l.gateway.now()
-	l.gateway.metrics.storeCall(leaseKind, callRead, l.gateway.since(asked))
+	l.gateway.metrics.observeStoreCall(leaseKind, callRead, l.gateway.since(sentAt))
 	switch {
 	case errors.Is(err, ErrNotFound):
 		l.candidate.Observe(now, lease.Observation{Revision: revision})
 	case err != nil:
-		l.retryLater(err)
+		l.scheduleRetry(err)
 		return false
 	default:
 		l.candidate.Observe(now, lease.Observation{Exists: true, Revision: revision, Spec: spec})
@@ -182,34 +185,34 @@
 	return true
 }
 
-func (l *leader) write(action lease.Action) {
-	ctx, cancel := context.WithTimeout(l.gateway.ctx, leaseCall)
+func (l *leader) writeLease(action lease.Action) {
+	ctx, cancel := context.WithTimeout(l.gateway.ctx, leaseCallTimeout)
 	defer cancel()
 	proposal := l.candidate.Proposal(action)
-	sent := l.gateway.now()
-	seen := l.candidate.LastObservation()
-	written, err := l.gateway.ports.Store.WriteLease(ctx, proposal, seen.Exists, seen.Revision)
-	l.gateway.metrics.storeCall(leaseKind, callWrite, l.gateway.since(sent))
+	sentAt := l.gateway.now()
+	observed := l.candidate.LastObservation()
+	written, err := l.gateway.ports.Store.WriteLease(ctx, proposal, observed.Exists, observed.Revision)
+	l.gateway.metrics.observeStoreCall(leaseKind, callWrite, l.gateway.since(sentAt))
 	if err != nil {
-		// Lost or refused: the next read shows what is in place.
-		l.retryLater(err)
+		// The answer was lost or the write was rejected. The next read shows the current lease.
+		l.scheduleRetry(err)
 		return
 	}
-	l.candidate.RecordWrite(sent, l.gateway.now(), action, written, proposal)
+	l.candidate.RecordWrite(sentAt, l.gateway.now(), action, written, proposal)
 }
 
-func (l *leader) retryLater(err error) {
+func (l *leader) scheduleRetry(err error) {
 	g := l.gateway
 	g.metrics.storeFailures.WithLabelValues(leaseKind).Inc()
-	l.nextRead = l.gateway.now().Add(g.jitter(leaseRetry))
+	l.nextReadAt = l.gateway.now().Add(g.jitter(leaseRetryDelay))
 	g.log.Log(events.LeaseCallFailed, events.Fields{"error": err.Error(), "seen": l.candidate.LastObservation().Revision.Number(), "holder": l.candidate.LastObservation().Spec.Holder})
 }
 
-func (l *leader) note(token storerev.Revision, held bool) {
-	if held == l.held {
+func (l *leader) setHoldsLease(token storerev.Revision, held bool) {
+	if held == l.holdsLease {
 		return
 	}
-	l.held = held
+	l.holdsLease = held
 	l.gateway.leaseToken.Store(uint64(token))
 	if held {
 		l.gateway.log.Log(events.LeaseAcquired, events.Fields{"token": token, "era": token.Era()})
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -14,30 +14,30 @@
 	if err := g.relays.listen(); err != nil {
 		return err
 	}
-	callers, err := net.Listen("tcp", g.settings.CallerAddress)
+	callerListener, err := net.Listen("tcp", g.settings.CallerAddress)
 	if err != nil {
 		g.relays.close()
 		return trace.ConvertSystemError(err)
 	}
-	ready, err := net.Listen("tcp", g.settings.ReadyAddress)
+	readinessListener, err := net.Listen("tcp", g.settings.ReadyAddress)
 	if err != nil {
 		g.relays.close()
-		callers.Close()
+		callerListener.Close()
 		return trace.ConvertSystemError(err)
 	}
-	g.callers = newCallerServer(http.HandlerFunc(g.serveCall))
-	readiness := http.NewServeMux()
-	readiness.HandleFunc(g.ports.ReadyPath, g.serveReadiness)
-	g.readiness = &http.Server{Handler: readiness, ReadHeaderTimeout: headerTimeout}
-	go g.callers.Serve(callers)
-	go g.readiness.Serve(ready)
-	g.listenFigures()
+	g.callerServer = newCallerServer(http.HandlerFunc(g.serveCall))
+	mux := http.NewServeMux()
+	mux.HandleFunc(g.ports.ReadyPath, g.serveReadiness)
+	g.readinessServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	go g.callerServer.Serve(callerListener)
+	go g.readinessServer.Serve(readinessListener)
+	g.listenMetrics()
 	return nil
 }
 
-// listenFigures serves the counters; a router whose figures cannot be served
-// still serves requests.
-func (g *Gateway) listenFigures() {
+// listenMetrics serves metrics and status. If they cannot be served, the router still serves
+// requests.
+func (g *Gateway) listenMetrics() {
 	if g.settings.MetricsAddress == "" {
 		return
 	}
@@ -49,32 +49,32 @@
 	mux := http.NewServeMux()
 	mux.Handle(MetricsPath, g.metrics.handler())
 	mux.HandleFunc(StatusPath, g.serveStatus)
-	g.figures = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go g.figures.Serve(listener)
+	g.metricsServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	go g.metricsServer.Serve(listener)
 }
 
-// MetricsPath is the path of the counters.
+// MetricsPath is the path of the metrics.
 const MetricsPath = "/metrics"
 
-// Times of the callers' server.
+// Limits of the HTTP servers.
 const (
-	headerTimeout = 10 * time.Second
+	readHeaderTimeout = 10 * time.Second
 	// idleTimeout is longer than any caller keeps an idle connection.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes is above what configurations allow callers.
+	// maxHeaderBytes is above the limit that configurations set for callers.
 	maxHeaderBytes = 128 << 10
 )
 
 func newCallerServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, ConnContext: withConnection,
 	}
 }
 
 func (g *Gateway) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	knowsRunners := g.copies.revision(RunnerObjects) > 0
-	if g.draining.Load() || !knowsRunners || !g.proven(g.now()) {
+	if g.draining.Load() || !knowsRunners || !g.configIsProven(g.now()) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -36,7 +36,7 @@
 	now := s.gateway.now()
 	s.gateway.runners.SetPeerLoads(now, router, share.GetFull(), loads)
 	for _, told := range share.GetPromises() {
-		s.gateway.order.AddReservation(now, promiseOf(told))
+		s.gateway.loadShedder.AddReservation(now, promiseOf(told))
 	}
 	s.gateway.shares.merge(router, share)
 }
@@ -61,7 +61,7 @@
 			loads = s.gateway.runners.Loads()
 			uses = s.gateway.shares.uses(s.gateway.now())
 		}
-		promises := s.gateway.order.TakeReservations()
+		promises := s.gateway.loadShedder.TakeReservations()
 		s.gateway.mutex.Unlock()
 		if !whole && len(loads) == 0 && len(promises) == 0 {
 			continue
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -154,7 +154,7 @@
 }
 
 func (c *copies) noteLosses(kind ObjectKind, list config.Delta, lost losses) {
-	m := c.gateway.metrics.storeLosses
+	m := c.gateway.metrics.storeLostObjects
 	m.WithLabelValues(kind.String(), "older").Add(float64(lost.older))
 	m.WithLabelValues(kind.String(), "missing").Add(float64(lost.missing))
 	m.WithLabelValues(kind.String(), "returned").Add(float64(lost.returned))
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -29,7 +29,7 @@
 		Service: query.Service, Rank: query.Rank, TargetLatency: query.TargetLatency, MaxQueue: query.MaxQueueTime, TimeLeft: left,
 		Excess: excess, Ticket: query.Ticket,
 	}
-	limit = g.order.QueueLimit(now, demand, loadOf(candidates))
+	limit = g.loadShedder.QueueLimit(now, demand, loadOf(candidates))
 	request.MaxWait = limit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
@@ -41,7 +41,7 @@
 	refused := chosen.Status == placement.Overloaded
 	forShare = refused && chosen.QueueWait <= limit.MaxQueueAtFairShare
 	g.shares.noteChoice(now, query, chosen, forShare)
-	after := g.order.RecordDecision(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
+	after := g.loadShedder.RecordDecision(now, demand, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case forShare:
 		// A caller that comes back before its tenant's use has faded is refused again.
@@ -76,7 +76,7 @@
 func (c *call) noteLimit(chosen placement.Pick) {
 	c.queueing = chosen.QueueWait
 	if c.query.MaxQueueTime > 0 {
-		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.limit)
+		c.gateway.metrics.observeQueueLimit(c.route.Name, chosen.Status == placement.Overloaded, c.limit)
 	}
 }
 
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -23,7 +23,7 @@
 
 // suspectingGateway knows one content under which two runners have ended.
 func suspectingGateway() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, direct: newDirectSwitch()}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, directReads: newDirectSwitch()}
 	g.suspects = newSuspects(g)
 	g.suspects.learn(oneSuspect(g.now()))
 	return g
@@ -87,7 +87,7 @@
 
 // signallingGateway knows one runner that leaves and has named a limit.
 func signallingGateway() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, direct: newDirectSwitch(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &relays{}, directReads: newDirectSwitch(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	g.signals = newSignals(g)
 	g.signals.learn(signalMessages(g.now(), oneSignal(g.now())))
 	return g
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -47,7 +47,7 @@
 func (g *Gateway) grant(now time.Time, service, runner string) backpressure.Permit {
 	permit := g.runners.TakePermit(now, runner)
 	if permit.Valid(now) {
-		g.metrics.grants.WithLabelValues(service).Inc()
+		g.metrics.permitsGranted.WithLabelValues(service).Inc()
 	}
 	return permit
 }
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -94,7 +94,7 @@
 	reply, taken := s.gateway.relays.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: ask}})
 	answer := reply.GetRunnerAnswer()
 	answered := answer != nil && !answer.GetDeclined()
-	s.gateway.metrics.placementCalls.WithLabelValues(outcomeOf(answered)).Observe(taken.Seconds())
+	s.gateway.metrics.placementCalls.WithLabelValues(outcomeLabel(answered)).Observe(taken.Seconds())
 	if !answered {
 		s.noteSilence(scheduler)
 		return nil
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -42,7 +42,7 @@
 func (r *relays) pause() {
 	interval := r.pullInterval()
 	switch {
-	case !r.gateway.informed():
+	case !r.gateway.knowsConfigState():
 		interval = firstRetry
 	case r.gateway.copies.revision(RunnerObjects) == 0:
 		interval = nextQuestion
@@ -94,7 +94,7 @@
 	if asked > 0 {
 		return min(max(asked, shortestPull), longestPull)
 	}
-	return intervalFor(int(r.gateway.routers.Load()) / seeds)
+	return intervalFor(int(r.gateway.knownRouters.Load()) / seeds)
 }
 
 // intervalFor is the time between two pulls of each of the followers: shorter
@@ -106,7 +106,7 @@
 // pull asks the relay or the seed that is first in turn, and the others at once if
 // that does not give a recent proof. It tells whether one did.
 func (r *relays) pull() bool {
-	if r.gateway.informed() {
+	if r.gateway.knowsConfigState() {
 		if askable := r.askable(); len(askable) > 0 && r.pullFrom(askable[0]) {
 			r.setSource(askable[0])
 			return true
@@ -194,13 +194,13 @@
 	r.mutex.Lock()
 	oldest := r.oldestProof(address)
 	switch {
-	case answer == nil && !r.gateway.informed():
+	case answer == nil && !r.gateway.knowsConfigState():
 		r.chooser.Starting(now, address)
 	case answer == nil, !known && address == r.chooser.Referred():
 		r.chooser.Failed(now, address)
 	case !known:
 		r.chooser.Starting(now, address)
-		r.patientUntil = r.gateway.started.Add(seedPatience)
+		r.patientUntil = r.gateway.startedAt.Add(seedPatience)
 	case !usable, !recent(answer, oldest):
 		r.chooser.Failed(now, address)
 	default:
@@ -217,14 +217,14 @@
 	}
 	r.gateway.suspects.told(address, answer.GetSuspects())
 	r.gateway.signals.told(address, answer.GetSignals())
-	r.gateway.takeBounds(answer.GetWeightBounds(), sent)
+	r.gateway.receiveBounds(answer.GetWeightBounds(), sent)
 	r.applyDeltas(deltas, proof{at: sent.Add(-age), given: true})
 	r.checkProofs(answer, sent, age)
 	if !r.isSource() {
-		r.gateway.routers.Store(int64(answer.GetRouters()))
+		r.gateway.knownRouters.Store(int64(answer.GetRouters()))
 	}
-	r.gateway.caches.told(address, answer.GetCache())
-	r.gateway.cacheStores.told(cacheStores{config: answer.GetCacheStoresConfig(), answering: answer.GetCacheStores()}, address)
+	r.gateway.caches.receiveDelta(address, answer.GetCache())
+	r.gateway.cacheStores.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
 	return usable && recent(answer, oldest)
 }
 
@@ -264,9 +264,9 @@
 	ctx, cancel := context.WithTimeout(g.ctx, patience)
 	defer cancel()
 	request := r.newPull(address)
-	if g.informed() {
+	if g.knowsConfigState() {
 		// The first answer is to be small, and a whole feed is not asked for twice soon.
-		g.caches.ask(address, request)
+		g.caches.addToPull(address, request)
 	}
 	g.suspects.ask(address, request)
 	g.signals.ask(address, request)
@@ -275,7 +275,7 @@
 	}
 	sent := r.gateway.now()
 	reply, err := r.transport.Call(ctx, "", address, &wire.Envelope{Body: &wire.Envelope_CopyPull{CopyPull: request}})
-	g.metrics.peerCalls.WithLabelValues(outcomeOf(err == nil)).Observe(r.gateway.since(sent).Seconds())
+	g.metrics.peerCalls.WithLabelValues(outcomeLabel(err == nil)).Observe(r.gateway.since(sent).Seconds())
 	if err != nil {
 		return nil, sent
 	}
@@ -323,7 +323,7 @@
 // whole directory may take long at first, when many ask for it.
 func (r *relays) question() (patience time.Duration, kinds []ObjectKind) {
 	switch {
-	case !r.gateway.informed():
+	case !r.gateway.knowsConfigState():
 		return firstPullTime, []ObjectKind{ConfigObjects, WeightObjects}
 	case r.gateway.copies.revision(RunnerObjects) == 0:
 		return directoryTime, objectKinds
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -57,7 +57,7 @@
 	listed := p.statusOf(at).Quarantined
 	p.g.Expect(listed).To(HaveLen(1))
 	p.g.Expect(listed[0].Runners).To(HaveLen(3))
-	p.g.Expect(listed[0].LeftMillis).To(BeNumerically("~", 300_000, 5_000))
+	p.g.Expect(listed[0].RemainingMillis).To(BeNumerically("~", 300_000, 5_000))
 	p.g.Expect(p.routers[0].log.String()).To(ContainSubstring(`"content":"` + listed[0].Content + `","event":511`))
 	read := figures(p.g, at)
 	p.g.Expect(read[`clovertiller_quarantines_total`]).To(Equal(1.0))
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -15,10 +15,10 @@
 // limitsConfig says what keeps tenants to their limits.
 func (g *Gateway) limitsConfig() limits.Config {
 	return limits.Config{
-		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, Started: g.started,
+		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, Started: g.startedAt,
 		Peers: g.relays, Routers: g.routerCount,
 		Asked: func(answered bool, taken time.Duration) {
-			g.metrics.quotaCalls.WithLabelValues(outcomeOf(answered)).Observe(taken.Seconds())
+			g.metrics.quotaCalls.WithLabelValues(outcomeLabel(answered)).Observe(taken.Seconds())
 		},
 	}
 }
@@ -49,7 +49,7 @@
 	decision := <-c.quotaDecided
 	waited := time.Since(began)
 	c.spentAt = decision.Keeper
-	c.gateway.metrics.quotaDecided(decision, waited)
+	c.gateway.metrics.observeQuotaDecision(decision, waited)
 	c.note(events.QuotaDecided, events.Fields{
 		"tenant": c.spending.Tenant, "amount": c.spending.Amount, "rate": c.spending.Limit.Rate, "burst": c.spending.Limit.Burst, "granted": decision.Granted,
 		"by": decision.By, "keeper": decision.Keeper, "left": int64(decision.Level), "waited_us": waited.Microseconds(),
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -39,7 +39,7 @@
 		pause = c.stream.worstPause
 	}
 	late := lateBy(first, pause, c.route)
-	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrived))
+	c.gateway.metrics.observeCallEnd(c.route, c.service, outcome, now.Sub(c.arrived))
 	if outcome != outcomeComplete || late != "" || c.request.Attempt() > 1 {
 		c.logDecisions()
 	}
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -60,7 +60,7 @@
 		fields["retry_after_ms"] = r.retryAfter.Milliseconds()
 	}
 	c.logDecisions()
-	c.gateway.metrics.refused(r.status, r.reason)
+	c.gateway.metrics.countRefusal(r.status, r.reason)
 	c.gateway.log.Log(events.RequestRefused, fields)
 	c.write(r)
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -129,7 +129,7 @@
 func (c *call) beginStream(response *httpconn.Response) {
 	c.stream = &eventStream{}
 	c.firstAnswer()
-	c.gateway.metrics.firstEvents.WithLabelValues(c.service).Observe(c.gateway.since(c.arrived).Seconds())
+	c.gateway.metrics.firstEventLatencies.WithLabelValues(c.service).Observe(c.gateway.since(c.arrived).Seconds())
 	c.copyHead(response.Header)
 	c.writer.WriteHeader(response.Status)
 }
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -70,7 +70,7 @@
 	return &relays{
 		gateway: g, chooser: relay.NewChooser(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
 		assigner: relay.NewAssigner(), followers: map[string]follows{}, counter: peers.NewCounter(), behind: make(chan struct{}, 1), packed: map[ObjectKind]packedCopy{},
-		patientUntil: g.started.Add(patienceOf(g)),
+		patientUntil: g.startedAt.Add(patienceOf(g)),
 	}
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	identity := wire.Identity{Node: r.gateway.settings.Node, Incarnation: uint64(r.gateway.started.UnixMilli())}
+	identity := wire.Identity{Node: r.gateway.settings.Node, Incarnation: uint64(r.gateway.startedAt.UnixMilli())}
 	r.transport = wire.NewTransport(identity, listener, r.handle)
 	r.transport.OnLostConnection(r.connectionsLost)
 	return nil
@@ -137,7 +137,7 @@
 // patienceOver begins to read the store, beside seeds that are still being asked,
 // if none of them has been heard of.
 func (r *relays) patienceOver() {
-	if !r.gateway.informed() {
+	if !r.gateway.knowsConfigState() {
 		r.setDirect(r.readsStore(false))
 	}
 }
@@ -147,7 +147,7 @@
 	r.mutex.Lock()
 	patient := r.gateway.now().Before(r.patientUntil)
 	r.mutex.Unlock()
-	waits := patient && !r.gateway.informed()
+	waits := patient && !r.gateway.knowsConfigState()
 	return r.isSource() || !(relayed || waits)
 }
 
@@ -168,7 +168,7 @@
 	r.mutex.Lock()
 	isSeed := r.chooser.IsSeed()
 	r.mutex.Unlock()
-	current := r.gateway.view.Load()
+	current := r.gateway.activeConfig.Load()
 	return !isSeed || current == nil || r.gateway.since(current.provenAt) > proofAge || r.gateway.copies.behind(r.gateway.now(), proofAge+copySlack)
 }
 
@@ -180,7 +180,7 @@
 }
 
 func (r *relays) setDirect(enabled bool) {
-	if r.gateway.direct.set(enabled) != enabled {
+	if r.gateway.directReads.set(enabled) != enabled {
 		r.gateway.log.Log(events.SourceChanged, events.Fields{"store": enabled, "router": r.lastSource()})
 	}
 }
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -74,25 +74,25 @@
 		return g.transfer.answer(pull)
 	}
 	referTo, interval := r.noteFollower(pull)
-	stores := g.cacheStores.state.Load()
+	stores := g.cacheStores.status.Load()
 	answer := &wire.CopyAnswer{
-		Zone: g.settings.Zone, CacheStores: stores.answering, CacheStoresConfig: stores.config, Routers: uint32(g.routerCount()),
+		Zone: g.settings.Zone, CacheStores: stores.availableBits, CacheStoresConfig: stores.configVersion, Routers: uint32(g.routerCount()),
 		ReferTo: referTo, PullAfterMillis: uint32(interval.Milliseconds()),
 		StoreOnly: g.transfer.running.Load(),
 	}
 	if pull.GetWantsCache() {
-		answer.Cache = g.caches.answer(pull.GetCacheFeed(), pull.GetCacheThrough())
+		answer.Cache = g.caches.deltaSince(pull.GetCacheFeed(), pull.GetCacheThrough())
 	}
 	// The proof is read before the copies: what is given is at least as new.
-	if current := g.view.Load(); current != nil && !current.provenAt.IsZero() {
+	if current := g.activeConfig.Load(); current != nil && !current.provenAt.IsZero() {
 		answer.Proven = true
 		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(current.provenAt))
-	} else if empty := g.unconfigured.Load(); empty != nil {
+	} else if empty := g.provenEmptyAt.Load(); empty != nil {
 		answer.Unconfigured = true
 		answer.ProofAgeMillis = wire.AgeMillis(r.gateway.since(*empty))
 	}
 	answer.Suspects, answer.Signals = g.suspects.answer(pull), g.signals.answer(pull)
-	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.firmBounds()
+	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.boundsToShare()
 	if newest, known := g.copies.checkpoints.newest(); known {
 		answer.StoreRevision, answer.StoreAgeMillis = uint64(newest.revision), wire.AgeMillis(r.gateway.since(newest.at))
 	}
@@ -173,7 +173,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	own = r.routersBehind(now)
-	r.gateway.routers.Store(int64(r.counter.Total(now, r.chooser.Seeds(), own)))
+	r.gateway.knownRouters.Store(int64(r.counter.Total(now, r.chooser.Seeds(), own)))
 	return own
 }
 
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -6,8 +6,8 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// Reload takes over the settings that may change while the process runs: the
-// seeds. Faulty ones change nothing; what needs a restart is named in the log.
+// Reload applies the settings that may change while the process runs, which are the seeds. If
+// the settings are invalid, nothing changes. Changed settings that need a restart are logged.
 func (g *Gateway) Reload(settings Settings) {
 	if faults := settings.Check(); len(faults) > 0 {
 		g.log.Log(events.SettingsRefused, events.Fields{"faults": faults})
@@ -19,11 +19,12 @@
 	g.relays.mutex.Unlock()
 	g.limits.SetKeepers(settings.Seeds)
 	g.schedulers.setSchedulers(settings.Seeds)
-	g.log.Log(events.SettingsReloaded, events.Fields{"seeds": len(settings.Seeds), "need_restart": g.settings.needRestart(settings)})
+	g.log.Log(events.SettingsReloaded, events.Fields{"seeds": len(settings.Seeds), "need_restart": g.settings.changedNeedingRestart(settings)})
 }
 
-// needRestart names the settings that differ and hold only from a start on.
-func (s Settings) needRestart(changed Settings) []string {
+// changedNeedingRestart returns the names of the changed settings that take effect only after a
+// restart.
+func (s Settings) changedNeedingRestart(changed Settings) []string {
 	changed.Seeds = s.Seeds
 	before, after := reflect.ValueOf(s), reflect.ValueOf(changed)
 	names := []string{}
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -52,7 +52,7 @@
 
 // renew looks beside the watch that waits whether there are changes.
 func (f *follower) renew() {
-	if f.gateway.direct.on() && f.renewing.CompareAndSwap(false, true) {
+	if f.gateway.directReads.on() && f.renewing.CompareAndSwap(false, true) {
 		f.gateway.spawn(f.lookBeside)
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	f.take(revision, regainWait, answer)
 	f.renewing.Store(false)
-	g.metrics.renewals.WithLabelValues(f.kind.String(), renewalOutcome(len(answer.objects) > 0)).Inc()
+	g.metrics.watchRenewals.WithLabelValues(f.kind.String(), renewalOutcomeLabel(len(answer.objects) > 0)).Inc()
 	if len(answer.objects) > 0 {
 		f.endWatch()
 		g.log.Log(events.WatchStalled, events.Fields{"kind": f.kind.String(), "objects": len(answer.objects), "revision": g.copies.revision(f.kind).Number()})
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -3,7 +3,7 @@
 import "github.com/clovertiller/clovertiller/internal/admission"
 
 // routerCount is how many routers this one takes there to be, counting itself.
-func (g *Gateway) routerCount() int { return max(1, int(g.routers.Load())) }
+func (g *Gateway) routerCount() int { return max(1, int(g.knownRouters.Load())) }
 
 // retryReserve is this router's part of what all may spend on further attempts
 // without having earned it. The parts are equal: nobody is asked before a retry.
@@ -25,10 +25,10 @@
 // budget returns the service's budget for further attempts. The mutex is held.
 func (g *Gateway) budget(service string) *admission.RetryBudget {
 	reserve := g.retryReserve()
-	budget := g.retries[service]
+	budget := g.retryBudgets[service]
 	if budget == nil {
 		budget = admission.NewRetryBudget(g.settings.RetryShare*retryShareUsed, reserve)
-		g.retries[service] = budget
+		g.retryBudgets[service] = budget
 	}
 	budget.SetCapacity(reserve)
 	return budget
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -15,123 +15,125 @@
 
 // Times and limits of rollouts.
 const (
-	// minServingPercent of a service's runners keep serving.
+	// minServingPercent is the minimum percentage of a service's runners that keep serving.
 	minServingPercent = 50
-	// reportTime bounds one call to a runner about its weights.
-	reportTime = 700 * time.Millisecond
-	// reportInterval is how often a loading runner is asked.
+	// reportTimeout bounds one call for a runner's report.
+	reportTimeout = 700 * time.Millisecond
+	// reportInterval is how often the report of a runner that is being updated is read.
 	reportInterval = 200 * time.Millisecond
-	// updateTime is how long one runner may take before others go first.
-	updateTime = 6 * time.Second
-	// resendAfter is how long an order without an answer is given to show.
+	// updateTimeout is how long the update of one runner may take before other runners go
+	// first.
+	updateTimeout = 6 * time.Second
+	// resendAfter is how long to wait for an order to show in the runner's reports before it is
+	// sent again.
 	resendAfter = 600 * time.Millisecond
-	// setBack is how long a runner that could not be ordered is left alone.
-	setBack = 500 * time.Millisecond
-	// updateTimeWeight is the weight of one update in the average of what they last.
-	updateTimeWeight = 0.1
-	// rolloutShare is the part of the weights' deadline within which all runners
-	// are brought to them. Slower rollouts skip more versions where these are named
-	// in quick succession and keep more runners serving, but more requests begin on
-	// old weights (docs/POLICY.md).
-	rolloutShare = 0.5
+	// updateRetryDelay is the delay before the next update of a runner whose last one failed.
+	updateRetryDelay = 500 * time.Millisecond
+	// updateTimeSmoothing is the weight of one update in the moving average of update times.
+	updateTimeSmoothing = 0.1
+	// rolloutDeadlineShare is the fraction of the weights' deadline within which all runners
+	// should be updated. Slower rollouts skip more versions if these are named in quick
+	// succession, and keep more runners serving, but more requests start on old weights
+	// (docs/POLICY.md).
+	rolloutDeadlineShare = 0.5
 )
 
-// rollouts brings runners to the named weights. It is level-triggered: each
-// step compares what is named with what the runners have.
-type rollouts struct {
+// rolloutController updates runners to the target weights. It is level-triggered: each step
+// compares the target versions with those that the runners have.
+type rolloutController struct {
 	gateway *Gateway
 	mutex   sync.Mutex
-	// active holds the runners whose update is under way here.
+	// active holds the runners that this router is updating.
 	active map[string]bool
-	// unanswered holds those of them whose last order got no answer, and that have not
-	// been seen to carry it out since.
+	// unanswered holds the active runners whose last order got no answer and that have not been
+	// seen to carry it out since.
 	unanswered map[string]bool
-	// setBackUntil holds runners that are to be left alone for a while.
-	setBackUntil map[string]time.Time
-	current      term
-	// fenced is the highest token that a runner refused as too low.
-	fenced storerev.Revision
-	// taken is the decaying average of what updates lasted.
-	taken time.Duration
+	// retryAt is when the next update may start, for runners whose last update failed.
+	retryAt     map[string]time.Time
+	currentTerm term
+	// highestFencedToken is the highest token that a runner rejected as too low.
+	highestFencedToken storerev.Revision
+	// meanUpdateTime is the exponential moving average of update times.
+	meanUpdateTime time.Duration
 }
 
-func newRollouts(g *Gateway) *rollouts {
-	return &rollouts{gateway: g, active: map[string]bool{}, unanswered: map[string]bool{}, setBackUntil: map[string]time.Time{}, taken: backend.TypicalUpdateTime}
+func newRolloutController(g *Gateway) *rolloutController {
+	return &rolloutController{gateway: g, active: map[string]bool{}, unanswered: map[string]bool{}, retryAt: map[string]time.Time{}, meanUpdateTime: backend.TypicalUpdateTime}
 }
 
-// outdated counts the runners that have older weights than named.
-func (r *rollouts) outdated() int {
+// countOutdated returns the number of runners with weights older than the target.
+func (r *rolloutController) countOutdated() int {
 	g := r.gateway
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.runners.CountOutdated()
 }
 
-// advance starts the updates that may begin now under the term.
-func (r *rollouts) advance(current term) {
+// startUpdates starts the updates that the planner allows now, under the given term.
+func (r *rolloutController) startUpdates(current term) {
 	g := r.gateway
 	r.mutex.Lock()
-	r.current = current
-	taken := r.taken
+	r.currentTerm = current
+	meanUpdateTime := r.meanUpdateTime
 	r.mutex.Unlock()
 	g.mutex.Lock()
-	groups := g.runners.ModelGroups(r.gateway.now(), taken)
+	groups := g.runners.ModelGroups(r.gateway.now(), meanUpdateTime)
 	g.mutex.Unlock()
 	for _, group := range groups {
 		limits := limitsFor(len(group.Runners), group.MaxConcurrent)
 		model := rollout.Model{Name: group.Model, WeightVersion: strconv.FormatUint(group.Target, 10)}
-		for _, order := range rollout.Plan(limits, []rollout.Model{model}, r.planned(group)) {
-			r.start(order.Runner, group.Model, group.Target)
+		for _, order := range rollout.Plan(limits, []rollout.Model{model}, r.plannerInput(group)) {
+			r.startUpdate(order.Runner, group.Model, group.Target)
 		}
 	}
 }
 
-// limitsFor returns the limits for a service with the number of runners. A
-// runner that is alone cannot wait for another one to serve meanwhile.
-func limitsFor(runners, atOnce int) rollout.Limits {
-	limits := rollout.Limits{MaxLoading: atOnce, MinServingPercent: minServingPercent}
+// limitsFor returns the rollout limits for a service with the given number of runners. A single
+// runner is updated although no other one can serve meanwhile.
+func limitsFor(runners, maxConcurrent int) rollout.Limits {
+	limits := rollout.Limits{MaxLoading: maxConcurrent, MinServingPercent: minServingPercent}
 	if runners == 1 {
 		limits.MinServingPercent = 0
 	}
 	return limits
 }
 
-// planned describes the group's runners to the planner. A runner ahead of the
-// named version counts as having it.
-func (r *rollouts) planned(group backend.ModelGroup) []rollout.Runner {
+// plannerInput describes the group's runners to the planner. A runner with a version above the
+// target counts as up to date.
+func (r *rolloutController) plannerInput(group backend.ModelGroup) []rollout.Runner {
 	now := r.gateway.now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var planned []rollout.Runner
+	var runners []rollout.Runner
 	backend.SortForUpdate(group.Runners)
 	for _, runner := range group.Runners {
 		report := fleet.Report{
-			Runner: runner.ID, State: r.state(now, runner.ID), Connected: true, Model: group.Model,
+			Runner: runner.ID, State: r.runnerState(now, runner.ID), Connected: true, Model: group.Model,
 			WeightVersion: strconv.FormatUint(min(runner.Version, group.Target), 10),
 		}
 		if runner.Expired {
-			// It serves the model to nobody, so nobody misses it while it loads.
+			// It no longer serves the model, so loading takes no capacity away.
 			report.Model = ""
 		}
-		planned = append(planned, rollout.Runner{Name: runner.ID, Leaving: runner.Draining, Report: report})
+		runners = append(runners, rollout.Runner{Name: runner.ID, Leaving: runner.Draining, Report: report})
 	}
-	return planned
+	return runners
 }
 
-// state is what the planner is to take the runner for. One whose order got no answer
-// may take the weights at any moment: it is neither sure to serve nor loading. The
+// runnerState returns the state of the runner for the planner. A runner whose order got no
+// answer may load the weights at any time, so it counts neither as serving nor as loading. The
 // mutex is held.
-func (r *rollouts) state(now time.Time, id string) fleet.State {
+func (r *rolloutController) runnerState(now time.Time, id string) fleet.State {
 	switch {
 	case r.unanswered[id]:
 		return fleet.Unknown
-	case r.active[id] || now.Before(r.setBackUntil[id]):
+	case r.active[id] || now.Before(r.retryAt[id]):
 		return fleet.Loading
 	}
 	return fleet.Serving
 }
 
-func (r *rollouts) setUnanswered(id string, unanswered bool) {
+func (r *rolloutController) setUnanswered(id string, unanswered bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if unanswered {
@@ -141,7 +143,7 @@
 	delete(r.unanswered, id)
 }
 
-func (r *rollouts) start(id, model string, version uint64) {
+func (r *rolloutController) startUpdate(id, model string, version uint64) {
 	g := r.gateway
 	g.mutex.Lock()
 	runner, known := g.runners.Get(id)
@@ -154,51 +156,51 @@
 	r.active[id] = true
 	r.mutex.Unlock()
 	g.spawn(func() {
-		began := r.gateway.now()
-		done := r.update(runner, model, version)
-		g.metrics.weightUpdates.WithLabelValues(outcomeOf(done)).Observe(r.gateway.since(began).Seconds())
+		startedAt := r.gateway.now()
+		done := r.updateRunner(runner, model, version)
+		g.metrics.weightUpdates.WithLabelValues(outcomeLabel(done)).Observe(r.gateway.since(startedAt).Seconds())
 		g.mutex.Lock()
 		g.runners.SetUpdating(id, false)
 		g.mutex.Unlock()
-		r.ended(id, done, r.gateway.since(began))
+		r.finishUpdate(id, done, r.gateway.since(startedAt))
 	})
 }
 
-// ended notes that an update is over, and how long it took.
-func (r *rollouts) ended(id string, done bool, taken time.Duration) {
+// finishUpdate records the end of an update, whether it succeeded and how long it took.
+func (r *rolloutController) finishUpdate(id string, done bool, duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.active, id)
 	delete(r.unanswered, id)
-	delete(r.setBackUntil, id)
+	delete(r.retryAt, id)
 	if !done {
-		r.setBackUntil[id] = r.gateway.now().Add(setBack)
+		r.retryAt[id] = r.gateway.now().Add(updateRetryDelay)
 	}
-	r.taken += time.Duration(updateTimeWeight * float64(taken-r.taken))
+	r.meanUpdateTime += time.Duration(updateTimeSmoothing * float64(duration-r.meanUpdateTime))
 }
 
-// update brings one runner to the version and tells whether it has it.
-func (r *rollouts) update(runner backend.Runner, model string, version uint64) bool {
+// updateRunner updates one runner to the version and reports whether it succeeded.
+func (r *rolloutController) updateRunner(runner backend.Runner, model string, version uint64) bool {
 	g := r.gateway
-	deadline := r.gateway.now().Add(updateTime)
+	deadline := r.gateway.now().Add(updateTimeout)
 	var last lastOrder
 	for r.gateway.now().Before(deadline) {
-		report, err := r.report(runner)
+		report, err := r.fetchReport(runner)
 		if err != nil {
 			g.log.Log(events.RunnerReportFailed, events.Fields{"runner": runner.ID, "address": runner.Address, "error": err.Error()})
 			return false
 		}
-		if r.has(runner, report, model, version) {
+		if r.recordVersions(runner, report, model, version) {
 			return true
 		}
-		if report.Busy {
+		if report.Updating {
 			r.setUnanswered(runner.ID, false)
 		}
-		if !report.Busy && !last.outstanding(g.now(), report) {
-			if !r.order(runner, model, version, report.Orders) {
+		if !report.Updating && !last.isOutstanding(g.now(), report) {
+			if !r.sendOrder(runner, model, version, report.OrdersAccepted) {
 				return false
 			}
-			last = lastOrder{at: r.gateway.now(), incarnation: report.Incarnation, after: report.Orders}
+			last = lastOrder{sentAt: r.gateway.now(), incarnation: report.Incarnation, acceptedBefore: report.OrdersAccepted}
 		}
 		if !g.pause(reportInterval) {
 			return false
@@ -207,28 +209,30 @@
 	return false
 }
 
-// lastOrder is the last order of an update; the zero value is none.
+// lastOrder is the last order of an update. The zero value means none.
 type lastOrder struct {
-	at time.Time
-	// incarnation is the one that was ordered, and after the orders that it had taken.
-	incarnation uint64
-	after       uint64
+	sentAt time.Time
+	// incarnation is the incarnation of the runner that was ordered, and acceptedBefore the
+	// number of orders that it had accepted before.
+	incarnation    uint64
+	acceptedBefore uint64
 }
 
-// outstanding tells whether the order may still be on its way. One to an earlier incarnation
-// is not: it never shows.
-func (o lastOrder) outstanding(now time.Time, report RunnerReport) bool {
-	return !o.at.IsZero() && report.Incarnation == o.incarnation && report.Orders <= o.after && now.Sub(o.at) < resendAfter
+// isOutstanding reports whether the order may still arrive. An order to an earlier incarnation
+// never shows in reports, so it is not outstanding.
+func (o lastOrder) isOutstanding(now time.Time, report RunnerReport) bool {
+	return !o.sentAt.IsZero() && report.Incarnation == o.incarnation && report.OrdersAccepted <= o.acceptedBefore && now.Sub(o.sentAt) < resendAfter
 }
 
-func (r *rollouts) report(runner backend.Runner) (RunnerReport, error) {
-	ctx, cancel := context.WithTimeout(r.gateway.ctx, reportTime)
+func (r *rolloutController) fetchReport(runner backend.Runner) (RunnerReport, error) {
+	ctx, cancel := context.WithTimeout(r.gateway.ctx, reportTimeout)
 	defer cancel()
 	return r.gateway.ports.Runners.Report(ctx, runner)
 }
 
-// has notes the versions of the report and tells whether the runner is there.
-func (r *rollouts) has(runner backend.Runner, report RunnerReport, model string, version uint64) bool {
+// recordVersions records the versions in the report and reports whether the runner has the
+// given version or a later one, with no order in progress.
+func (r *rolloutController) recordVersions(runner backend.Runner, report RunnerReport, model string, version uint64) bool {
 	g := r.gateway
 	for _, held := range report.Models {
 		if held.Name != model {
@@ -237,7 +241,7 @@
 		g.mutex.Lock()
 		g.runners.LearnVersion(runner.ID, model, held.Version)
 		g.mutex.Unlock()
-		if held.Version >= version && !report.Busy {
+		if held.Version >= version && !report.Updating {
 			g.log.Log(events.RunnerWeightsChanged, events.Fields{"runner": runner.ID, "model": model, "version": held.Version})
 			return true
 		}
@@ -245,28 +249,28 @@
 	return false
 }
 
-// order sends one order under the current term and tells whether to go on.
-func (r *rollouts) order(runner backend.Runner, model string, version, ordersTaken uint64) bool {
+// sendOrder sends one order under the current term and reports whether the update may continue.
+func (r *rolloutController) sendOrder(runner backend.Runner, model string, version, ordersAccepted uint64) bool {
 	g := r.gateway
 	r.mutex.Lock()
-	current := r.current
+	current := r.currentTerm
 	r.mutex.Unlock()
-	left := g.until(current.until)
-	if left <= 0 {
+	remaining := g.until(current.validUntil)
+	if remaining <= 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, left)
+	ctx, cancel := context.WithTimeout(g.ctx, remaining)
 	defer cancel()
 	outcome, err := g.ports.Runners.Order(ctx, runner, WeightOrder{
-		Model: model, Version: version, Holder: current.holder, Token: current.token, ExpectedOrders: ordersTaken, KeepRunning: !g.settings.AwaitRunning,
+		Model: model, Version: version, Holder: current.holder, Token: current.token, ExpectedOrders: ordersAccepted, KeepRunning: !g.settings.AwaitRunning,
 	})
-	fields := events.Fields{"runner": runner.ID, "model": model, "version": version, "token": current.token, "expected": ordersTaken, "outcome": outcome.String()}
+	fields := events.Fields{"runner": runner.ID, "model": model, "version": version, "token": current.token, "expected": ordersAccepted, "outcome": outcome.String()}
 	g.metrics.orders.WithLabelValues(outcome.String()).Inc()
 	if err != nil {
 		fields["error"] = err.Error()
 	}
 	if outcome == OrderFenced {
-		r.end(current)
+		r.endTerm(current)
 	}
 	if outcome == OrderFenced || outcome == OrderInvalid {
 		g.log.Log(events.OrderRefused, fields)
@@ -277,20 +281,20 @@
 	return true
 }
 
-// end ends a term whose token a runner refused: another router has had the
-// lease since. Nothing more is ordered under it.
-func (r *rollouts) end(refused term) {
+// endTerm ends a term whose token a runner rejected, which means that another router has held
+// the lease since. No more orders are sent under it.
+func (r *rolloutController) endTerm(refused term) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.fenced = max(r.fenced, refused.token)
-	if r.current.token == refused.token {
-		r.current = term{}
+	r.highestFencedToken = max(r.highestFencedToken, refused.token)
+	if r.currentTerm.token == refused.token {
+		r.currentTerm = term{}
 	}
 }
 
-// refused tells whether a runner refused the token as too low.
-func (r *rollouts) refused(token storerev.Revision) bool {
+// isFenced reports whether a runner has rejected the token, or a higher one, as too low.
+func (r *rolloutController) isFenced(token storerev.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return token <= r.fenced
+	return token <= r.highestFencedToken
 }
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -98,7 +98,7 @@
 	liveness := e.ask(runner)
 	e.gateway.metrics.runnerChecks.WithLabelValues(runner.Service, liveness.String()).Inc()
 	switch liveness {
-	case RunnerRuns:
+	case RunnerRunning:
 		e.mutex.Lock()
 		e.work.RunnerAlive(asked, startOf(runner))
 		e.mutex.Unlock()
@@ -113,7 +113,7 @@
 	e.mutex.Lock()
 	runs := e.work.RunnerCrashed(now, startOf(runner))
 	e.mutex.Unlock()
-	e.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
+	e.gateway.metrics.requestsAtRunnerEnd.WithLabelValues(runner.Service).Observe(float64(len(runs)))
 	e.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
--- a/internal/gateway/runnerports.go
+++ b/internal/gateway/runnerports.go
@@ -7,50 +7,51 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// RunnerReport is a runner's own word on its state.
+// RunnerReport is the state that a runner reports about itself.
 type RunnerReport struct {
 	Models []backend.ModelVersion
-	// Busy is true while an order is under way.
-	Busy bool
-	// Orders counts the orders taken since the runner started.
-	Orders uint64
-	// Incarnation is that of the directory, 0 when the runner does not tell.
+	// Updating is set while an order is in progress.
+	Updating bool
+	// OrdersAccepted is the number of orders accepted since the runner started.
+	OrdersAccepted uint64
+	// Incarnation is the incarnation as in the directory, 0 if the runner does not report it.
 	Incarnation uint64
-	// Queued and Running count requests.
+	// Queued and Running are numbers of requests.
 	Queued  int
 	Running int
 }
 
-// WeightOrder tells a runner to take a version of a model's weights.
+// WeightOrder orders a runner to load a version of a model's weights.
 type WeightOrder struct {
 	Model   string
 	Version uint64
-	// Holder and Token are the lease's holder and fencing token.
+	// Holder and Token are the holder and the fencing token of the lease.
 	Holder string
 	Token  storerev.Revision
-	// ExpectedOrders is the number of orders taken at which it is to be carried out.
+	// ExpectedOrders is the number of orders that the runner must have accepted before.
+	// Otherwise it rejects this one.
 	ExpectedOrders uint64
-	// KeepRunning lets running requests go on under the new weights instead of
-	// being awaited.
+	// KeepRunning lets running requests continue with the new weights, instead of waiting for
+	// them to finish.
 	KeepRunning bool
 }
 
-// OrderOutcome is a runner's answer to an order.
+// OrderOutcome is the result of an order.
 type OrderOutcome uint8
 
 // The outcomes of an order.
 const (
-	// OrderUnknown means that no answer came; it may still be carried out.
+	// OrderUnknown means that there was no answer. The order may still be carried out.
 	OrderUnknown OrderOutcome = iota
-	// OrderTaken means that it is under way.
-	OrderTaken
-	// OrderHolds means that the runner has the version already.
-	OrderHolds
-	// OrderConflict means that another order came first.
+	// OrderAccepted means that the order is in progress.
+	OrderAccepted
+	// OrderAlreadyApplied means that the runner already has the version.
+	OrderAlreadyApplied
+	// OrderConflict means that the runner had accepted another order first.
 	OrderConflict
-	// OrderFenced means that a higher fencing token was seen.
+	// OrderFenced means that the runner has seen a higher fencing token.
 	OrderFenced
-	// OrderInvalid means that the runner will not take it.
+	// OrderInvalid means that the runner rejects the order for another reason.
 	OrderInvalid
 )
 
@@ -59,30 +60,32 @@
 	return [...]string{"unknown", "taken", "holds", "conflict", "fenced", "invalid"}[o]
 }
 
-// RunnerLiveness is whether one start of a runner still runs.
+// RunnerLiveness tells whether an incarnation of a runner is still running.
 type RunnerLiveness uint8
 
-// The answers to whether a runner runs.
+// The results of a liveness check.
 const (
-	// RunnerUnknown means that nothing answered, or not in a way that tells.
+	// RunnerUnknown means that there was no answer, or none that settles it.
 	RunnerUnknown RunnerLiveness = iota
-	// RunnerRuns means its own word.
-	RunnerRuns
-	// RunnerEnded means that nobody listens at its address, or another runner or start of it.
+	// RunnerRunning means that the runner itself answered.
+	RunnerRunning
+	// RunnerEnded means that nothing listens at the runner's address, or that another runner or
+	// another incarnation of it does.
 	RunnerEnded
 )
 
-// String returns the answer's name.
+// String returns the name of the result.
 func (l RunnerLiveness) String() string {
 	return [...]string{"unknown", "runs", "ended"}[l]
 }
 
-// RunnerControl reads and orders runners.
+// RunnerControl reads the state of runners and orders them to load weights.
 type RunnerControl interface {
-	// Liveness asks, on a new connection, whether this start of the runner still runs.
+	// Liveness checks, over a new connection, whether this incarnation of the runner is still
+	// running.
 	Liveness(ctx context.Context, runner backend.Runner) RunnerLiveness
 	Report(ctx context.Context, runner backend.Runner) (RunnerReport, error)
 	Order(ctx context.Context, runner backend.Runner, order WeightOrder) (OrderOutcome, error)
-	// CacheStoreAnswers tells whether a store of kept cache answers at all.
-	CacheStoreAnswers(ctx context.Context, address string) bool
+	// CacheStoreAvailable reports whether the cache store at the address responds.
+	CacheStoreAvailable(ctx context.Context, address string) bool
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -68,7 +68,7 @@
 // there are.
 func (s *schedulers) place(envelope *wire.Envelope, ask *wire.RunnerAsk) *wire.RunnerAnswer {
 	g, now := s.gateway, s.gateway.now()
-	if g.draining.Load() || !g.proven(now) || g.copies.behind(now, usableFor(g.settings.ConfigLease)) || !s.places() {
+	if g.draining.Load() || !g.configIsProven(now) || g.copies.behind(now, validAfterProof(g.settings.ConfigLease)) || !s.places() {
 		return &wire.RunnerAnswer{Declined: true}
 	}
 	query := queryOf(ask)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -56,7 +56,7 @@
 	}
 	if c.request.Attempt() > 0 && !c.request.MayHaveRun() && slices.Contains(query.Excluded, chosen.Candidate.Name) {
 		g.schedulers.release(c.placed)
-		g.metrics.retries.WithLabelValues(c.service, retryNoBackend).Inc()
+		g.metrics.retries.WithLabelValues(c.service, retryNoRunner).Inc()
 		return backend.Runner{}, unavailable("all runners have refused", busyRetryAfter)
 	}
 	switch {
@@ -69,7 +69,7 @@
 	runner, _ := g.runners.Get(chosen.Candidate.Name)
 	c.takePermit(now, runner.ID)
 	c.weights = g.runners.WeightVersion(runner.ID, query.Model)
-	g.metrics.placed(query, chosen.Candidate.CachedTokens)
+	g.metrics.countPlacement(query, chosen.Candidate.CachedTokens)
 	c.note(events.RequestSent, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "attempt": c.request.Attempt() + 1, "weights": c.weights,
 		"expected_wait_ms": chosen.Wait.Milliseconds(), "cached_tokens": chosen.Candidate.CachedTokens, "prompt_tokens": query.PromptTokens,
@@ -101,12 +101,12 @@
 func (c *call) choose(now time.Time, choice *placed) (chosen placement.Pick, by string) {
 	g := c.gateway
 	if chosen, taken := c.takePlaced(now, choice); taken {
-		g.metrics.choices.WithLabelValues(chosenByScheduler).Inc()
+		g.metrics.runnerChoices.WithLabelValues(chosenByScheduler).Inc()
 		return chosen, choice.scheduler
 	}
-	g.metrics.choices.WithLabelValues(chosenHere).Inc()
+	g.metrics.runnerChoices.WithLabelValues(chosenLocally).Inc()
 	chosen, c.limit, c.forShare = g.decide(now, c.query, c.deadline.Sub(now))
-	return chosen, chosenHere
+	return chosen, chosenLocally
 }
 
 // send makes one attempt at the picked runner and relays its answer.
@@ -191,7 +191,7 @@
 	}
 	now := g.now()
 	if g.runners.IsLimited(c.runner.ID) {
-		g.metrics.limitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitAt))
+		g.metrics.observeLimitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitAt))
 	}
 	return g.runners.MaySend(now, c.runner.ID, c.query, c.weights, c.permit)
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -6,79 +6,79 @@
 	"time"
 )
 
-// Settings are what a gateway process is started with.
+// Settings are the settings with which a gateway process is started.
 type Settings struct {
 	Node string
 	Zone string
-	// CallerAddress and ReadyAddress are the IP:ports for callers and for the
+	// CallerAddress and ReadyAddress are the IP:ports to listen on for callers and for the
 	// readiness check.
 	CallerAddress string
 	ReadyAddress  string
-	// MetricsAddress serves the counters; empty serves none.
+	// MetricsAddress is the IP:port to serve metrics and status on; empty disables both.
 	MetricsAddress string
-	// PeerAddress is the IP:port for other routers; empty serves none and
-	// makes this router read the store itself.
+	// PeerAddress is the IP:port at which other routers reach this one. If it is empty, this
+	// router does not serve others and reads the store itself.
 	PeerAddress string
-	// PeerBindAddress is the IP:port to listen at for other routers when they reach this
-	// one at another, as behind a port forward; empty stands for PeerAddress.
+	// PeerBindAddress is the IP:port to listen on for other routers if it differs from
+	// PeerAddress, for example behind a port forward. Empty means PeerAddress.
 	PeerBindAddress string
-	// Seeds are peer addresses of routers that read the store for others. They
-	// may be down or out of date.
+	// Seeds are the peer addresses of the routers that read the store on behalf of others. They
+	// may be down or outdated.
 	Seeds []string
-	// FirstStart is true when the whole system starts for the first time.
+	// FirstStart is set if the whole system is started for the first time.
 	FirstStart bool
-	// DirectFollowers is how many routers a seed answers before it refers others to
-	// relays of their zones.
+	// DirectFollowers is the number of routers that a seed serves itself before it refers
+	// others to relays in their zones.
 	DirectFollowers int
-	// CPUShare is this machine's share of a core, and LinkMegabits its link's speed in
-	// Mbit/s; 0 means that they are not known.
+	// CPUShare is the share of a core that this machine has, and LinkMegabits the speed of its
+	// link in Mbit/s. 0 means unknown.
 	CPUShare     float64
 	LinkMegabits float64
 	// StoreAddress is the IP:port of the store.
 	StoreAddress string
-	// ConfigLease is how long a configuration may be used for requests with a
-	// key after the call that proved it was sent.
+	// ConfigLease is how long a configuration may be used for requests with an API key, counted
+	// from when the call that proved it was sent.
 	ConfigLease time.Duration
-	// DrainGrace is the time between the signal to stop and the end.
+	// DrainGrace is the time from the stop signal to the end of the process.
 	DrainGrace time.Duration
-	// WeightDeadline is the time within which named weights replace older ones.
+	// WeightDeadline is the time after which newly named weights must have replaced older ones.
 	WeightDeadline time.Duration
-	// WeightGrace is how long after newer weights were named older ones are as
-	// good as these.
+	// WeightGrace is how long older weights count as equal to newer ones after the newer ones
+	// were named.
 	WeightGrace time.Duration
-	// SettleTime is how long after its start a router may use older weights
-	// whose naming it has not seen.
+	// SettleTime is how long after its start a router may use older weights if it does not know
+	// when newer ones were named.
 	SettleTime time.Duration
-	// StartWait is how long a call may wait at a router that has just started until
+	// StartWait is how long a call may wait at a router that has just started, until
 	// configuration and runners are known.
 	StartWait time.Duration
-	// PlacePatience is the longest wait of a call for a scheduler's choice, beyond the
-	// arrival of its body.
+	// PlacePatience is the maximum time that a call waits for a scheduler's choice once its
+	// body has arrived.
 	PlacePatience time.Duration
-	// AwaitRunning makes a runner finish its running requests before it takes
-	// new weights; otherwise they go on under the new weights.
+	// AwaitRunning makes a runner finish its running requests before it loads new weights.
+	// Otherwise these requests continue with the new weights.
 	AwaitRunning bool
-	// CopyRuns lets runners copy the memory of streams that may not be repeated
-	// to another runner as they grow, so that the stream survives its runner. Off
-	// by default: the copies take as much memory as the runs, which pushes shared
-	// prompt parts out (docs/POLICY.md has what they cost and save).
+	// CopyRuns lets runners copy the state of streams that may not be repeated to another
+	// runner while they grow, so that the stream survives the loss of its runner. It is off by
+	// default: the copies take as much memory as the runs, which evicts shared prompt parts
+	// (docs/POLICY.md has the costs and savings).
 	CopyRuns bool
-	// LeaseGap is the least time between the orders of two lease holders.
+	// LeaseGap is the minimum time between the orders of two lease holders.
 	LeaseGap time.Duration
-	// RetryShare is the share of requests that all routers together may send a
-	// second time, and RetryReserve how many this one may send at once when
-	// there is little traffic.
+	// RetryShare is the fraction of requests that all routers together may retry, and
+	// RetryReserve the number of retries that this router may make at once when there is little
+	// traffic.
 	RetryShare   float64
 	RetryReserve float64
-	// QuotaWindow is the time over which a tenant's limit is judged: what is larger
-	// than the limit allows within it can never be served.
+	// QuotaWindow is the time over which a tenant's quota is enforced. A request that needs
+	// more than the quota allows within this time can never be served.
 	QuotaWindow time.Duration
-	// RetrySlack is how many all routers together may send in this way; 0 sets
-	// no common bound.
+	// RetrySlack is the number of retries that all routers together may make at once beyond
+	// RetryShare. 0 disables the common limit.
 	RetrySlack float64
 }
 
-// Defaults of settings that are not given.
+// Defaults of the settings.
 const (
 	defaultConfigLease    = 5 * time.Second
 	defaultDrainGrace     = 8 * time.Second
@@ -86,32 +86,30 @@
 	defaultWeightGrace    = 1500 * time.Millisecond
 	defaultSettleTime     = 3 * time.Second
 	defaultLeaseGap       = 3 * time.Second
-	// defaultStartWait: a router whose seeds are silent has read the store 0.12 s
-	// after its start, and half of the 0.3 s in which the quickest routes are to
-	// answer is left.
+	// A router whose seeds do not respond has read the store 0.12 s after its start. This
+	// leaves half of the 0.3 s within which the fastest routes must respond.
 	defaultStartWait = 150 * time.Millisecond
-	// defaultPlacePatience: an answer takes 0.2 to 2 ms, and the quickest routes are to
-	// answer within 120 ms. Farther schedulers are of no use.
+	// A response takes 0.2 to 2 ms, and the fastest routes must respond within 120 ms.
+	// Schedulers farther away than this are of no use.
 	defaultPlacePatience = 10 * time.Millisecond
-	// defaultDirectFollowers: a fleet of 69 routers has 22 for each of three seeds and
-	// needs no second level.
+	// A deployment of 69 routers has 22 for each of three seeds and needs no second level.
 	defaultDirectFollowers = 24
 	defaultRetryShare      = 0.2
 	defaultRetryReserve    = 5
 	defaultQuotaWindow     = 8 * time.Second
 )
 
-// SetDefaults fills in what is not given.
+// SetDefaults sets the fields that are zero to their defaults.
 func (s *Settings) SetDefaults() {
-	setDuration(&s.ConfigLease, defaultConfigLease)
-	setDuration(&s.DrainGrace, defaultDrainGrace)
-	setDuration(&s.WeightDeadline, defaultWeightDeadline)
-	setDuration(&s.WeightGrace, defaultWeightGrace)
-	setDuration(&s.SettleTime, defaultSettleTime)
-	setDuration(&s.LeaseGap, defaultLeaseGap)
-	setDuration(&s.QuotaWindow, defaultQuotaWindow)
-	setDuration(&s.StartWait, defaultStartWait)
-	setDuration(&s.PlacePatience, defaultPlacePatience)
+	setDefaultDuration(&s.ConfigLease, defaultConfigLease)
+	setDefaultDuration(&s.DrainGrace, defaultDrainGrace)
+	setDefaultDuration(&s.WeightDeadline, defaultWeightDeadline)
+	setDefaultDuration(&s.WeightGrace, defaultWeightGrace)
+	setDefaultDuration(&s.SettleTime, defaultSettleTime)
+	setDefaultDuration(&s.LeaseGap, defaultLeaseGap)
+	setDefaultDuration(&s.QuotaWindow, defaultQuotaWindow)
+	setDefaultDuration(&s.StartWait, defaultStartWait)
+	setDefaultDuration(&s.PlacePatience, defaultPlacePatience)
 	if s.DirectFollowers == 0 {
 		s.DirectFollowers = defaultDirectFollowers
 	}
@@ -123,35 +121,36 @@
 	}
 }
 
-// What answering one follower takes, and the part of a machine that it may take.
+// Resources that one follower needs, and the fraction of a machine that all of them may use.
 const (
-	// relayShare is the part of the processor and of the link for followers.
-	relayShare = 0.05
-	// followerCPU is the share of a core for one follower: 7 pulls a second of an
-	// estimated 0.1 ms.
-	followerCPU = 0.0007
-	// followerMegabits is what one follower is sent, in Mbit/s: an estimated 10 KB/s
-	// of prompt parts and changes.
-	followerMegabits = 0.08
-	// unknownCapacity is for machines that the settings do not describe.
-	unknownCapacity = 16
+	// relayResourceShare is the fraction of the CPU and of the link that may be used for
+	// followers.
+	relayResourceShare = 0.05
+	// cpuPerFollower is the share of a core needed for one follower: 7 pulls per second at an
+	// estimated 0.1 ms each.
+	cpuPerFollower = 0.0007
+	// megabitsPerFollower is the traffic to one follower in Mbit/s: an estimated 10 KB/s of
+	// prompt parts and changes.
+	megabitsPerFollower = 0.08
+	// defaultRelayCapacity is used for machines whose CPU and link are not in the settings.
+	defaultRelayCapacity = 16
 )
 
-// relayCapacity is how many routers this one could pass changes on to.
+// relayCapacity returns the number of routers to which this one can relay changes.
 func (s *Settings) relayCapacity() int {
 	if s.CPUShare <= 0 || s.LinkMegabits <= 0 {
-		return unknownCapacity
+		return defaultRelayCapacity
 	}
-	return max(1, int(relayShare*min(s.CPUShare/followerCPU, s.LinkMegabits/followerMegabits)))
+	return max(1, int(relayResourceShare*min(s.CPUShare/cpuPerFollower, s.LinkMegabits/megabitsPerFollower)))
 }
 
-func setDuration(field *time.Duration, value time.Duration) {
+func setDefaultDuration(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-// Check returns all faults of the settings.
+// Check returns all errors in the settings.
 func (s *Settings) Check() []string {
 	var faults []string
 	if s.Node == "" {
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -19,7 +19,7 @@
 	gateway *Gateway
 	tracker *fairshare.Tracker
 	// weighed is the configuration whose weights are in force.
-	weighed *view
+	weighed *activeConfig
 	// told holds the tenants that schedulers named as beyond their share, by service and
 	// name, of the configuration in force at most.
 	told map[string]toldExcess
@@ -43,7 +43,7 @@
 // shared tells whether there is anybody to share with, and takes over the weights of the
 // configuration.
 func (s *shares) shared() bool {
-	current := s.gateway.view.Load()
+	current := s.gateway.activeConfig.Load()
 	if current == nil || len(current.table.TenantWeights()) < 2 {
 		return false
 	}
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -29,12 +29,12 @@
 	g.settings.Zone = "z"
 	g.metrics = newMetrics(g)
 	g.schedulers, g.shares = newSchedulers(g), newShares(g)
-	g.order = admission.NewLoadShedder(g.random)
+	g.loadShedder = admission.NewLoadShedder(g.random)
 	config := &routing.Config{Version: 1}
 	for _, tenant := range tenants {
 		config.Tenants = append(config.Tenants, routing.Tenant{Name: tenant, Keys: []string{tenant}})
 	}
-	g.view.Store(&view{table: routing.NewTable(config)})
+	g.activeConfig.Store(&activeConfig{table: routing.NewTable(config)})
 	for i := range busyRunners {
 		g.runners.Put(backend.Runner{ID: fmt.Sprint(i), Service: busyService, Slots: 16, Zone: "z"})
 	}
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -54,7 +54,7 @@
 	}
 	g.mutex.Unlock()
 	for range answer.Signals.Malformed {
-		g.metrics.signals.WithLabelValues(c.service, signalUnreadable).Inc()
+		g.metrics.runnerSignals.WithLabelValues(c.service, signalUnreadable).Inc()
 	}
 	if logged {
 		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.facts.ID})
@@ -66,7 +66,7 @@
 
 // heard notes what is new.
 func (s *signals) heard(runner backend.Runner, service string, heard backpressure.Changes, said backpressure.Signals, request string) {
-	counted := s.gateway.metrics.signals
+	counted := s.gateway.metrics.runnerSignals
 	for name, isNew := range map[string]bool{signalLeaving: heard.Leaving, signalLimit: heard.Limit, signalRest: heard.Backoff} {
 		if isNew {
 			counted.WithLabelValues(service, name).Inc()
@@ -134,7 +134,7 @@
 	if !pull.GetWantsSignals() {
 		return nil
 	}
-	feed, through := uint64(s.gateway.started.UnixMilli()), pull.GetSignalsThrough()
+	feed, through := uint64(s.gateway.startedAt.UnixMilli()), pull.GetSignalsThrough()
 	if pull.GetSignalsFeed() != feed {
 		through = 0
 	}
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// startTime is how long after its start a router lets calls wait until it can
-// serve them. One that knows nothing by then does not reach anybody.
-const startTime = time.Second
+// startupPeriod is the time after the start of a router during which it lets calls wait until
+// it can serve them. A router that knows nothing after this time cannot reach any source.
+const startupPeriod = time.Second
 
-// startup tells when a started router knows enough to serve.
+// startup signals that a newly started router knows enough to serve calls.
 type startup struct {
 	once sync.Once
-	// done is closed when configuration and runners are known.
-	done chan struct{}
+	// ready is closed when configuration and runners are known.
+	ready chan struct{}
 }
 
-func newStartup() *startup { return &startup{done: make(chan struct{})} }
+func newStartup() *startup { return &startup{ready: make(chan struct{})} }
 
-func (s *startup) finish() { s.once.Do(func() { close(s.done) }) }
+func (s *startup) markReady() { s.once.Do(func() { close(s.ready) }) }
 
-// awaitStart lets a call wait while the router has just started and knows
-// neither configuration nor runners yet. After the loss of all routers callers
-// come back at once, and many may do so only once: a refusal is their last answer.
-func (g *Gateway) awaitStart(ctx context.Context, arrived time.Time) {
-	left := min(g.settings.StartWait, g.started.Add(startTime).Sub(arrived))
-	if left <= 0 {
+// waitForStartup makes a call wait while the router has just started and does not yet know
+// configuration and runners. After the loss of all routers, callers return at once, and many
+// may retry only once, so a refusal would be their final response.
+func (g *Gateway) waitForStartup(ctx context.Context, arrived time.Time) {
+	remaining := min(g.settings.StartWait, g.startedAt.Add(startupPeriod).Sub(arrived))
+	if remaining <= 0 {
 		return
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
-	case <-g.startup.done:
+	case <-g.startup.ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -76,7 +76,7 @@
 	}()
 	began := g.now()
 	for attempt := 0; g.since(began) < transferTime; attempt++ {
-		if t.askAny(g.relays.transferSources(), attempt > 0) || !g.backOff(attempt, transferFirstRetry, transferLastRetry) {
+		if t.askAny(g.relays.transferSources(), attempt > 0) || !g.backoff(attempt, transferFirstRetry, transferLastRetry) {
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 // answer returns this router's copies.
 func (t *stateTransfer) answer(pull *wire.CopyPull) *wire.CopyAnswer {
 	g := t.gateway
-	current := g.view.Load()
+	current := g.activeConfig.Load()
 	answer := &wire.CopyAnswer{Zone: g.settings.Zone, Proven: current != nil && !current.provenAt.IsZero(), StoreOnly: t.running.Load()}
 	if !answer.Proven || answer.StoreOnly {
 		return answer
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -8,61 +8,63 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// StatusPath is the path of the status, beside the counters.
+// StatusPath is the path of the status, served next to the metrics.
 const StatusPath = "/status"
 
-// Status is what a router believes at one moment, for operators.
+// Status is a snapshot of a router's state, for operators.
 type Status struct {
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
 	Draining bool   `json:"draining"`
-	// ConfigVersion and ConfigRevision are those in force, 0 without one.
+	// ConfigVersion and ConfigRevision are those of the configuration in force, 0 without one.
 	ConfigVersion  uint64 `json:"configVersion"`
 	ConfigRevision uint64 `json:"configRevision"`
-	// StoreEra is the newest era of the store that the router knows of, 0 before any.
+	// StoreEra is the newest known era of the store, 0 if none is known.
 	StoreEra uint64 `json:"storeEra"`
-	// ProofAgeMillis is the age of the proof of the configuration, -1 without one.
+	// ProofAgeMillis is the age of the configuration's proof, -1 without one.
 	ProofAgeMillis int64 `json:"proofAgeMillis"`
-	// Proven tells whether requests with a key are served.
+	// Proven is set if the proof is recent enough to serve requests with an API key.
 	Proven bool `json:"proven"`
-	// DirectoryRevision is the revision of the list of runners.
+	// DirectoryRevision is the revision of the directory of runners.
 	DirectoryRevision uint64 `json:"directoryRevision"`
-	// ReadsStore tells whether the router reads the store itself; otherwise
-	// Source is the router that it learned from last, if any.
+	// ReadsStore is set if the router reads the store itself. Otherwise, Source is the router
+	// from which it last received changes, if any.
 	ReadsStore bool   `json:"readsStore"`
 	Source     string `json:"source,omitempty"`
-	// LeaseToken is the fencing token while this router orders runners, or 0.
+	// LeaseToken is the fencing token while this router holds the lease on ordering runners,
+	// otherwise 0.
 	LeaseToken uint64                  `json:"leaseToken"`
 	Weights    map[string]uint64       `json:"weights"`
 	Runners    []backend.RunnerSummary `json:"runners"`
-	// BeyondShare are the tenants farthest beyond their fair shares of short services,
-	// as far as this router knows; routers that place no requests know of none.
+	// BeyondShare lists the known tenants that exceed their fair shares of overloaded services
+	// the most. It is empty on routers that place no requests.
 	BeyondShare []BeyondShare `json:"beyondShare,omitempty"`
-	// Quarantined are the contents that are not sent, at most mostQuarantined of them.
+	// Quarantined lists up to maxQuarantinedInStatus quarantined contents.
 	Quarantined []QuarantinedContent `json:"quarantined,omitempty"`
 }
 
-// mostQuarantined bounds the contents in the status.
-const mostQuarantined = 20
+// maxQuarantinedInStatus bounds the number of quarantined contents in the status.
+const maxQuarantinedInStatus = 20
 
-// QuarantinedContent is a content that is not sent any more.
+// QuarantinedContent is a request content that is no longer sent to runners.
 type QuarantinedContent struct {
 	Content string `json:"content"`
 	Tenant  string `json:"tenant"`
-	// Runners are those that ended under it, and LeftMillis the rest of the quarantine.
-	Runners    []string `json:"runners"`
-	LeftMillis int64    `json:"leftMillis"`
+	// Runners are the runners that ended while running the content, and RemainingMillis the
+	// remaining time of the quarantine.
+	Runners         []string `json:"runners"`
+	RemainingMillis int64    `json:"leftMillis"`
 }
 
-// Status returns what the router believes now.
+// Status returns the current state of the router.
 func (g *Gateway) Status() Status {
 	now := g.now()
 	status := Status{
 		Node: g.settings.Node, Zone: g.settings.Zone, Draining: g.draining.Load(), ProofAgeMillis: -1,
-		Proven: g.proven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.era.newest(), ReadsStore: g.direct.on(),
+		Proven: g.configIsProven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.era.newest(), ReadsStore: g.directReads.on(),
 		LeaseToken: g.leaseToken.Load(),
 	}
-	if current := g.view.Load(); current != nil {
+	if current := g.activeConfig.Load(); current != nil {
 		status.ConfigVersion, status.ConfigRevision = current.table.Version, current.revision.Number()
 		if !current.provenAt.IsZero() {
 			status.ProofAgeMillis = now.Sub(current.provenAt).Milliseconds()
@@ -82,6 +84,6 @@
 
 func (g *Gateway) serveStatus(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/json")
-	// A reader that has gone is no fault of the router's.
+	// The client may have disconnected, which is no error of the router.
 	_ = json.NewEncoder(writer).Encode(g.Status())
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -9,40 +9,40 @@
 
 // Times of a planned stop.
 const (
-	// lingerTime is how long new requests are still taken after the signal, so
+	// drainAcceptTime is how long new requests are still accepted after the stop signal, so
 	// that the platform notices that this router is no longer ready.
-	lingerTime = 3 * time.Second
-	// stopMargin is left of the grace when open requests are cut.
-	stopMargin = 150 * time.Millisecond
+	drainAcceptTime = 3 * time.Second
+	// shutdownMargin is the part of the grace time that is left when open requests are aborted.
+	shutdownMargin = 150 * time.Millisecond
 )
 
-// Stop ends the gateway as planned: it is not ready any more, serves what
-// comes for a while, finishes all open requests and returns.
+// Stop stops the gateway gracefully. It reports itself as not ready, accepts requests for a
+// while, and then waits for open requests to finish, up to the end of the grace time.
 func (g *Gateway) Stop() {
-	began := time.Now()
+	startedAt := time.Now()
 	g.draining.Store(true)
 	g.log.Log(events.GatewayDraining, events.Fields{"grace_ms": g.settings.DrainGrace.Milliseconds()})
-	time.Sleep(min(lingerTime, g.settings.DrainGrace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(g.settings.DrainGrace-stopMargin))
+	time.Sleep(min(drainAcceptTime, g.settings.DrainGrace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(g.settings.DrainGrace-shutdownMargin))
 	defer cancel()
-	err := g.callers.Shutdown(ctx)
-	g.end()
-	g.log.Log(events.GatewayStopped, events.Fields{"after_ms": time.Since(began).Milliseconds(), "cut": err != nil})
+	err := g.callerServer.Shutdown(ctx)
+	g.shutDown()
+	g.log.Log(events.GatewayStopped, events.Fields{"after_ms": time.Since(startedAt).Milliseconds(), "cut": err != nil})
 }
 
-// Kill ends the gateway at once, as a crash would.
+// Kill stops the gateway at once, as a crash would.
 func (g *Gateway) Kill() {
-	g.end()
-	g.group.Wait()
+	g.shutDown()
+	g.goroutines.Wait()
 }
 
-// end stops the loops and closes everything that listens.
-func (g *Gateway) end() {
+// shutDown stops the background tasks and closes all servers.
+func (g *Gateway) shutDown() {
 	g.cancel()
-	g.callers.Close()
-	g.readiness.Close()
+	g.callerServer.Close()
+	g.readinessServer.Close()
 	g.relays.close()
-	if g.figures != nil {
-		g.figures.Close()
+	if g.metricsServer != nil {
+		g.metricsServer.Close()
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -169,7 +169,7 @@
 	g := s.gateway
 	first := record.Crashes[max(len(record.Crashes)-verdict.Crashes, 0)]
 	g.metrics.quarantines.Inc()
-	g.metrics.quarantineTimes.Observe(now.Sub(first.DetectedAt).Seconds())
+	g.metrics.quarantineDelays.Observe(now.Sub(first.DetectedAt).Seconds())
 	g.log.Log(events.ContentQuarantined, events.Fields{
 		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": verdict.Crashes, "runners": endedRunners(record),
 		"after_ms": now.Sub(first.DetectedAt).Milliseconds(), "for_ms": verdict.Until.Sub(now).Milliseconds(),
@@ -200,7 +200,7 @@
 	if !pull.GetWantsSuspects() {
 		return nil
 	}
-	feed, through := uint64(s.gateway.started.UnixMilli()), pull.GetSuspectsThrough()
+	feed, through := uint64(s.gateway.startedAt.UnixMilli()), pull.GetSuspectsThrough()
 	if pull.GetSuspectsFeed() != feed {
 		through = 0
 	}
@@ -256,10 +256,10 @@
 func (s *suspects) summary(now time.Time) (summary []QuarantinedContent) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, record := range s.judge.Quarantined(now, mostQuarantined) {
+	for _, record := range s.judge.Quarantined(now, maxQuarantinedInStatus) {
 		summary = append(summary, QuarantinedContent{
 			Content: record.Content.String(), Tenant: record.Content.Tenant, Runners: endedRunners(record),
-			LeftMillis: s.judge.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
+			RemainingMillis: s.judge.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
 		})
 	}
 	return summary
--- /dev/null
+++ b/internal/gateway/weightbounds.go
@@ -0,0 +1,61 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/clovertiller/clovertiller/internal/events"
+	"github.com/clovertiller/clovertiller/internal/namings"
+	"github.com/clovertiller/clovertiller/internal/wire"
+)
+
+// boundLifetimeDeadlines is the number of weight deadlines for which a bound is shared. After
+// that, no older weights are in use.
+const boundLifetimeDeadlines = 2
+
+// boundsToShare returns the bounds that this router reports to others.
+func (g *Gateway) boundsToShare() []*wire.WeightBound {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	now := g.now()
+	var shared []*wire.WeightBound
+	for _, bound := range g.weightBounds.Firm(g.settings.namingConfig(), now, boundLifetimeDeadlines*g.settings.WeightDeadline) {
+		shared = append(shared, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeMillis(now.Sub(bound.Before()))})
+	}
+	return shared
+}
+
+// receiveBounds applies the bounds that another router reported in an answer, given when the
+// answer was requested, and updates the deadlines of weights that are already known. Pushes
+// carry no bounds: they may be read long after they were sent, and the reported ages count from
+// the sending.
+func (g *Gateway) receiveBounds(bounds []*wire.WeightBound, sent time.Time) {
+	for _, bound := range bounds {
+		g.receiveBound(bound.GetModel(), bound.GetVersion(), sent.Add(-wire.Age(bound.GetAgeMillis())))
+	}
+}
+
+func (g *Gateway) receiveBound(model string, version uint64, before time.Time) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	known := g.weightBounds.Of(model)
+	if !known.Take(g.settings.namingConfig(), version, before) {
+		return
+	}
+	g.updateOlderDeadlines(model, known)
+	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": known.Named(), "told": version, "older_until_ms": g.until(known.OlderUntil(g.settings.namingConfig())).Milliseconds()})
+}
+
+// updateOlderDeadlines sets the deadlines of the model's older weights. The mutex is held.
+func (g *Gateway) updateOlderDeadlines(model string, known *namings.Model) {
+	deadlines := known.Deadlines(g.settings.namingConfig())
+	g.runners.WeightTargets().SetDeadlines(model, deadlines)
+	for _, deadline := range deadlines {
+		g.scheduleWithdrawal(deadline.WithdrawAt, model)
+	}
+}
+
+// scheduleWithdrawal withdraws, at the given time, the model's sends that have not begun and no
+// longer may.
+func (g *Gateway) scheduleWithdrawal(at time.Time, model string) {
+	time.AfterFunc(g.until(at), func() { g.withdrawUnbegun(g.now(), model) })
+}
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -10,56 +10,57 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of news.
+// Delays with which changes reach a router.
 const (
-	// noticeTime is within which a router whose watch fell silent has the answer of the
-	// next one: a watch is given up after its wait and slack, and made again after a pause.
-	noticeTime = configWait + callSlack + lastRetry
-	// lostNews is the longest that lost watches alone keep news from any router: until
-	// a seed notices, compares revisions and is asked by the others. Whatever took longer
-	// was a store, or a way to it, that did not work.
-	lostNews = noticeTime + settle + newsSlack + longestPull + pullTime
+	// stalledWatchDetectionTime is the maximum time until a router whose watch went silent has
+	// the answer of the next one: a watch is given up after its wait and slack, and the next
+	// one starts after a delay.
+	stalledWatchDetectionTime = configWait + callSlack + lastRetry
+	// maxLostWatchDelay is the maximum time for which lost watches alone can keep a change from
+	// any router: a seed has to notice, compare revisions and be pulled from by the others. A
+	// longer delay means that the store, or the path to it, did not work.
+	maxLostWatchDelay = stalledWatchDetectionTime + settle + newsSlack + longestPull + pullTime
 )
 
-// namingTimes are the times by which older weights are used.
-func (s *Settings) namingTimes() namings.Config {
-	return namings.Config{Deadline: s.WeightDeadline, Grace: s.WeightGrace, Settle: s.SettleTime, LostNews: lostNews}
+// namingConfig returns the settings that determine when older weights expire.
+func (s *Settings) namingConfig() namings.Config {
+	return namings.Config{Deadline: s.WeightDeadline, Grace: s.WeightGrace, Settle: s.SettleTime, LostNews: maxLostWatchDelay}
 }
 
-// newsOfWeights returns what is known of weights that were named at the revision, before
-// they are taken into the copy.
-func (g *Gateway) newsOfWeights(now time.Time, revision storerev.Revision) namings.News {
+// weightNews returns what is known about when the weights at the revision were named. It must
+// be called before they are applied to the copy.
+func (g *Gateway) weightNews(now time.Time, revision storerev.Revision) namings.News {
 	proven := g.copies.provenAt(WeightObjects)
 	return namings.News{
-		Learned: now, Started: g.started, Disturbed: g.disturbance.latest(), Alone: g.relays.alone(),
-		Proven: proven, Before: namings.Later(proven, g.copies.checkpoints.before(revision)),
+		Learned: now, Started: g.startedAt, Disturbed: g.storeFailures.latestSpan(), Alone: g.relays.alone(),
+		Proven: proven, Before: namings.Later(proven, g.copies.checkpoints.latestBefore(revision)),
 	}
 }
 
-// disturbance holds when calls to the store failed last, one after another. It is safe for
-// concurrent use.
-type disturbance struct {
-	mutex  sync.Mutex
-	failed namings.Span
+// storeFailures records the first and the last of the most recent failed calls to the store
+// that followed one another. It is safe for concurrent use.
+type storeFailures struct {
+	mutex sync.Mutex
+	span  namings.Span
 }
 
-func (d *disturbance) latest() namings.Span {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.failed
+func (f *storeFailures) latestSpan() namings.Span {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.span
 }
 
-// note takes the error of a call that left at the moment: the store, or the way to it, did
-// not work then. Calls that were given up, too many calls and a history that is gone show
-// nothing of the kind.
-func (d *disturbance) note(sent time.Time, err, givenUp error) {
-	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(givenUp, context.Canceled) {
+// record records the error of a call that was sent at the given time, as evidence that the
+// store or the path to it did not work then. Cancelled calls, throttled calls and a history
+// that is gone are no such evidence.
+func (f *storeFailures) record(sent time.Time, err, contextErr error) {
+	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(contextErr, context.Canceled) {
 		return
 	}
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if sent.Sub(d.failed.Last) > lostNews {
-		d.failed.First = sent
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if sent.Sub(f.span.Last) > maxLostWatchDelay {
+		f.span.First = sent
 	}
-	d.failed.Last = namings.Later(d.failed.Last, sent)
+	f.span.Last = namings.Later(f.span.Last, sent)
 }
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -33,7 +33,7 @@
 func (c *call) beginSend(now time.Time, runner backend.Runner, tokens int) {
 	g := c.gateway
 	c.open = g.runners.BeginQuery(now, runner.ID, tokens, c.query)
-	c.run = g.ends.begin(now, runner, c.content)
+	c.run = g.endedRunners.begin(now, runner, c.content)
 	c.sendCtx, c.unbegun = c.ctx, nil
 	if !c.beginIsSeen() {
 		return
@@ -41,7 +41,7 @@
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.sendCtx = ctx
 	c.unbegun = &unbegunSend{runner: runner.ID, model: c.query.Model, weights: c.weights, content: c.content, cancel: cancel}
-	g.unbegun[c.unbegun] = struct{}{}
+	g.pendingSends[c.unbegun] = struct{}{}
 }
 
 // beginIsSeen tells whether the send is one that begins on a model's weights, and whose
@@ -55,7 +55,7 @@
 // gateway's mutex is held.
 func (c *call) barWithdrawal() {
 	if c.unbegun != nil {
-		delete(c.gateway.unbegun, c.unbegun)
+		delete(c.gateway.pendingSends, c.unbegun)
 	}
 }
 
@@ -74,9 +74,9 @@
 func (g *Gateway) withdrawUnbegun(now time.Time, model string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.unbegun {
+	for send := range g.pendingSends {
 		if send.model == model && !g.runners.MayBegin(now, send.runner, model, send.weights) {
-			delete(g.unbegun, send)
+			delete(g.pendingSends, send)
 			send.cancel(errWithdrawn)
 		}
 	}
@@ -87,9 +87,9 @@
 func (g *Gateway) withdrawContent(content quarantine.ContentID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.unbegun {
+	for send := range g.pendingSends {
 		if send.content == content {
-			delete(g.unbegun, send)
+			delete(g.pendingSends, send)
 			send.cancel(errQuarantined)
 		}
 	}
