--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -41,7 +41,7 @@
 			homeOf(runners).BehaveOnce(behaviour)
 			began := time.Now()
 			got := r.call("/once/x", longPrompt)
-			f.g.Expect(got.cut).To(BeFalse())
+			f.g.Expect(got.truncated).To(BeFalse())
 			f.g.Expect(got.body).To(Equal(wholeStream))
 			f.g.Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 			f.g.Expect(runsOf(runners)).To(Equal(before+1), "one run")
@@ -61,7 +61,7 @@
 	f.g.Eventually(func() int { return r.call("/once/x", longPrompt).status }).Should(Equal(200))
 	before := runsOf(runners)
 	homeOf(runners).BehaveOnce(runnerstand.Dies)
-	f.g.Expect(r.call("/once/x", longPrompt).cut).To(BeTrue())
+	f.g.Expect(r.call("/once/x", longPrompt).truncated).To(BeTrue())
 	f.g.Expect(runsOf(runners)).To(Equal(before+1), "nothing else may run it")
 	f.g.Expect(append(runners[0].Continued(), runners[1].Continued()...)).To(BeEmpty())
 }
@@ -75,7 +75,7 @@
 	f.runners.Clear()
 	behaveOnce(runners, runnerstand.Dies)
 	got := r.call("/once/x", nil)
-	f.g.Expect(got.cut).To(BeTrue())
+	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(runsOf(runners)).To(Equal(1))
 }
 
@@ -85,20 +85,20 @@
 func TestCopyIsNotUsedAtARunnerThatMayGetNoRequest(t *testing.T) {
 	for label, bar := range map[string]func(*router, *runnerstand.Runner){
 		"it leaves": func(r *router, holder *runnerstand.Runner) {
-			r.fleet.list(holder, "draining")
-			r.logs("runner changed state")
+			r.fleet.putEntry(holder, "draining")
+			r.waitForLog("runner changed state")
 		},
 		"it is not listed": func(r *router, holder *runnerstand.Runner) {
 			r.fleet.store.Remove(platform.KindServers, holder.ID)
-			r.logs("runner removed")
+			r.waitForLog("runner removed")
 		},
 		"it has started again": func(r *router, holder *runnerstand.Runner) {
 			holder.Restart()
-			r.fleet.list(holder, "ready")
-			r.logs("runner started again")
+			r.fleet.putEntry(holder, "ready")
+			r.waitForLog("runner restarted")
 		},
 		"its weights have expired": func(r *router, _ *runnerstand.Runner) {
-			r.door.Set(storestand.Loses)
+			r.storeEndpoint.Set(storestand.Loses)
 			time.Sleep(2 * shortSettle)
 			r.nameNew()
 			time.Sleep(shortDeadline)
@@ -108,7 +108,7 @@
 			t.Parallel()
 			f := newFleet(t)
 			f.configure(1, defaultRoutes(), goodKey)
-			runners := []*runnerstand.Runner{f.startedRunner("e1", "engines"), f.startedRunner("e2", "engines")}
+			runners := []*runnerstand.Runner{f.runnerWithIncarnation("e1", "engines"), f.runnerWithIncarnation("e2", "engines")}
 			r := f.servingRouter("r1", func(settings *gateway.Settings) {
 				settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortDeadline, shortSettle
 			})
@@ -128,7 +128,7 @@
 			home.Close()
 			got := <-answers
 			f.g.Expect(holder.Continued()).To(BeEmpty())
-			f.g.Expect(got.cut).To(BeTrue())
+			f.g.Expect(got.truncated).To(BeTrue())
 			f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"))
 			f.g.Expect(holder.Arrivals()).To(Equal(arrivals), "nothing else may run it")
 		})
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -56,7 +56,7 @@
 	f.servingRouter("other", f.asFollower(addresses))
 	time.Sleep(3500 * time.Millisecond) // all have settled
 	for _, seed := range seeds {
-		seed.door.Set(fault)
+		seed.storeEndpoint.Set(fault)
 	}
 	time.Sleep(200 * time.Millisecond)
 	return f, seeds
@@ -75,7 +75,7 @@
 			}
 			time.Sleep(time.Until(changed.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
-				seed.door.Set(storestand.Healthy)
+				seed.storeEndpoint.Set(storestand.Healthy)
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
@@ -95,7 +95,7 @@
 	f.store.Put(platform.KindServers, "p1", entry)
 	left := time.Now()
 	time.Sleep(2200 * time.Millisecond)
-	leaving := f.runnerAt(entry["address"].(string))
+	leaving := f.runnerByAddress(entry["address"].(string))
 	ran, answered := len(leaving.Runs()), 0
 	for time.Since(left) < 4*time.Second {
 		if seeds[0].call("/safe/x", nil).status == http.StatusOK {
@@ -121,7 +121,7 @@
 	former := f.servingRouter("former", asSeed)
 	follower := f.servingRouter("follower", f.asFollower(addresses))
 	time.Sleep(3500 * time.Millisecond) // it has settled
-	follower.door.Set(storestand.Silent)
+	follower.storeEndpoint.Set(storestand.Silent)
 	former.Kill()
 	f.router("seed", func(settings *gateway.Settings) {
 		asSeed(settings)
@@ -167,10 +167,10 @@
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
 	const window = 5 * time.Second
-	before := r.door.Calls()
+	before := r.storeEndpoint.Calls()
 	for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(350 * time.Millisecond) {
 		f.store.Put("leases", "someone", map[string]any{"at": time.Now().UnixNano()})
 	}
 	perRead := int(window/(900*time.Millisecond)) + 1
-	f.g.Expect(r.door.Calls() - before).To(BeNumerically("<=", 3*perRead+2))
+	f.g.Expect(r.storeEndpoint.Calls() - before).To(BeNumerically("<=", 3*perRead+2))
 }
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -151,14 +151,14 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := func(holder string) bool { return listed[holder] || runners[holder].Address != "" }
+	isListed := func(holder string) bool { return listed[holder] || runners[holder].Address != "" }
 	for holder, state := range r.holders {
-		if !known(holder) {
+		if !isListed(holder) {
 			state.stop()
 			delete(r.holders, holder)
 		}
 	}
-	r.feed.RetainHolders(known)
+	r.feed.RetainHolders(isListed)
 	r.applyOwnFeed()
 }
 
@@ -167,11 +167,11 @@
 func (r *cacheReader) startReading(holder string, source backend.CacheHolder, runner string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.holders[holder]; known != nil {
-		if known.source == source {
+	if current := r.holders[holder]; current != nil {
+		if current.source == source {
 			return
 		}
-		known.stop()
+		current.stop()
 		r.feed.Replace(holder, nil)
 	}
 	ctx, cancel := context.WithCancel(r.gateway.ctx)
--- a/internal/gateway/cachereader_test.go
+++ b/internal/gateway/cachereader_test.go
@@ -17,57 +17,58 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// keptParts stands in for what runners keep, by their ids.
-type keptParts struct {
-	mutex sync.Mutex
-	kept  map[string][]gateway.CachedPart
-	// missed are runners whose next changes are not known.
-	missed map[string]bool
-	lists  map[string]int
-	// silent is the runner whose calls are answered by nothing, if any.
-	silent string
+// fakeCacheReader is a CacheReader whose contents are set by tests, by runner ID.
+type fakeCacheReader struct {
+	mutex       sync.Mutex
+	cachedParts map[string][]gateway.CachedPart
+	// incomplete holds the runners whose next changes are reported as incomplete.
+	incomplete map[string]bool
+	listCalls  map[string]int
+	// silentRunner is the ID of a runner whose calls for changes are never answered, if not
+	// empty.
+	silentRunner string
 }
 
-func newKeptParts() *keptParts {
-	return &keptParts{kept: map[string][]gateway.CachedPart{}, missed: map[string]bool{}, lists: map[string]int{}}
+func newFakeCacheReader() *fakeCacheReader {
+	return &fakeCacheReader{cachedParts: map[string][]gateway.CachedPart{}, incomplete: map[string]bool{}, listCalls: map[string]int{}}
 }
 
-// put changes what the runner keeps; nobody is told of it but by a list.
-func (k *keptParts) put(runner string, parts ...gateway.CachedPart) {
+// setParts sets the parts that the runner holds. Readers see the change only in the next list.
+func (k *fakeCacheReader) setParts(runner string, parts ...gateway.CachedPart) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.kept[runner] = parts
-	k.missed[runner] = true
+	k.cachedParts[runner] = parts
+	k.incomplete[runner] = true
 }
 
-func (k *keptParts) listed(runner string) int {
+func (k *fakeCacheReader) listCount(runner string) int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.lists[runner]
+	return k.listCalls[runner]
 }
 
-func (k *keptParts) CacheList(_ context.Context, _, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
+func (k *fakeCacheReader) CacheList(_ context.Context, _, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.lists[runner]++
-	delete(k.missed, runner)
-	return k.kept[runner], gateway.CachePosition{Epoch: 1}, nil
+	k.listCalls[runner]++
+	delete(k.incomplete, runner)
+	return k.cachedParts[runner], gateway.CachePosition{Epoch: 1}, nil
 }
 
-func (k *keptParts) CacheChanges(ctx context.Context, _, runner string, after gateway.CachePosition, _ time.Duration) (gateway.CacheChanges, error) {
-	if runner == k.silent {
+func (k *fakeCacheReader) CacheChanges(ctx context.Context, _, runner string, after gateway.CachePosition, _ time.Duration) (gateway.CacheChanges, error) {
+	if runner == k.silentRunner {
 		<-ctx.Done()
 		return gateway.CacheChanges{}, ctx.Err()
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if _, known := k.kept[runner]; !known {
+	if _, known := k.cachedParts[runner]; !known {
 		return gateway.CacheChanges{}, errors.New("not reached")
 	}
-	return gateway.CacheChanges{Position: after, Incomplete: k.missed[runner]}, nil
+	return gateway.CacheChanges{Position: after, Incomplete: k.incomplete[runner]}, nil
 }
 
-// runCounts returns how many calls each runner has run.
+// runCounts returns the number of requests that each runner has run.
 func runCounts(runners []*runnerstand.Runner) map[string]int {
 	counts := map[string]int{}
 	for _, runner := range runners {
@@ -76,8 +77,9 @@
 	return counts
 }
 
-// sentTo returns the runner that ran the newest call, and where that fetched from.
-func sentTo(runners []*runnerstand.Runner, before map[string]int) (string, string) {
+// newestRun returns the ID of the runner that has run a request since the counts were taken,
+// and the address from which it fetched cached parts.
+func newestRun(runners []*runnerstand.Runner, before map[string]int) (string, string) {
 	for _, runner := range runners {
 		if runs := runner.Runs(); len(runs) > before[runner.ID] {
 			return runner.ID, runs[len(runs)-1].Header.Get(platform.HeaderFetch)
@@ -86,150 +88,151 @@
 	return "", ""
 }
 
-// Routers that read the store also read what runners keep, and tell the others.
-func TestFollowersKnowWhatRunnersKeep(t *testing.T) {
+// Routers that read the store also read the runners' caches, and pass the contents on to
+// followers.
+func TestFollowersLearnCachedParts(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	f.caches = kept
+	caches := newFakeCacheReader()
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	addresses := []string{loopback.FreeAddress()}
 	f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses })
 	follower := f.servingRouter("follower", f.asFollower(addresses))
-	call := func(prompt string) (runner, fetched string) {
+	call := func(prompt string) (runner, fetchedFrom string) {
 		before := runCounts(runners)
 		got := follower.call("/stream/x", withPrompt(prompt))
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
-		return sentTo(runners, before)
+		return newestRun(runners, before)
 	}
 	for i, holder := range runners {
 		prompt := fmt.Sprintf("t%d:40000,f%d:200000,own%d:50", i, i, i)
-		kept.put(holder.ID, gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: fmt.Sprint("t", i)}, gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: fmt.Sprint("f", i)})
+		caches.setParts(holder.ID, gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: fmt.Sprint("t", i)}, gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: fmt.Sprint("f", i)})
 		f.g.Eventually(func() string {
 			runner, _ := call(prompt)
 			return runner
-		}, 5*time.Second, 20*time.Millisecond).Should(Equal(holder.ID), "calls go where their parts are kept")
+		}, 5*time.Second, 20*time.Millisecond).Should(Equal(holder.ID), "calls go to the runner that has their parts cached")
 	}
-	f.g.Expect(kept.listed("e1")).To(BeNumerically("<=", 3), "everything is read at first and after a gap only")
+	f.g.Expect(caches.listCount("e1")).To(BeNumerically("<=", 3), "caches are listed only at the start and after a gap")
 }
 
-// A runner that does not answer, or has nothing to tell, does not delay what is
-// told of the others.
-func TestSilentRunnerDoesNotDelayWhatOthersKeep(t *testing.T) {
+// A runner that does not answer, or has no changes, must not delay cache reads of other
+// runners.
+func TestSilentRunnerDoesNotDelayOtherCacheReads(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	kept.silent = "e2"
-	f.caches = kept
+	caches := newFakeCacheReader()
+	caches.silentRunner = "e2"
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
-	kept.put("e1")
+	caches.setParts("e1")
 	r := f.servingRouter("r1", nil)
-	f.g.Eventually(func() int { return kept.listed("e1") }, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", 0))
-	begun := time.Now()
+	f.g.Eventually(func() int { return caches.listCount("e1") }, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", 0))
+	startedAt := time.Now()
 	const rounds = 3
 	for i := range rounds {
 		trunk := fmt.Sprint("t", i)
-		kept.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: trunk})
+		caches.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: trunk})
 		f.g.Eventually(func() string {
 			before := runCounts(runners)
 			r.call("/stream/x", withPrompt(fmt.Sprintf("%s:200000,f%d-%d:100,own:50", trunk, i, time.Now().UnixNano())))
-			runner, _ := sentTo(runners, before)
+			runner, _ := newestRun(runners, before)
 			return runner
 		}, 5*time.Second, 10*time.Millisecond).Should(Equal("e1"))
-		// Half of the prompts have e1 as the home of their family and go there anyway.
-		f.g.Eventually(func() int { return kept.listed("e1") }, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", i+1))
+		// Half of the prompts have e1 as the home of their family and go there in any case.
+		f.g.Eventually(func() int { return caches.listCount("e1") }, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", i+1))
 	}
-	f.g.Expect(time.Since(begun)).To(BeNumerically("<", rounds*500*time.Millisecond))
+	f.g.Expect(time.Since(startedAt)).To(BeNumerically("<", rounds*500*time.Millisecond))
 }
 
-// What is known of a runner's parts says nothing about another owner's or older weights'.
+// Parts cached for another owner or another weight version must not be fetched.
 func TestPartsOfOtherOwnersAndWeightsAreNotFetched(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	f.caches = kept
+	caches := newFakeCacheReader()
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	for i, salt := range []string{"shared/1", "tenant/tenant-one/0"} {
-		kept.put(runners[i].ID, gateway.CachedPart{Salt: salt, Part: "aa"}, gateway.CachedPart{Salt: salt, Part: "bb"})
+		caches.setParts(runners[i].ID, gateway.CachedPart{Salt: salt, Part: "aa"}, gateway.CachedPart{Salt: salt, Part: "bb"})
 	}
 	r := f.servingRouter("r1", nil)
-	f.g.Eventually(func() int { return kept.listed("e1") * kept.listed("e2") }, 3*time.Second, 10*time.Millisecond).Should(BeNumerically(">", 0))
+	f.g.Eventually(func() int { return caches.listCount("e1") * caches.listCount("e2") }, 3*time.Second, 10*time.Millisecond).Should(BeNumerically(">", 0))
 	got := r.call("/stream/x", withPrompt("aa:100,bb:200,cc:50"))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	_, fetched := sentTo(runners, nil)
-	f.g.Expect(fetched).To(BeEmpty())
+	_, fetchedFrom := newestRun(runners, nil)
+	f.g.Expect(fetchedFrom).To(BeEmpty())
 }
 
-// A router that reads the store itself for want of a seed does not read what
-// runners keep: with the store's proofs late all routers would do so at once.
-func TestRoutersThatAreNoSeedsDoNotReadWhatRunnersKeep(t *testing.T) {
+// A router that reads the store itself because no seed is available must not read the runners'
+// caches: when the store's proofs are late, all routers would read them at once.
+func TestNonSeedRoutersDoNotReadCaches(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	f.caches = kept
+	caches := newFakeCacheReader()
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	kept.put("e1")
+	caches.setParts("e1")
 	r := f.servingRouter("alone", f.asFollower([]string{loopback.FreeAddress()}))
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"store":true`), "no seed answers")
-	f.g.Consistently(func() int { return kept.listed("e1") }, time.Second, 50*time.Millisecond).Should(BeZero())
+	f.g.Consistently(func() int { return caches.listCount("e1") }, time.Second, 50*time.Millisecond).Should(BeZero())
 }
 
-// Seeds change with the settings, without a restart.
-func TestRouterReadsWhatRunnersKeepWhileItIsASeed(t *testing.T) {
+// A reload of the settings changes whether a router is a seed, without a restart.
+func TestRouterReadsCachesOnlyWhileSeed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	f.caches = kept
+	caches := newFakeCacheReader()
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	kept.put("e1")
+	caches.setParts("e1")
 	var settings gateway.Settings
 	r := f.servingRouter("r1", func(started *gateway.Settings) {
 		f.asFollower([]string{loopback.FreeAddress()})(started)
 		settings = *started
 	})
-	f.g.Consistently(func() int { return kept.listed("e1") }, 500*time.Millisecond, 20*time.Millisecond).Should(BeZero())
+	f.g.Consistently(func() int { return caches.listCount("e1") }, 500*time.Millisecond, 20*time.Millisecond).Should(BeZero())
 	others := settings.Seeds
 	settings.Seeds = []string{settings.PeerAddress}
 	r.Reload(settings)
-	f.g.Eventually(func() int { return kept.listed("e1") }, 3*time.Second, 20*time.Millisecond).Should(BeNumerically(">", 0))
+	f.g.Eventually(func() int { return caches.listCount("e1") }, 3*time.Second, 20*time.Millisecond).Should(BeNumerically(">", 0))
 	settings.Seeds = others
 	r.Reload(settings)
 	time.Sleep(500 * time.Millisecond)
-	listed := kept.listed("e1")
-	kept.put("e1")
-	f.g.Consistently(func() int { return kept.listed("e1") }, 500*time.Millisecond, 20*time.Millisecond).Should(Equal(listed))
+	listed := caches.listCount("e1")
+	caches.setParts("e1")
+	f.g.Consistently(func() int { return caches.listCount("e1") }, 500*time.Millisecond, 20*time.Millisecond).Should(Equal(listed))
 }
 
-// A router that starts beside a silent seed asks one that answers for its whole
-// feed, though a whole feed is asked for seldom.
-func TestStartedRouterKnowsWhatRunnersKeepThoughASeedIsSilent(t *testing.T) {
+// A router that starts while some seeds are silent must obtain the snapshot of the cache feed
+// from one that answers, although it requests snapshots only rarely.
+func TestNewRouterLearnsCachedPartsDespiteSilentSeeds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := newKeptParts()
-	f.caches = kept
+	caches := newFakeCacheReader()
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
-	kept.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
+	caches.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
 	address := loopback.FreeAddress()
 	seeds := []string{silentPeer(f), address, silentPeer(f)}
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds })
-	f.g.Eventually(func() int { return kept.listed("e1") * kept.listed("e2") }, 3*time.Second, 10*time.Millisecond).Should(BeNumerically(">", 0))
+	f.g.Eventually(func() int { return caches.listCount("e1") * caches.listCount("e2") }, 3*time.Second, 10*time.Millisecond).Should(BeNumerically(">", 0))
 	f.g.Expect(seed.isReady()).To(BeTrue())
 	const followers, families = 4, 20
 	for i := range followers {
 		r := f.servingRouter(fmt.Sprint("follower-", i), f.asFollower(seeds))
-		// Of that many families some have the other runner as their home, which then
-		// fetches what it lacks.
+		// With this many families, some have the other runner as their home, which then fetches
+		// the parts that it lacks.
 		f.g.Eventually(func() bool {
 			for family := range families {
 				before := runCounts(runners)
 				r.call("/stream/x", withPrompt(fmt.Sprintf("trunk:2000,f%d-%d:100,own:50", i, family)))
-				if _, fetched := sentTo(runners, before); fetched == runners[0].Address {
+				if _, fetchedFrom := newestRun(runners, before); fetchedFrom == runners[0].Address {
 					return true
 				}
 			}
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -117,7 +117,7 @@
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-	f.g.Expect(got.after).To(BeNumerically("<", 200*time.Millisecond), "refused at once")
+	f.g.Expect(got.duration).To(BeNumerically("<", 200*time.Millisecond), "refused at once")
 }
 
 func TestTimeoutAnswersAtOnce(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 	got := r.call("/brief/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusGatewayTimeout))
-	f.g.Expect(got.after).To(BeNumerically("~", 250*time.Millisecond, 100*time.Millisecond))
+	f.g.Expect(got.duration).To(BeNumerically("~", 250*time.Millisecond, 100*time.Millisecond))
 }
 
 func TestCallerThatLeavesEndsTheRun(t *testing.T) {
@@ -137,7 +137,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	f.g.Expect(r.callWithin(ctx, "/safe/x", nil).cut).To(BeTrue())
+	f.g.Expect(r.callWithContext(ctx, "/safe/x", nil).truncated).To(BeTrue())
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
 	f.g.Eventually(run.Ended, 500*time.Millisecond).Should(BeClosed())
 	f.g.Expect(runsOf(runners)).To(Equal(1))
@@ -158,7 +158,7 @@
 
 func TestDrainingRunnerGetsNothing(t *testing.T) {
 	f, r, runners := plainFleet(t)
-	f.list(runners[0], "draining")
+	f.putEntry(runners[0], "draining")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner changed state"))
 	for range 6 {
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
@@ -185,7 +185,7 @@
 	}
 	runners[home].BehaveOnce(runnerstand.BreaksOff)
 	got = r.call("/stream/x", longPrompt)
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(whole))
 	f.g.Expect(got.header.Get(platform.HeaderStamp)).To(HavePrefix(runners[home].ID), "the head of the first runner stands")
 	other := runners[1-home].Runs()
@@ -200,7 +200,7 @@
 	r := f.servingRouter("r1", nil)
 	behaveOnce(runners, runnerstand.BreaksOff)
 	got := r.call("/once/x", nil)
-	f.g.Expect(got.cut).To(BeTrue())
+	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "whole events only")
 	f.g.Expect(runsOf(runners)).To(Equal(1))
 }
--- a/internal/gateway/checkpoints.go
+++ b/internal/gateway/checkpoints.go
@@ -31,8 +31,8 @@
 func (c *checkpoints) add(added checkpoint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if last := len(c.recent) - 1; last >= 0 && c.recent[last].revision == added.revision {
-		c.recent[last].at = namings.Later(c.recent[last].at, added.at)
+	if lastIndex := len(c.recent) - 1; lastIndex >= 0 && c.recent[lastIndex].revision == added.revision {
+		c.recent[lastIndex].at = namings.Later(c.recent[lastIndex].at, added.at)
 		return
 	}
 	if len(c.recent) == maxCheckpoints {
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -92,7 +92,7 @@
 
 // The call may run once only: that another runner gets it shows that nothing was sent.
 func TestRunnerThatLeavesDuringTheDialGetsNothing(t *testing.T) {
-	drains := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
+	drains := func(f *fleet, r *runnerstand.Runner) { f.putEntry(r, "draining") }
 	goes := func(f *fleet, r *runnerstand.Runner) { f.store.Remove(platform.KindServers, r.ID) }
 	t.Run("draining", func(t *testing.T) { testLeavingDuringTheDial(t, drains, "runner changed state") })
 	t.Run("gone", func(t *testing.T) { testLeavingDuringTheDial(t, goes, "runner removed") })
@@ -159,12 +159,12 @@
 	home.BehaveOnce(runnerstand.Dies)
 	answers := r.callUnhurried("/once/x", longPrompt)
 	f.g.Expect(f.held()).To(BeIdenticalTo(other))
-	f.list(other, "draining")
+	f.putEntry(other, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	f.g.Eventually(answers, unhurried).Should(Receive(&got))
 	f.g.Expect(other.Arrivals()).To(BeZero())
-	f.g.Expect(got.cut).To(BeTrue(), "nothing else may run it")
+	f.g.Expect(got.truncated).To(BeTrue(), "nothing else may run it")
 }
 
 // statusOf returns what the router at the address believes.
@@ -200,13 +200,13 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = figuresAt })
 	answers := r.callUnhurried("/unsafe/x", nil)
 	leaving := f.held()
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	f.g.Eventually(answers, unhurried).Should(Receive())
 	f.g.Expect(r.log.String()).To(ContainSubstring("request not sent: its runner may not begin it any more"))
 	state := func() string { return f.summaryOf(figuresAt, leaving.ID).State }
-	f.list(leaving, "ready")
+	f.putEntry(leaving, "ready")
 	f.g.Eventually(state, 5*time.Second, 5*time.Millisecond).ShouldNot(Equal(backend.Draining.String()))
 	f.g.Expect(state()).To(Equal(backend.Serving.String()))
 	f.g.Expect(f.summaryOf(figuresAt, leaving.ID).FailureShare).To(BeZero())
@@ -232,7 +232,7 @@
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Well)
 	}
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	var got answer
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -30,7 +30,7 @@
 func TestConfigurationChangesAreInForceAndNeverRevert(t *testing.T) {
 	f, r, _ := plainFleet(t)
 	f.configure(5, defaultRoutes(), "key-two")
-	r.settled(5)
+	r.waitForConfig(5)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was taken away")
 	f.configure(3, defaultRoutes(), goodKey)
 	f.store.Forget()
@@ -40,13 +40,13 @@
 
 func TestMissedChangesAreListedAfterHistoryIsGone(t *testing.T) {
 	f, r, runners := plainFleet(t)
-	r.door.Set(storestand.Reset)
-	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("store does not answer well"))
+	r.storeEndpoint.Set(storestand.Reset)
+	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("store calls fail"))
 	f.store.Remove(platform.KindServers, "p1")
 	f.configure(2, defaultRoutes(), "key-two")
 	f.store.Forget()
-	r.door.Set(storestand.Healthy)
-	r.settled(2)
+	r.storeEndpoint.Set(storestand.Healthy)
+	r.waitForConfig(2)
 	f.g.Eventually(r.log.String, 3*time.Second).Should(ContainSubstring("runner removed"))
 	f.g.Expect(r.call("/safe/x", func(request *http.Request) { request.Header.Set("Authorization", "Bearer key-two") }).status).To(Equal(http.StatusOK))
 	f.g.Expect(runners[0].Runs()).To(BeEmpty())
@@ -67,7 +67,7 @@
 			r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = lease })
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
 			dropped := time.Now()
-			r.door.Set(fault)
+			r.storeEndpoint.Set(fault)
 			f.configure(2, defaultRoutes(), "key-two")
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, lease).Should(Equal(http.StatusServiceUnavailable))
 			f.g.Expect(time.Since(dropped)).To(BeNumerically("<", lease))
@@ -78,7 +78,7 @@
 			f.g.Expect(runner.Runs()).To(HaveLen(ran + 1))
 			f.g.Expect(r.isReady()).To(BeFalse())
 			f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring(`"event":811`))
-			r.door.Set(storestand.Healthy)
+			r.storeEndpoint.Set(storestand.Healthy)
 			f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 3*time.Second).Should(Equal(http.StatusUnauthorized))
 			f.g.Expect(strings.Count(r.log.String(), `"event":811`)).To(Equal(1))
 			f.g.Expect(r.log.String()).To(ContainSubstring(`"event":812`))
@@ -95,11 +95,11 @@
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = 2 * time.Second })
 	for _, silence := range []time.Duration{3500 * time.Millisecond, 6 * time.Second} {
-		r.door.Set(storestand.Silent)
+		r.storeEndpoint.Set(storestand.Silent)
 		time.Sleep(silence)
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 		healed := time.Now()
-		r.door.Set(storestand.Healthy)
+		r.storeEndpoint.Set(storestand.Healthy)
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 6*time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK))
 		f.g.Expect(time.Since(healed)).To(BeNumerically("<", 1200*time.Millisecond), "after a silence of %v", silence)
 	}
@@ -194,7 +194,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = 800*time.Millisecond, 10*time.Millisecond
 	})
-	r.door.Set(storestand.Loses)
+	r.storeEndpoint.Set(storestand.Loses)
 	name(f, 2)
 	f.g.Eventually(r.log.String, 2*time.Second).Should(ContainSubstring("weights named"))
 	f.g.Eventually(func() int { return r.call("/stream/x", nil).status }, 2*time.Second).Should(Equal(http.StatusServiceUnavailable))
@@ -219,7 +219,7 @@
 	f.g.Eventually(r.isReady).Should(BeFalse())
 	late := r.call("/safe/x", nil)
 	f.g.Expect(late.status).To(Equal(http.StatusOK), "what comes is served")
-	f.g.Expect(late.last).To(BeTrue(), "callers are sent away")
+	f.g.Expect(late.connectionClosed).To(BeTrue(), "callers are sent away")
 	var first answer
 	f.g.Eventually(answers).Should(Receive(&first))
 	f.g.Expect(first.status).To(Equal(http.StatusOK))
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -24,16 +24,16 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// fleet is a store, runners and gateways in one process.
+// fleet is a store, runners and routers in one process.
 type fleet struct {
 	t     *testing.T
 	g     *WithT
 	store *storestand.Store
-	// runners are the fleet's runners by address.
+	// runners holds the fleet's runners by address.
 	runners sync.Map
-	// caches tells routers what runners keep; nil tells nothing.
-	caches gateway.CacheReader
-	// dials holds routers' connections to runners back; nil holds none.
+	// cacheReader reads the runners' caches on behalf of the routers; nil reads nothing.
+	cacheReader gateway.CacheReader
+	// dials can delay the routers' connections to runners; nil delays none.
 	dials *heldDials
 }
 
@@ -48,13 +48,13 @@
 	goodKey    = "key-one"
 )
 
-// route describes one route of a test's configuration.
-func route(name, prefix, kind, service string, more map[string]any) map[string]any {
+// route returns one route of a test's configuration, with the given fields overridden.
+func route(name, prefix, kind, service string, overrides map[string]any) map[string]any {
 	spec := map[string]any{
 		"name": name, "host": "h.example", "path_prefix": prefix, "kind": kind, "service": service,
 		"timeout_ms": 3000, "target_latency_ms": 300, "max_attempts": 2,
 	}
-	for key, value := range more {
+	for key, value := range overrides {
 		spec[key] = value
 	}
 	return spec
@@ -84,7 +84,7 @@
 	f.store.Put(configKind, configName, config(version, routes, keys...))
 }
 
-// runner starts a runner and lists it in the directory.
+// runner starts a runner of the service and adds it to the directory.
 func (f *fleet) runner(id, service string) *runnerstand.Runner {
 	if service == "engines" {
 		return f.engine(id, 1)
@@ -92,7 +92,8 @@
 	return f.startRunner(runnerstand.Config{ID: id, Service: service})
 }
 
-// engine starts a runner of the model with the version of its weights and lists it.
+// engine starts a runner that holds the model with the given weight version, and adds it to the
+// directory.
 func (f *fleet) engine(id string, version uint64) *runnerstand.Runner {
 	return f.startRunner(runnerstand.Config{ID: id, Service: "engines", Model: modelName, Version: version, Events: 4})
 }
@@ -100,62 +101,63 @@
 func (f *fleet) startRunner(settings runnerstand.Config) *runnerstand.Runner {
 	settings.Zone, settings.Delay = "z", 400*time.Millisecond
 	settings.Peer = func(address string) *runnerstand.Runner {
-		return f.runnerAt(address)
+		return f.runnerByAddress(address)
 	}
 	runner, err := runnerstand.Start(settings)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.runners.Store(runner.Address, runner)
 	f.t.Cleanup(runner.Close)
-	f.list(runner, "ready")
+	f.putEntry(runner, "ready")
 	return runner
 }
 
-// runnerAt returns the runner at the address.
-func (f *fleet) runnerAt(address string) *runnerstand.Runner {
+// runnerByAddress returns the runner at the address, or nil.
+func (f *fleet) runnerByAddress(address string) *runnerstand.Runner {
 	found, _ := f.runners.Load(address)
 	runner, _ := found.(*runnerstand.Runner)
 	return runner
 }
 
-// runnerOf returns the runner of the id.
-func (f *fleet) runnerOf(id string) *runnerstand.Runner {
-	var found *runnerstand.Runner
+// runnerByID returns the runner with the ID, or nil.
+func (f *fleet) runnerByID(id string) *runnerstand.Runner {
+	var match *runnerstand.Runner
 	f.runners.Range(func(_, value any) bool {
 		runner, _ := value.(*runnerstand.Runner)
 		if runner.ID == id {
-			found = runner
+			match = runner
 		}
-		return found == nil
+		return match == nil
 	})
-	return found
+	return match
 }
 
-func (f *fleet) list(runner *runnerstand.Runner, state string) {
+func (f *fleet) putEntry(runner *runnerstand.Runner, state string) {
 	f.store.Put(platform.KindServers, runner.ID, runner.Entry(state))
 }
 
-// router is one gateway with its own door to the store.
+// router is a gateway with its own endpoint of the store, so that faults of the store can be
+// set for this gateway alone.
 type router struct {
 	*gateway.Gateway
-	fleet   *fleet
-	door    *storestand.Door
-	address string
-	ready   string
-	seeds   []string
-	log     *logBuffer
-	clock   *suspendedClock
+	fleet         *fleet
+	storeEndpoint *storestand.Door
+	address       string
+	ready         string
+	seeds         []string
+	log           *logBuffer
+	clock         *suspendableClock
 }
 
-// suspendedClock goes on by what a test says, as if the machine had been suspended for that
-// long: the steady clock, by which all else in the process goes, does not count it.
-type suspendedClock struct{ suspended atomic.Int64 }
+// suspendableClock simulates a machine that is suspended by a test. As on a real machine, the
+// monotonic clock that the rest of the process uses does not count the suspension.
+type suspendableClock struct{ suspended atomic.Int64 }
 
-// suspend suspends the machine for the time.
-func (c *suspendedClock) suspend(duration time.Duration) { c.suspended.Add(int64(duration)) }
+// suspend advances the clock as if the machine had been suspended for the duration.
+func (c *suspendableClock) suspend(duration time.Duration) { c.suspended.Add(int64(duration)) }
 
-func (c *suspendedClock) Now() time.Time { return time.Now().Add(c.Suspended()) }
+func (c *suspendableClock) Now() time.Time { return time.Now().Add(c.Suspended()) }
 
-func (c *suspendedClock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
+func (c *suspendableClock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
 // logBuffer collects log lines.
 type logBuffer struct {
@@ -175,7 +177,7 @@
 	return b.text.String()
 }
 
-// proxyTo starts a proxy in front of the address that ends with the test.
+// proxyTo starts a fault proxy in front of the address. It is closed when the test ends.
 func (f *fleet) proxyTo(address string) *faultproxy.Proxy {
 	proxy, err := faultproxy.Start(address)
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -183,41 +185,41 @@
 	return proxy
 }
 
-// router starts a gateway; adjust may change its settings.
+// router starts a gateway. adjust may change its settings; it may be nil.
 func (f *fleet) router(name string, adjust func(*gateway.Settings)) *router {
-	return f.routerAt(name, adjust, storestand.Healthy)
+	return f.routerWithStoreFault(name, adjust, storestand.Healthy)
 }
 
-// routerAt starts a gateway whose door to the store has the fault.
-func (f *fleet) routerAt(name string, adjust func(*gateway.Settings), fault storestand.Fault) *router {
-	door, err := f.store.Open()
+// routerWithStoreFault starts a gateway whose endpoint of the store has the fault.
+func (f *fleet) routerWithStoreFault(name string, adjust func(*gateway.Settings), fault storestand.Fault) *router {
+	endpoint, err := f.store.Open()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	door.Set(fault)
-	f.t.Cleanup(door.Close)
+	endpoint.Set(fault)
+	f.t.Cleanup(endpoint.Close)
 	settings := gateway.Settings{
-		Node: name, Zone: "z", CallerAddress: loopback.FreeAddress(), ReadyAddress: loopback.FreeAddress(), StoreAddress: door.Address,
+		Node: name, Zone: "z", CallerAddress: loopback.FreeAddress(), ReadyAddress: loopback.FreeAddress(), StoreAddress: endpoint.Address,
 		ConfigLease: 5 * time.Second, DrainGrace: time.Second, LeaseGap: 200 * time.Millisecond,
 	}
 	if adjust != nil {
 		adjust(&settings)
 	}
 	f.g.Expect(settings.Check()).To(BeEmpty())
-	calls := httpconn.NewPool(httpconn.DefaultDialTimeout)
+	callPool := httpconn.NewPool(httpconn.DefaultDialTimeout)
 	runnerPool := httpconn.NewPool(httpconn.DefaultDialTimeout)
 	if f.dials != nil {
 		runnerPool.Dial = f.dials.dial
 	}
-	log, clock := &logBuffer{}, &suspendedClock{}
+	log, clock := &logBuffer{}, &suspendableClock{}
 	started, err := gateway.Start(settings, gateway.Ports{
-		Protocol: platform.Protocol{}, Decode: platform.Decode, Store: &platform.Store{Address: settings.StoreAddress, Pool: calls},
-		Runners: &platform.Runners{Pool: calls}, Caches: f.caches, ReadyPath: platform.PathReadiness, RunnerPool: runnerPool, Clock: clock,
+		Protocol: platform.Protocol{}, Decode: platform.Decode, Store: &platform.Store{Address: settings.StoreAddress, Pool: callPool},
+		Runners: &platform.Runners{Pool: callPool}, Caches: f.cacheReader, ReadyPath: platform.PathReadiness, RunnerPool: runnerPool, Clock: clock,
 	}, events.NewLogger(log, name, logrus.InfoLevel))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(started.Kill)
-	return &router{Gateway: started, fleet: f, door: door, address: settings.CallerAddress, ready: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
+	return &router{Gateway: started, fleet: f, storeEndpoint: endpoint, address: settings.CallerAddress, ready: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
 }
 
-// servingRouter starts a gateway and waits until it is ready and knows the runners.
+// servingRouter starts a gateway and waits until it is ready and knows at least one runner.
 func (f *fleet) servingRouter(name string, adjust func(*gateway.Settings)) *router {
 	r := f.router(name, adjust)
 	f.g.Eventually(r.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
@@ -234,36 +236,37 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// cut is true when the answer did not end as it should.
-	cut bool
-	// last is true when the router ends the connection after the answer.
-	last  bool
-	after time.Duration
+	// truncated is set if the response was missing or did not end properly.
+	truncated bool
+	// connectionClosed is set if the router announced that it closes the connection after the
+	// response.
+	connectionClosed bool
+	duration         time.Duration
 }
 
-var requestNumber = struct {
+var requestCounter = struct {
 	sync.Mutex
 	next int
 }{}
 
 func newRequestID() string {
-	requestNumber.Lock()
-	defer requestNumber.Unlock()
-	requestNumber.next++
-	return fmt.Sprintf("request-%d", requestNumber.next)
+	requestCounter.Lock()
+	defer requestCounter.Unlock()
+	requestCounter.next++
+	return fmt.Sprintf("request-%d", requestCounter.next)
 }
 
-// call sends one request with the good key on a new connection.
+// call sends one request with a valid API key over a new connection.
 func (r *router) call(path string, change func(*http.Request)) answer {
-	return r.callWithin(context.Background(), path, change)
+	return r.callWithContext(context.Background(), path, change)
 }
 
-func (r *router) callWithin(ctx context.Context, path string, change func(*http.Request)) answer {
+func (r *router) callWithContext(ctx context.Context, path string, change func(*http.Request)) answer {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, strings.NewReader("the body"))
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
@@ -278,28 +281,28 @@
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	began := time.Now()
+	startedAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{cut: true, after: time.Since(began)}
+		return answer{truncated: true, duration: time.Since(startedAt)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(body), cut: err != nil, last: response.Close, after: time.Since(began)}
+	return answer{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil, connectionClosed: response.Close, duration: time.Since(startedAt)}
 }
 
-// settled waits until the gateway has taken the configuration in force.
-func (r *router) settled(version int) {
+// waitForConfig waits until the gateway has applied the configuration with the version.
+func (r *router) waitForConfig(version int) {
 	want := fmt.Sprintf(`"version":%d`, version)
 	r.fleet.g.Eventually(r.log.String, 3*time.Second, 5*time.Millisecond).Should(And(ContainSubstring("configuration in force"), ContainSubstring(want)))
 }
 
-// logs waits until the gateway has logged the text.
-func (r *router) logs(text string) {
+// waitForLog waits until the gateway has logged the text.
+func (r *router) waitForLog(text string) {
 	r.fleet.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(text))
 }
 
-// withPrompt gives a call the parts of a prompt, as ID:TOKENS with commas between.
+// withPrompt sets the prompt parts of a call, as a comma-separated list of ID:TOKENS.
 func withPrompt(parts string) func(*http.Request) {
 	return func(request *http.Request) { request.Header.Set(platform.HeaderPrompt, parts) }
 }
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -76,12 +76,12 @@
 			})
 			follower := f.servingRouter("follower", f.asFollower(addresses))
 			time.Sleep(300 * time.Millisecond)
-			seed.door.LoseWatches(kind)
+			seed.storeEndpoint.LoseWatches(kind)
 			f.changeBoth()
 			for _, r := range []*router{seed, follower} {
 				f.g.Eventually(r.log.String, newsBound, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineNamed)))
 			}
-			f.g.Expect(follower.door.Calls()).To(BeZero())
+			f.g.Expect(follower.storeEndpoint.Calls()).To(BeZero())
 		})
 	}
 }
@@ -96,11 +96,11 @@
 		f.configure(1, defaultRoutes(), goodKey)
 		runner := f.runner("e1", "engines")
 		r := start(f)
-		r.door.Set(storestand.Silent)
+		r.storeEndpoint.Set(storestand.Silent)
 		name(f, 2)
 		named := time.Now()
 		time.Sleep(silence)
-		r.door.Set(storestand.Loses) // nobody can order the runner
+		r.storeEndpoint.Set(storestand.Loses) // nobody can order the runner
 		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineNamed))
 		time.Sleep(time.Until(named.Add(deadline)))
 		ran := len(runner.Runs())
@@ -117,7 +117,7 @@
 		late(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", brief) })
 	})
 	t.Run("started", func(t *testing.T) {
-		late(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", brief, storestand.Silent) })
+		late(t, 2*time.Second, func(f *fleet) *router { return f.routerWithStoreFault("r1", brief, storestand.Silent) })
 	})
 }
 
@@ -136,14 +136,14 @@
 		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, figuresAt
 	})
 	time.Sleep(time.Second)
-	r.door.AnswerAt(past, platform.KindConfig, platform.KindVersions)
+	r.storeEndpoint.AnswerAt(past, platform.KindConfig, platform.KindVersions)
 	f.changeBoth()
 	named := time.Now()
-	r.logs(lineDraining)
+	r.waitForLog(lineDraining)
 	time.Sleep(time.Until(named.Add(behind)))
 	f.g.Expect(f.statusOf(figuresAt).ProofAgeMillis).To(BeNumerically(">", (behind - time.Second).Milliseconds()))
-	calls := r.door.Calls()
-	r.door.CatchUp()
+	calls := r.storeEndpoint.Calls()
+	r.storeEndpoint.CatchUp()
 	f.g.Expect(calls).To(BeNumerically("<", 40), "the store is asked with pauses")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
 	f.g.Expect(r.olderUntil(2)).To(BeTemporally("<", named.Add(deadline)))
@@ -177,7 +177,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	held.Store(true)
 	f.runner("p2", "plain") // ends the watch that waits
-	follower.logs(`"runner":"p2"`)
+	follower.waitForLog(`"runner":"p2"`)
 	time.Sleep(500 * time.Millisecond)
 	// Right after all copies were proved.
 	f.g.Eventually(func() int64 { return f.statusOf(figuresAt).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -68,12 +68,12 @@
 	leaving := f.busiest(1)
 	announced := leaves(leaving...)
 	for _, r := range f.routers {
-		r.door.Set(storestand.Silent)
+		r.storeEndpoint.Set(storestand.Silent)
 	}
 	f.load(f.routers, drainTime)
-	f.list(leaving[0], "ready")
+	f.putEntry(leaving[0], "ready")
 	for _, r := range f.routers {
-		r.door.Set(storestand.Healthy)
+		r.storeEndpoint.Set(storestand.Healthy)
 	}
 	f.load(f.routers, 3*time.Second)
 	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
@@ -88,7 +88,7 @@
 	other := f.startRunner(runnerstand.Config{ID: "p1", Service: "plain", Incarnation: 7})
 	leaving := f.startRunner(runnerstand.Config{ID: "p2", Service: "plain", Incarnation: 7})
 	r := f.servingRouter("r", nil)
-	r.logs(`"runner":"p2"`)
+	r.waitForLog(`"runner":"p2"`)
 	leaves(other, leaving)
 	other.Announce()
 	ask := func(times int) {
@@ -98,15 +98,15 @@
 	}
 	ask(10)
 	f.store.Remove(platform.KindServers, leaving.ID)
-	r.logs("runner removed")
-	f.list(leaving, "ready")
+	r.waitForLog("runner removed")
+	f.putEntry(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	before := leaving.Arrivals()
 	ask(20)
 	f.g.Expect(leaving.Arrivals()).To(Equal(before), "the same start")
 	leaving.Announce()
 	leaving.Restart()
-	f.list(leaving, "ready")
+	f.putEntry(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	ask(20)
 	f.g.Expect(leaving.Arrivals()).To(BeNumerically(">", before), "another start")
@@ -121,7 +121,7 @@
 	announced := leaves(leaving...)
 	f.load(f.routers, time.Second)
 	f.routers[0].Kill()
-	f.routers[1].door.Set(storestand.Silent)
+	f.routers[1].storeEndpoint.Set(storestand.Silent)
 	f.routers[1].clock.suspend(time.Second)
 	f.load(f.routers[1:], drainTime+time.Second)
 	f.g.Expect(arrivedAfterDrain(leaving[0], announced)).To(BeZero())
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -17,8 +17,8 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// figures reads the router's figures by series.
-func figures(g *WithT, address string) map[string]float64 {
+// scrapeMetrics returns the router's metrics by series.
+func scrapeMetrics(g *WithT, address string) map[string]float64 {
 	response, err := http.Get("http://" + address + gateway.MetricsPath)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
@@ -32,12 +32,12 @@
 	return series
 }
 
-func TestStatusTellsWhatIsBelieved(t *testing.T) {
+func TestStatusReportsRouterState(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(3, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
-	f.list(f.runner("p1", "plain"), "draining")
+	f.putEntry(f.runner("p1", "plain"), "draining")
 	address := loopback.FreeAddress()
 	f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = address })
 	name(f, 2)
@@ -71,11 +71,11 @@
 	f.g.Expect(states).To(HaveKey("e1"))
 }
 
-func TestFiguresTellWhatHappened(t *testing.T) {
+func TestMetricsReportCallsAndOrders(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	failing, well := f.runner("p1", "plain"), f.runner("p2", "plain")
+	failing, healthy := f.runner("p1", "plain"), f.runner("p2", "plain")
 	f.runner("e1", "engines")
 	failing.Behave(runnerstand.Fails)
 	address := loopback.FreeAddress()
@@ -89,11 +89,11 @@
 	}
 	name(f, 2)
 	f.g.Eventually(func() float64 {
-		return figures(f.g, address)[`clovertiller_weight_update_seconds_count{outcome="done"}`]
+		return scrapeMetrics(f.g, address)[`clovertiller_weight_update_seconds_count{outcome="done"}`]
 	}, 5*time.Second).Should(Equal(1.0))
-	got := figures(f.g, address)
+	got := scrapeMetrics(f.g, address)
 	sends := got[`clovertiller_attempts_total{service="plain"}`]
-	f.g.Expect(sends).To(Equal(float64(len(failing.Runs()) + len(well.Runs()))))
+	f.g.Expect(sends).To(Equal(float64(len(failing.Runs()) + len(healthy.Runs()))))
 	f.g.Expect(got[`clovertiller_runner_failures_total{outcome="failed",service="plain"}`]).To(Equal(float64(len(failing.Runs()))))
 	f.g.Expect(got[`clovertiller_retries_total{outcome="sent",service="plain"}`]).To(Equal(sends - calls))
 	f.g.Expect(got[`clovertiller_calls_total{kind="safe",outcome="complete",route="safe",service="plain"}`]).To(Equal(float64(calls)))
@@ -109,9 +109,9 @@
 	f.g.Expect(got["clovertiller_config_version"]).To(Equal(1.0))
 	f.g.Expect(got["clovertiller_config_proof_age_seconds"]).To(BeNumerically("<", 2))
 
-	r.door.Set(storestand.Reset)
+	r.storeEndpoint.Set(storestand.Reset)
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 2*time.Second).Should(Equal(http.StatusServiceUnavailable))
-	got = figures(f.g, address)
+	got = scrapeMetrics(f.g, address)
 	f.g.Expect(got[`clovertiller_store_failures_total{kind="configuration"}`]).To(BeNumerically(">", 0))
 	f.g.Expect(got[`clovertiller_refusals_total{reason="the configuration is not proved",status="503"}`]).To(BeNumerically(">=", 1))
 }
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -49,7 +49,7 @@
 	f, routers, runners, figuresAt := scheduledFleet(t, 1, 1, "p1")
 	f.configure(2, rankedRoutes(), goodKey)
 	for _, r := range routers {
-		r.settled(2)
+		r.waitForConfig(2)
 	}
 	runners[0].Behave(runnerstand.Delays)
 	asker := routers[1]
@@ -61,5 +61,5 @@
 	defer asker.callOn("/urgent/x", 24)()
 	defer asker.callOn("/bulk/x", 4)()
 	f.g.Eventually(asker.log.String, 10*time.Second, 20*time.Millisecond).Should(MatchRegexp(bulkRefusal))
-	f.g.Expect(figures(f.g, figuresAt[1])[`clovertiller_bound_yield_count{route="bulk"}`]).To(BeNumerically(">", 12))
+	f.g.Expect(scrapeMetrics(f.g, figuresAt[1])[`clovertiller_bound_yield_count{route="bulk"}`]).To(BeNumerically(">", 12))
 }
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -12,43 +12,44 @@
 	"github.com/clovertiller/clovertiller/internal/lab/loopback"
 )
 
-// Calls that are made in the last moments of an outage get no answer, and neither does any
-// later one on their connections, though the store works again. Configurations that change
-// after it are in force as soon as ever, also at routers that ask others.
-func TestConfigurationsAfterASilentOutageAreInForceInTime(t *testing.T) {
+// Calls made shortly before the end of an outage are never answered, nor are later calls on
+// their connections, although the store works again. Later configuration changes must still
+// apply within the usual time, also on followers.
+func TestConfigChangesApplyInTimeAfterSilentOutage(t *testing.T) {
 	t.Parallel()
-	const outage, inForce = 3300 * time.Millisecond, 2500 * time.Millisecond
+	const outage, maxDelay = 3300 * time.Millisecond, 2500 * time.Millisecond
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	door, err := f.store.Open()
+	endpoint, err := f.store.Open()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(door.Close)
-	path, seedAt := f.pathTo(door.Address), []string{loopback.FreeAddress()}
+	t.Cleanup(endpoint.Close)
+	proxy, seeds := f.faultProxyTo(endpoint.Address), []string{loopback.FreeAddress()}
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seedAt[0], seedAt, path.Address
+		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seeds[0], seeds, proxy.Address
 	})
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
-		f.asFollower(seedAt)(settings)
-		settings.StoreAddress = path.Address
+		f.asFollower(seeds)(settings)
+		settings.StoreAddress = proxy.Address
 	})
-	path.Set(faultproxy.Silence)
+	proxy.Set(faultproxy.Silence)
 	time.Sleep(outage)
-	path.Set(faultproxy.Mute) // what was opened until now says nothing more; new connections work
+	proxy.Set(faultproxy.Mute) // existing connections stay silent, new ones work
 	for version := 2; version <= 4; version++ {
 		f.configure(version, defaultRoutes(), goodKey)
 		changed := time.Now()
-		seed.settled(version)
-		follower.settled(version)
-		f.g.Expect(time.Since(changed)).To(BeNumerically("<", inForce), "version %d", version)
+		seed.waitForConfig(version)
+		follower.waitForConfig(version)
+		f.g.Expect(time.Since(changed)).To(BeNumerically("<", maxDelay), "version %d", version)
 		time.Sleep(500 * time.Millisecond)
 	}
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
 
-// All routers are started anew after the time of older weights is over, and know nothing of
-// it; a runner still has them, as its orders get no answer. Its weights stay expired.
-func TestRestartOfAllRoutersRevivesNoExpiredWeights(t *testing.T) {
+// All routers restart after the deadline of older weights, and have lost all knowledge of it. A
+// runner still has these weights because its orders got no answer. The weights must stay
+// expired.
+func TestExpiredWeightsStayExpiredAfterRestartOfAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -73,13 +74,13 @@
 	}
 	second := start("second")
 	time.Sleep(shortSettle)
-	ran := len(runner.Runs())
+	runsBefore := len(runner.Runs())
 	for range 20 {
 		for _, r := range second {
 			f.g.Expect(r.call("/stream/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.g.Expect(runner.Runs()).To(HaveLen(ran))
-	f.g.Expect(runner.Version()).To(Equal(uint64(1)), "nobody could order it")
+	f.g.Expect(runner.Runs()).To(HaveLen(runsBefore))
+	f.g.Expect(runner.Version()).To(Equal(uint64(1)), "no order was carried out")
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -152,12 +152,12 @@
 // askWith sends a changed call beside others and counts its outcome.
 func (o *outcomes) askWith(r *router, path string, change func(*http.Request)) {
 	o.group.Go(func() {
-		got := r.callWithin(context.Background(), path, change)
+		got := r.callWithContext(context.Background(), path, change)
 		o.mutex.Lock()
 		defer o.mutex.Unlock()
 		o.sent++
 		switch {
-		case got.cut:
+		case got.truncated:
 			o.broken++
 		case got.status == http.StatusOK:
 			o.whole++
@@ -268,17 +268,17 @@
 	waiting := make(chan answer, 1)
 	go func() { waiting <- p.routers[1].call("/once/x", asking(poisonBody)) }()
 	p.g.Eventually(slow.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
-	p.list(slow, "draining")
+	p.putEntry(slow, "draining")
 	for range 6 {
 		p.start()
 	}
 	for _, r := range p.routers {
-		r.logs(`"draining":true`)
-		r.logs(`"runner":"e6"`)
+		r.waitForLog(`"draining":true`)
+		r.waitForLog(`"runner":"e6"`)
 	}
 	p.endRunners(3)
 	got := <-waiting
 	p.g.Expect(got.status).To(Equal(http.StatusBadGateway), "it may have begun")
-	p.g.Expect(got.after).To(BeNumerically("<", 2*time.Second))
+	p.g.Expect(got.duration).To(BeNumerically("<", 2*time.Second))
 	p.g.Expect(slow.Runs()).To(BeEmpty())
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -45,10 +45,10 @@
 	at := loopback.FreeAddress()
 	p.routers = []*router{p.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })}
 	p.endRunners(3)
-	p.routers[0].logs("content is not sent any more")
+	p.routers[0].waitForLog("content is not sent any more")
 	got := p.routers[0].call("/once/x", asking(poisonBody))
 	p.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
-	p.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond))
+	p.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	p.g.Expect(err).NotTo(HaveOccurred())
 	p.g.Expect(after).To(BeNumerically("~", 300, 5), "seconds")
@@ -59,7 +59,7 @@
 	p.g.Expect(listed[0].Runners).To(HaveLen(3))
 	p.g.Expect(listed[0].RemainingMillis).To(BeNumerically("~", 300_000, 5_000))
 	p.g.Expect(p.routers[0].log.String()).To(ContainSubstring(`"content":"` + listed[0].Content + `","event":511`))
-	read := figures(p.g, at)
+	read := scrapeMetrics(p.g, at)
 	p.g.Expect(read[`clovertiller_quarantines_total`]).To(Equal(1.0))
 	p.g.Expect(read[`clovertiller_quarantine_seconds_count`]).To(Equal(1.0))
 	p.g.Expect(read[`clovertiller_contents{state="quarantined"}`]).To(Equal(1.0))
@@ -83,7 +83,7 @@
 	for _, r := range p.routers {
 		got := r.call("/once/x", asking("an innocent body"))
 		p.g.Expect(got.status).To(Equal(http.StatusOK))
-		p.g.Expect(got.after).To(BeNumerically("<", 600*time.Millisecond), "its four events take 160 ms")
+		p.g.Expect(got.duration).To(BeNumerically("<", 600*time.Millisecond), "its four events take 160 ms")
 	}
 }
 
@@ -95,7 +95,7 @@
 	p.route(3)
 	p.endRunners(3)
 	for _, r := range p.routers {
-		r.logs("content is not sent any more")
+		r.waitForLog("content is not sent any more")
 	}
 	p.keeps(3)
 	late := p.servingRouter("late", p.asFollower(p.routers[0].seeds))
@@ -110,10 +110,10 @@
 	p.endRunners(3)
 	p.keeps(3)
 	p.routers[0].Kill()
-	next := p.routerAt("r2", nil, storestand.Busy)
+	next := p.routerWithStoreFault("r2", nil, storestand.Busy)
 	time.Sleep(300 * time.Millisecond)
-	next.door.Set(storestand.Healthy)
-	next.logs("configuration in force")
+	next.storeEndpoint.Set(storestand.Healthy)
+	next.waitForLog("configuration in force")
 	p.g.Eventually(next.log.String, 3*time.Second, 5*time.Millisecond).Should(ContainSubstring("content is not sent any more"))
 	p.g.Expect(next.call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 	ended, _ := p.endedBy()
@@ -131,11 +131,11 @@
 	})
 	p.routers = []*router{seed, p.servingRouter("follower", p.asFollower(seeds))}
 	p.endRunners(3)
-	p.routers[1].logs("content is not sent any more")
+	p.routers[1].waitForLog("content is not sent any more")
 	for range 10 {
 		p.g.Expect(p.routers[1].call("/once/x", asking(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 	}
-	p.g.Eventually(func() float64 { return figures(p.g, at)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
+	p.g.Eventually(func() float64 { return scrapeMetrics(p.g, at)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
 }
 
 // Once a runner has outlived a content, the store keeps nothing of it: by another caller's
@@ -147,22 +147,22 @@
 	survivor := p.engine("survivor", 1)
 	survivor.Behave(runnerstand.Pauses)
 	for _, runner := range p.started {
-		p.list(runner, "draining")
+		p.putEntry(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
 	whole := make(chan answer, 1)
 	go func() { whole <- p.routers[0].call("/once/x", asking(poisonBody)) }()
 	p.g.Eventually(survivor.Arrivals, time.Second, time.Millisecond).Should(Equal(1))
-	p.list(survivor, "draining")
+	p.putEntry(survivor, "draining")
 	for _, runner := range p.started {
-		p.list(runner, "ready")
+		p.putEntry(runner, "ready")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":false`) }, time.Second).Should(BeNumerically(">=", 16))
 	p.endRunners(3)
 	p.keeps(3)
 	survivor.Resume()
 	p.g.Expect((<-whole).status).To(Equal(http.StatusOK))
-	p.routers[0].logs("content is sent again")
+	p.routers[0].waitForLog("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
 }
 
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -111,7 +111,7 @@
 	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "nobody knows whether the limit is reached")
 	var waited int
 	for _, refusal := range refused {
-		if refusal.after >= 100*time.Millisecond {
+		if refusal.duration >= 100*time.Millisecond {
 			waited++
 		}
 	}
@@ -126,14 +126,14 @@
 	f.g.Expect(refused).To(BeEmpty())
 	f.store.Put(configKind, configName, limited(2, tokenLimit(900, 0)))
 	for _, r := range routers {
-		r.settled(2)
+		r.waitForConfig(2)
 	}
 	served, refused = spendFor(routers, 300, time.Second)
 	f.g.Expect(served).To(BeNumerically("<=", 900+4*300))
 	f.g.Expect(refused).NotTo(BeEmpty())
 	f.store.Put(configKind, configName, limited(3, nil))
 	for _, r := range routers {
-		r.settled(3)
+		r.waitForConfig(3)
 	}
 	_, refused = spendFor(routers, 300, 200*time.Millisecond)
 	f.g.Expect(refused).To(BeEmpty(), "no limit any more")
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -78,7 +78,7 @@
 func TestFollowerLearnsFromSeedsWithoutTheStore(t *testing.T) {
 	f, _, follower := relayedFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Consistently(follower.door.Calls, 600*time.Millisecond).Should(Equal(0), "seeds read the store for it")
+	f.g.Consistently(follower.storeEndpoint.Calls, 600*time.Millisecond).Should(Equal(0), "seeds read the store for it")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
@@ -94,7 +94,7 @@
 	name(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Eventually(func() int { return follower.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
-	f.g.Expect(follower.door.Calls()).To(Equal(0))
+	f.g.Expect(follower.storeEndpoint.Calls()).To(Equal(0))
 
 	for _, seed := range seeds {
 		seed.Kill()
@@ -108,10 +108,10 @@
 	for i, seed := range seeds {
 		seed.Kill()
 		f.configure(2+i, defaultRoutes(), goodKey)
-		follower.settled(2 + i)
+		follower.waitForConfig(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(follower.door.Calls()).To(BeNumerically(">", 0), "with all seeds gone it reads the store")
+	f.g.Expect(follower.storeEndpoint.Calls()).To(BeNumerically(">", 0), "with all seeds gone it reads the store")
 }
 
 // A seed that the store drops while it serves others must not keep its
@@ -120,7 +120,7 @@
 	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Silent} {
 		t.Run(name, func(t *testing.T) {
 			f, seeds, follower := relayedFleet(t)
-			seeds[0].door.Set(fault)
+			seeds[0].storeEndpoint.Set(fault)
 			dropped := time.Now()
 			f.configure(2, defaultRoutes(), "key-two")
 			for _, r := range []*router{follower, seeds[0], seeds[1]} {
@@ -135,7 +135,7 @@
 func TestRestartWithTheStoreDownIsServedByPeers(t *testing.T) {
 	f, seeds, _ := relayedFleet(t)
 	addresses := seeds[0].seeds
-	restarted := f.routerAt("restarted", f.asFollower(addresses), storestand.Silent)
+	restarted := f.routerWithStoreFault("restarted", f.asFollower(addresses), storestand.Silent)
 	f.g.Eventually(restarted.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(restarted.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
@@ -144,7 +144,7 @@
 func TestPeersDoNotProveToEachOtherWhatNobodyProves(t *testing.T) {
 	f, seeds, follower := relayedFleet(t)
 	for _, r := range append(seeds, follower) {
-		r.door.Set(storestand.Silent)
+		r.storeEndpoint.Set(storestand.Silent)
 	}
 	f.g.Eventually(func() bool {
 		ready := false
@@ -160,19 +160,19 @@
 func TestSeedNeverGivesAnOlderConfigurationWithANewerProof(t *testing.T) {
 	f := newFleet(t)
 	addresses := []string{loopback.FreeAddress()}
-	seed := f.routerAt("seed", func(settings *gateway.Settings) {
+	seed := f.routerWithStoreFault("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = addresses[0], addresses
 	}, storestand.Busy)
-	first := f.routerAt("first", f.asFollower(addresses), storestand.Silent)
+	first := f.routerWithStoreFault("first", f.asFollower(addresses), storestand.Silent)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	seed.door.Set(storestand.Healthy)
+	seed.storeEndpoint.Set(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "not seconds later")
 	f.configure(2, defaultRoutes(), "key-two")
-	seed.settled(2)
-	second := f.routerAt("second", f.asFollower(addresses), storestand.Silent)
+	seed.waitForConfig(2)
+	second := f.routerWithStoreFault("second", f.asFollower(addresses), storestand.Silent)
 	f.g.Eventually(second.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(second.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized))
 }
@@ -199,7 +199,7 @@
 	for i := range 6 {
 		r := f.router(fmt.Sprint("r", i), f.asFollower(seeds))
 		f.g.Eventually(r.isReady, 150*time.Millisecond, 2*time.Millisecond).Should(BeTrue())
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 	}
 }
 
@@ -218,17 +218,17 @@
 	})
 	got := first.call("/safe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(got.after).To(BeNumerically("<", patient))
+	f.g.Expect(got.duration).To(BeNumerically("<", patient))
 
-	alone := f.routerAt("alone", f.asFollower(seeds), storestand.Silent)
+	alone := f.routerWithStoreFault("alone", f.asFollower(seeds), storestand.Silent)
 	for range 2 {
 		got = alone.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		f.g.Expect(got.after).To(BeNumerically("<", 300*time.Millisecond))
+		f.g.Expect(got.duration).To(BeNumerically("<", 300*time.Millisecond))
 		time.Sleep(time.Second)
 	}
-	f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "later nothing waits")
+	f.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond), "later nothing waits")
 }
 
 // silentPeer returns the address of a peer that takes connections and says nothing.
@@ -271,7 +271,7 @@
 	r := f.servingRouter("r1", nil)
 	proofAge := func() int64 { return r.Status().ProofAgeMillis }
 	f.configure(2, defaultRoutes(), goodKey)
-	r.settled(2)
+	r.waitForConfig(2)
 	time.Sleep(800 * time.Millisecond) // the next watch has waited for most of its 0.9 s
 	f.configure(3, defaultRoutes(), goodKey)
 	f.g.Eventually(proofAge, 700*time.Millisecond, 5*time.Millisecond).Should(BeNumerically("<", 500))
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -9,7 +9,7 @@
 	"github.com/clovertiller/clovertiller/internal/gateway"
 )
 
-func TestReloadTakesSeedsAndNamesWhatNeedsARestart(t *testing.T) {
+func TestReloadAppliesSeedsAndReportsSettingsNeedingRestart(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	var started gateway.Settings
@@ -17,7 +17,7 @@
 	changed := started
 	changed.Seeds = []string{"127.0.0.1:9"}
 	r.Reload(changed)
-	f.g.Expect(r.log.String()).To(ContainSubstring(`"event":803,"level":"info","msg":"settings read again","need_restart":[],"node":"r1","seeds":1`))
+	f.g.Expect(r.log.String()).To(ContainSubstring(`"event":803,"level":"info","msg":"settings reloaded","need_restart":[],"node":"r1","seeds":1`))
 	changed.ConfigLease, changed.RetryShare = 9*time.Second, 0.5
 	r.Reload(changed)
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"need_restart":["ConfigLease","RetryShare"]`))
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -17,10 +17,10 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// firstIncarnation is that of a test's runners before they start again.
+// firstIncarnation is the incarnation of a test's runners before they restart.
 const firstIncarnation = 1785310070397
 
-func (f *fleet) startedRunner(id, service string) *runnerstand.Runner {
+func (f *fleet) runnerWithIncarnation(id, service string) *runnerstand.Runner {
 	settings := runnerstand.Config{ID: id, Service: service, Incarnation: firstIncarnation}
 	if service == "engines" {
 		settings.Model, settings.Version, settings.Events = modelName, 1, 4
@@ -28,9 +28,9 @@
 	return f.startRunner(settings)
 }
 
-// newsWays are the ways on which a router hears of a change of the directory: each starts
-// routers, makes the change and returns the router that has to know of it.
-var newsWays = map[string]func(f *fleet, change func()) *router{
+// updatePaths are the paths on which a router learns of a change of the directory. Each
+// function starts routers, makes the change and returns the router that must learn of it.
+var updatePaths = map[string]func(f *fleet, change func()) *router{
 	"watch": func(f *fleet, change func()) *router {
 		r := f.servingRouter("r1", nil)
 		change()
@@ -38,11 +38,11 @@
 	},
 	"list": func(f *fleet, change func()) *router {
 		r := f.servingRouter("r1", nil)
-		r.door.Set(storestand.Busy)
-		r.logs("store does not answer well")
+		r.storeEndpoint.Set(storestand.Busy)
+		r.waitForLog("store calls fail")
 		change()
 		f.store.Forget()
-		r.door.Set(storestand.Healthy)
+		r.storeEndpoint.Set(storestand.Healthy)
 		return r
 	},
 	"relay": func(f *fleet, change func()) *router {
@@ -50,90 +50,93 @@
 		f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = seed[0], seed })
 		follower := f.servingRouter("follower", f.asFollower(seed))
 		change()
-		f.t.Cleanup(func() { f.g.Expect(follower.door.Calls()).To(BeZero(), "it knows from the seed alone") })
+		f.t.Cleanup(func() {
+			f.g.Expect(follower.storeEndpoint.Calls()).To(BeZero(), "the follower must learn of the change from the seed alone")
+		})
 		return follower
 	},
 }
 
-func overAllWays(t *testing.T, test func(f *fleet, way func(f *fleet, change func()) *router)) {
-	for name, way := range newsWays {
+func forEachUpdatePath(t *testing.T, test func(f *fleet, applyChange func(f *fleet, change func()) *router)) {
+	for name, applyChange := range updatePaths {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			f.configure(1, defaultRoutes(), goodKey)
-			test(f, way)
+			test(f, applyChange)
 		})
 	}
 }
 
-func TestRoutersHearOfARunnerThatStartsAgainUnderItsID(t *testing.T) {
-	overAllWays(t, func(f *fleet, way func(f *fleet, change func()) *router) {
-		runner := f.startedRunner("p1", "plain")
-		r := way(f, func() {
+func TestRoutersLearnOfRestartedRunner(t *testing.T) {
+	forEachUpdatePath(t, func(f *fleet, applyChange func(f *fleet, change func()) *router) {
+		runner := f.runnerWithIncarnation("p1", "plain")
+		r := applyChange(f, func() {
 			runner.Restart()
-			f.list(runner, "ready")
+			f.putEntry(runner, "ready")
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(And(
-			ContainSubstring("runner started again under its name"), ContainSubstring(fmt.Sprintf(`"incarnation":%d`, firstIncarnation+1))))
+			ContainSubstring("runner restarted under its name"), ContainSubstring(fmt.Sprintf(`"incarnation":%d`, firstIncarnation+1))))
 		f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	})
 }
 
-// What was failing with the last start is no reason to avoid the next.
+// Failures of the previous incarnation must not make routers avoid the restarted runner.
 func TestRestartedRunnerIsUsedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	bad, good := f.startedRunner("p1", "plain"), f.startedRunner("p2", "plain")
+	failing, healthy := f.runnerWithIncarnation("p1", "plain"), f.runnerWithIncarnation("p2", "plain")
 	r := f.servingRouter("r1", nil)
-	bad.Behave(runnerstand.Fails)
+	failing.Behave(runnerstand.Fails)
 	for range 30 {
 		r.call("/safe/x", nil)
 	}
-	f.g.Expect(len(good.Runs())).To(BeNumerically(">", 2*len(bad.Runs())), "it is avoided")
-	bad.Behave(runnerstand.Well)
-	bad.Restart()
-	f.list(bad, "ready")
-	r.logs("runner started again")
-	// Failures fade by half in 3 s. One slow answer, which fades by half in 0.7 s, may keep
-	// a round of calls from either runner.
+	f.g.Expect(len(healthy.Runs())).To(BeNumerically(">", 2*len(failing.Runs())), "the failing runner is avoided")
+	failing.Behave(runnerstand.Well)
+	failing.Restart()
+	f.putEntry(failing, "ready")
+	r.waitForLog("runner restarted")
+	// The weight of failures halves every 3 s. One slow response, whose weight halves every 0.7
+	// s, may keep a round of calls away from either runner.
 	f.g.Eventually(func() int {
-		before := len(bad.Runs())
+		before := len(failing.Runs())
 		for range 30 {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
-		return len(bad.Runs()) - before
-	}, 1500*time.Millisecond, 100*time.Millisecond).Should(BeNumerically(">=", 8), "it is one of two")
+		return len(failing.Runs()) - before
+	}, 1500*time.Millisecond, 100*time.Millisecond).Should(BeNumerically(">=", 8), "the restarted runner gets its share of the calls")
 }
 
-// A router that knows of the restart is told of the entry before by a replica that is behind.
-func TestOlderEntryDoesNotUndoARestart(t *testing.T) {
+// A router that knows of a restart must ignore the previous entry, which it receives from a
+// stale replica.
+func TestStaleEntryDoesNotUndoRestart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("p1", "plain")
+	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	listed, found := f.store.Get(platform.KindServers, "p1")
 	f.g.Expect(found).To(BeTrue())
 	runner.Restart()
-	f.list(runner, "ready")
-	r.logs("runner started again")
-	f.list(runner, "draining")
-	r.logs("runner changed state")
-	r.door.AnswerAt(listed.Metadata.Revision, platform.KindServers)
+	f.putEntry(runner, "ready")
+	r.waitForLog("runner restarted")
+	f.putEntry(runner, "draining")
+	r.waitForLog("runner changed state")
+	r.storeEndpoint.AnswerAt(listed.Metadata.Revision, platform.KindServers)
 	time.Sleep(300 * time.Millisecond)
 	f.store.Put(platform.KindServers, "p9", runner.Entry("draining"))
 	f.g.Consistently(r.log.String, time.Second, 50*time.Millisecond).ShouldNot(ContainSubstring(fmt.Sprintf(`"incarnation":%d`, firstIncarnation)))
-	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "it still leaves")
+	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "the runner is still draining")
 }
 
-// An order to the last start never shows in the reports of the next, whose count of orders
-// is lower: it is ordered again without the wait for an answer that is late.
-func TestOrderIsGivenAgainToARestartedRunner(t *testing.T) {
+// An order to the previous incarnation never shows in the reports of the next one, whose count
+// of orders is lower. The runner must be ordered again without waiting for a late answer.
+func TestRestartedRunnerIsOrderedAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("e1", "engines")
+	runner := f.runnerWithIncarnation("e1", "engines")
 	f.servingRouter("r1", nil)
 	name(f, 2)
 	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
@@ -144,52 +147,53 @@
 	runner.Restart()
 	f.g.Eventually(runner.Version, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(3)))
 	orders := runner.Orders()
-	f.g.Expect(orders[len(orders)-1].Expected).To(BeZero(), "its count starts anew")
+	f.g.Expect(orders[len(orders)-1].Expected).To(BeZero(), "the count of orders restarts from zero")
 }
 
-// movedParts stands in for what runners keep, by the addresses that they are read at.
-type movedParts struct {
-	*keptParts
-	reading   sync.Mutex
-	addresses map[string]bool
+// addressRecordingReader is a fakeCacheReader that records the addresses at which caches are
+// listed.
+type addressRecordingReader struct {
+	*fakeCacheReader
+	addressMutex sync.Mutex
+	addresses    map[string]bool
 }
 
-func (m *movedParts) CacheList(ctx context.Context, address, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
-	m.reading.Lock()
+func (m *addressRecordingReader) CacheList(ctx context.Context, address, runner string) ([]gateway.CachedPart, gateway.CachePosition, error) {
+	m.addressMutex.Lock()
 	m.addresses[address] = true
-	m.reading.Unlock()
-	return m.keptParts.CacheList(ctx, address, runner)
+	m.addressMutex.Unlock()
+	return m.fakeCacheReader.CacheList(ctx, address, runner)
 }
 
-func (m *movedParts) readAt(address string) bool {
-	m.reading.Lock()
-	defer m.reading.Unlock()
+func (m *addressRecordingReader) wasReadAt(address string) bool {
+	m.addressMutex.Lock()
+	defer m.addressMutex.Unlock()
 	return m.addresses[address]
 }
 
-func TestKeptPartsOfARestartedRunnerAreReadAnewWhereItIs(t *testing.T) {
+func TestRestartedRunnerIsReadAtItsNewAddress(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	kept := &movedParts{keptParts: newKeptParts(), addresses: map[string]bool{}}
-	f.caches = kept
+	caches := &addressRecordingReader{fakeCacheReader: newFakeCacheReader(), addresses: map[string]bool{}}
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("e1", "engines")
-	kept.put("e1")
+	runner := f.runnerWithIncarnation("e1", "engines")
+	caches.setParts("e1")
 	f.servingRouter("r1", nil)
-	f.g.Eventually(func() bool { return kept.readAt(runner.Address) }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
+	f.g.Eventually(func() bool { return caches.wasReadAt(runner.Address) }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
 	runner.Restart()
 	entry := runner.Entry("ready")
 	entry["address"] = "127.0.0.1:1"
 	f.store.Put(platform.KindServers, "e1", entry)
-	f.g.Eventually(func() bool { return kept.readAt("127.0.0.1:1") }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
+	f.g.Eventually(func() bool { return caches.wasReadAt("127.0.0.1:1") }, 3*time.Second, 5*time.Millisecond).Should(BeTrue())
 }
 
-// Entries that anybody may write. The runner that is known by the name is no longer used,
-// as nobody knows what it is now; the others are.
-func TestEntryOfAnotherWriterNamesNoRunner(t *testing.T) {
-	overAllWays(t, func(f *fleet, way func(f *fleet, change func()) *router) {
-		known, sound := f.startedRunner("p1", "plain"), f.startedRunner("p2", "plain")
-		r := way(f, func() {
+// Anybody may write directory entries. A runner whose entry becomes malformed must no longer be
+// used, as its state is unknown. Other runners stay in use.
+func TestMalformedEntriesAreNotUsed(t *testing.T) {
+	forEachUpdatePath(t, func(f *fleet, applyChange func(f *fleet, change func()) *router) {
+		overwritten, untouched := f.runnerWithIncarnation("p1", "plain"), f.runnerWithIncarnation("p2", "plain")
+		r := applyChange(f, func() {
 			f.store.Put(platform.KindServers, "a-odd", "\xff\xfe{")
 			f.store.Put(platform.KindServers, "odd-list", []int{7})
 			f.store.Put(platform.KindServers, "odd-null", nil)
@@ -197,54 +201,55 @@
 				"odd-state": {"state": "resting"}, "odd-service": {"service": 7}, "odd-slots": {"slots": "many"},
 				"odd-start": {"born": "1785310070397"}, "p1": {"zone": nil},
 			} {
-				entry := known.Entry("ready")
+				entry := overwritten.Entry("ready")
 				for field, value := range change {
 					entry[field] = value
 				}
 				f.store.Put(platform.KindServers, name, entry)
 			}
-			stranger := known.Entry("ready")
+			stranger := overwritten.Entry("ready")
 			stranger["service"] = "nobody's"
 			f.store.Put(platform.KindServers, "stranger", stranger)
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(MatchRegexp(`"cause":"entry cannot be read".*"runner":"p1"`))
 		f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"stranger"`))
-		before := known.Arrivals()
+		before := overwritten.Arrivals()
 		for range 20 {
 			f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 		}
-		f.g.Expect(known.Arrivals()).To(Equal(before))
-		f.g.Expect(sound.Runs()).NotTo(BeEmpty())
-		// The runner's own entry comes again.
-		f.list(known, "ready")
+		f.g.Expect(overwritten.Arrivals()).To(Equal(before))
+		f.g.Expect(untouched.Runs()).NotTo(BeEmpty())
+		// The runner writes its own entry again.
+		f.putEntry(overwritten, "ready")
 		f.g.Eventually(func() int {
 			r.call("/safe/x", nil)
-			return known.Arrivals()
+			return overwritten.Arrivals()
 		}, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", before))
 	})
 }
 
-// A runner that told its incarnation always does.
-func TestEntryThatNoLongerNamesTheIncarnationIsNotTheRunners(t *testing.T) {
+// A runner that has reported its incarnation once always does, so an entry without it was
+// written by somebody else.
+func TestEntryWithoutIncarnationRemovesRunner(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("p1", "plain")
+	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.Entry("ready")
 	delete(entry, "born")
 	f.store.Put(platform.KindServers, "p1", entry)
-	r.logs("entry cannot be read")
+	r.waitForLog("entry cannot be read")
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
 }
 
-// A runner of a service that the configuration does not have takes no orders.
-func TestRunnerOfAnUnknownServiceIsNotOrdered(t *testing.T) {
+// A runner of a service that is not in the configuration must get no orders.
+func TestRunnerOfUnknownServiceIsNotOrdered(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("e1", "engines")
-	stranger := f.startedRunner("e2", "engines")
+	runner := f.runnerWithIncarnation("e1", "engines")
+	stranger := f.runnerWithIncarnation("e2", "engines")
 	entry := stranger.Entry("ready")
 	entry["service"] = "nobody's"
 	f.store.Put(platform.KindServers, "e2", entry)
@@ -254,21 +259,21 @@
 	f.g.Consistently(stranger.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
 }
 
-// Entries of another writer that name no incarnation do not become the runner's own by coming
-// again.
-func TestEntriesWithoutIncarnationNameNoRunnerThatToldOne(t *testing.T) {
+// Entries without an incarnation, written by somebody else, must not be accepted just because
+// they are repeated.
+func TestRepeatedEntriesWithoutIncarnationAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	runner := f.startedRunner("p1", "plain")
+	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.Entry("ready")
 	delete(entry, "born")
 	f.store.Put(platform.KindServers, "p1", entry)
-	r.logs("entry cannot be read")
+	r.waitForLog("entry cannot be read")
 	entry["seq"] = 77
 	f.store.Put(platform.KindServers, "p1", entry)
 	f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 500*time.Millisecond, 20*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
-	f.list(runner, "ready")
+	f.putEntry(runner, "ready")
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK))
 }
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -118,7 +118,7 @@
 	r.call("/once/x", nil)
 	refused := r.call("/once/x", nil)
 	f.g.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
-	f.g.Expect(refused.after).To(BeNumerically("<", 250*time.Millisecond))
+	f.g.Expect(refused.duration).To(BeNumerically("<", 250*time.Millisecond))
 	seconds, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.g.Expect(time.Now().Add(time.Duration(seconds * float64(time.Second)))).To(BeTemporally("~", asked.Add(restTime), 300*time.Millisecond))
--- a/internal/gateway/restoredlease_test.go
+++ b/internal/gateway/restoredlease_test.go
@@ -15,9 +15,10 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// Guards against two routers that order runners at once, and against orders with tokens that
-// runners have passed, when the store comes back during a rollout from a copy without its lease.
-func TestOneRouterOrdersRunnersWhileTheStoreComesBackFromACopy(t *testing.T) {
+// Guards against two routers that order runners at the same time, and against orders with
+// tokens below those that runners have seen, when the store is restored during a rollout from a
+// backup without the current lease.
+func TestOneRouterOrdersRunnersDuringStoreRestores(t *testing.T) {
 	t.Parallel()
 	const gap = 700 * time.Millisecond
 	f := &restorable{fleet: newFleet(t)}
@@ -31,15 +32,15 @@
 			settings.PeerAddress, settings.Seeds, settings.LeaseGap = address, seeds, gap
 		}))
 	}
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	for version := uint64(2); version <= 4; version++ {
 		name(f.fleet, version)
-		f.g.Eventually(f.orders, weightsTime, time.Millisecond).Should(BeNumerically(">=", int(version-1)*4))
-		f.restore(kept, storeAway/8, func() { name(f.fleet, version) })
+		f.g.Eventually(f.orderCount, weightsTime, time.Millisecond).Should(BeNumerically(">=", int(version-1)*4))
+		f.restore(backup, storeAway/8, func() { name(f.fleet, version) })
 	}
 	f.haveWeights(4)
 
-	orders := ordersOf(f.engines)
+	orders := allOrders(f.engines)
 	for i, order := range orders {
 		f.g.Expect(order.Status).NotTo(Equal(http.StatusPreconditionFailed), "order %d", i)
 		if i == 0 || order.Holder == orders[i-1].Holder {
@@ -50,43 +51,43 @@
 	}
 }
 
-// Guards against a lease that nobody takes for good: the copy from which the store came back
-// does not have the object that routers go on to replace.
-func TestLeaseThatACopyOfTheStoreLacksIsTakenAgain(t *testing.T) {
+// Guards against a lease that is never acquired again: the backup lacks the lease object that
+// routers keep trying to replace.
+func TestLeaseLostInStoreRestoreIsAcquiredAgain(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 3, nil)
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	name(f.fleet, 2)
 	f.haveWeights(2)
 	time.Sleep(2 * storeAway)
-	f.restore(kept, storeAway/8, nil)
-	named := time.Now()
+	f.restore(backup, storeAway/8, nil)
+	namedAt := time.Now()
 	name(f.fleet, 3)
 	f.haveWeights(3)
-	f.g.Expect(time.Since(named)).To(BeNumerically("<", 4*time.Second))
+	f.g.Expect(time.Since(namedAt)).To(BeNumerically("<", 4*time.Second))
 }
 
-// Guards against routers that keep what they know of the store to themselves, or lose it, when
-// they stood still or had no way to the store while it came back from a copy.
-func TestRoutersThatMissedTheReturnOfTheStoreCatchUp(t *testing.T) {
+// Guards against routers that do not share what they know of the store, or lose it, because
+// they were suspended or disconnected while the store was restored from a backup.
+func TestIsolatedRoutersCatchUpAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	f := newRestorable(t, 6, nil)
-	kept := f.store.Copy()
+	backup := f.store.Copy()
 	f.grow(lostWrites)
 	time.Sleep(seenTime)
-	cutOff := f.routers[3:]
-	f.restore(kept, storeAway/4, func() {
+	isolated := f.routers[3:]
+	f.restore(backup, storeAway/4, func() {
 		f.writeAgain(1)
 		f.grow(lostWrites + 5)
 	})
-	for _, r := range cutOff {
-		r.door.Set(storestand.Silent)
+	for _, r := range isolated {
+		r.storeEndpoint.Set(storestand.Silent)
 	}
-	cutOff[0].clock.suspend(3 * time.Second)
-	changed := time.Now()
+	isolated[0].clock.suspend(3 * time.Second)
+	changedAt := time.Now()
 	f.configure(2, added("fresh"), goodKey)
 	name(f.fleet, 2)
-	f.inForce(changed, "/fresh/x", "key-two")
+	f.inForce(changedAt, "/fresh/x", "key-two")
 	f.haveWeights(2)
 	f.store.Restore(f.store.Copy())
 	f.configure(3, added("fresh", "more"), goodKey, "key-two")
@@ -95,16 +96,16 @@
 	}
 }
 
-// orders counts the orders that the engines got.
-func (f *restorable) orders() (count int) {
+// orderCount returns the number of orders that the engines have received.
+func (f *restorable) orderCount() (count int) {
 	for _, engine := range f.engines {
 		count += len(engine.Orders())
 	}
 	return count
 }
 
-// ordersOf returns the orders of all engines in the order of their arrival.
-func ordersOf(engines []*runnerstand.Runner) (orders []runnerstand.Order) {
+// allOrders returns the orders of all engines in order of arrival.
+func allOrders(engines []*runnerstand.Runner) (orders []runnerstand.Order) {
 	for _, engine := range engines {
 		orders = append(orders, engine.Orders()...)
 	}
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -48,7 +48,7 @@
 	t.Parallel()
 	f, joined := withLostRunner(t)
 	f.answersNow(http.StatusOK)
-	f.list(joined, "ready")
+	f.putEntry(joined, "ready")
 	time.Sleep(droppedTime)
 	f.answersNow(http.StatusOK)
 }
@@ -71,16 +71,16 @@
 	f := newRestorable(t, 3, nil)
 	leaving, gone := f.runner("leaving", "plain"), f.runner("gone", "plain")
 	for _, r := range f.routers {
-		r.logs(`"runner":"leaving"`)
-		r.logs(`"runner":"gone"`)
+		r.waitForLog(`"runner":"leaving"`)
+		r.waitForLog(`"runner":"gone"`)
 	}
 	kept := f.store.Copy()
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.store.Remove(platform.KindServers, gone.ID)
 	f.grow(lostWrites)
 	for _, r := range f.routers {
-		r.logs(`"draining":true`)
-		r.logs("runner removed")
+		r.waitForLog(`"draining":true`)
+		r.waitForLog("runner removed")
 	}
 	ran := []int{len(leaving.Runs()), len(gone.Runs())}
 	for range 2 {
@@ -108,11 +108,11 @@
 	name(f.fleet, 2)
 	f.haveWeights(2)
 	for _, engine := range f.engines {
-		f.list(engine, "ready")
+		f.putEntry(engine, "ready")
 	}
 	f.grow(lostWrites)
 	time.Sleep(seenTime)
-	orders := f.orders()
+	orders := f.orderCount()
 	streams := make(chan answer, len(f.routers))
 	f.setDoors(storestand.Reset)
 	for _, r := range f.routers {
@@ -124,15 +124,15 @@
 	for range f.routers {
 		got := <-streams
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
-		f.g.Expect(got.cut).To(BeFalse())
+		f.g.Expect(got.truncated).To(BeFalse())
 	}
 	for range 10 {
 		for _, r := range f.routers {
 			f.g.Expect(r.call("/stream/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
-	f.g.Expect(f.orders()).To(Equal(orders), "orders given to runners")
-	f.g.Expect(f.routers[0].log.String()).NotTo(ContainSubstring("runner started again"))
+	f.g.Expect(f.orderCount()).To(Equal(orders), "orders given to runners")
+	f.g.Expect(f.routers[0].log.String()).NotTo(ContainSubstring("runner restarted"))
 }
 
 // Guards against runners that are used for good though they are gone, as a router that missed that
@@ -141,7 +141,7 @@
 	t.Parallel()
 	f := newRestorable(t, 1, nil)
 	gone, seed := f.runner("gone", "plain"), f.routers[0]
-	seed.logs(`"runner":"gone"`)
+	seed.waitForLog(`"runner":"gone"`)
 	bound := loopback.FreeAddress()
 	proxies := []*faultproxy.Proxy{f.proxyTo(seed.seeds[0]), f.proxyTo(bound)}
 	cut := func(mode faultproxy.Mode) {
@@ -152,18 +152,18 @@
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.Seeds, settings.PeerAddress, settings.PeerBindAddress = []string{proxies[0].Address}, proxies[1].Address, bound
 	})
-	follower.logs(`"runner":"gone"`)
-	follower.door.Set(storestand.Reset)
+	follower.waitForLog(`"runner":"gone"`)
+	follower.storeEndpoint.Set(storestand.Reset)
 	cut(faultproxy.Reset)
 	f.store.Remove(platform.KindServers, gone.ID)
-	seed.logs("runner removed")
+	seed.waitForLog("runner removed")
 	f.store.Restore(f.store.Copy())
-	seed.logs(`"event":829`)
+	seed.waitForLog(`"event":829`)
 	time.Sleep(listedTime)
-	seed.door.Set(storestand.Throttled)
+	seed.storeEndpoint.Set(storestand.Throttled)
 	f.grow(3)
-	follower.door.Set(storestand.Healthy)
-	follower.logs(`"missing":1`)
+	follower.storeEndpoint.Set(storestand.Healthy)
+	follower.waitForLog(`"missing":1`)
 	cut(faultproxy.Pass)
 
 	time.Sleep(droppedTime)
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -51,7 +51,7 @@
 
 // start starts a router at the address, with a store that is well.
 func (f *forgetful) start(address string, seeds []string) *router {
-	return f.routerAt("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
+	return f.routerWithStoreFault("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
 }
 
 // learns waits until the router knows what the copy lacks.
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -66,7 +66,7 @@
 // setDoors changes how the store treats the calls of all routers.
 func (f *restorable) setDoors(fault storestand.Fault) {
 	for _, r := range f.routers {
-		r.door.Set(fault)
+		r.storeEndpoint.Set(fault)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (f *restorable) writeAgain(weights uint64) {
 	name(f.fleet, weights)
 	for _, runner := range append(f.engines[:len(f.engines):len(f.engines)], f.plain) {
-		f.list(runner, "ready")
+		f.putEntry(runner, "ready")
 	}
 }
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -234,15 +234,15 @@
 // given version or a later one, with no order in progress.
 func (r *rolloutController) recordVersions(runner backend.Runner, report RunnerReport, model string, version uint64) bool {
 	g := r.gateway
-	for _, held := range report.Models {
-		if held.Name != model {
+	for _, loaded := range report.Models {
+		if loaded.Name != model {
 			continue
 		}
 		g.mutex.Lock()
-		g.runners.LearnVersion(runner.ID, model, held.Version)
+		g.runners.LearnVersion(runner.ID, model, loaded.Version)
 		g.mutex.Unlock()
-		if held.Version >= version && !report.Updating {
-			g.log.Log(events.RunnerWeightsChanged, events.Fields{"runner": runner.ID, "model": model, "version": held.Version})
+		if loaded.Version >= version && !report.Updating {
+			g.log.Log(events.RunnerWeightsChanged, events.Fields{"runner": runner.ID, "model": model, "version": loaded.Version})
 			return true
 		}
 	}
--- a/internal/gateway/routercount_test.go
+++ b/internal/gateway/routercount_test.go
@@ -11,11 +11,11 @@
 	"github.com/clovertiller/clovertiller/internal/lab/loopback"
 )
 
-// Routers that had lost all keepers of a limit refused every request of its tenant for a
-// second: each spent one part in 18 of the limit, though there were five routers. A seed
-// took its own followers for as many as each other seed has, and counted seeds that pulled
-// from it as followers; one without followers did not count at all. The logs showed a debt
-// of 296 tokens paid at 167 tokens a second, in place of 600.
+// Guards against wrong estimates of the number of routers. A seed assumed that each other seed
+// had as many followers as itself, counted seeds that pulled from it as followers, and ignored
+// seeds without followers. When all keepers of a quota were lost, each of five routers
+// therefore used only 1/18 of the quota and refused every request of the tenant for a second: a
+// debt of 296 tokens was paid off at 167 tokens per second instead of 600.
 func TestRoutersCountEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -36,7 +36,7 @@
 	}
 	counts := func() (counted []float64) {
 		for _, address := range addresses {
-			counted = append(counted, figures(f.g, address)["clovertiller_routers"])
+			counted = append(counted, scrapeMetrics(f.g, address)["clovertiller_routers"])
 		}
 		return counted
 	}
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -15,7 +15,7 @@
 
 // counts waits until the figures at the address have the value of the series.
 func (f *fleet) counts(address, series string, value float64) {
-	f.g.Eventually(func() float64 { return figures(f.g, address)[series] }, time.Second, 5*time.Millisecond).Should(Equal(value))
+	f.g.Eventually(func() float64 { return scrapeMetrics(f.g, address)[series] }, time.Second, 5*time.Millisecond).Should(Equal(value))
 }
 
 // A runner that ends is told from one whose connections break, and the log names what was
@@ -29,12 +29,12 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = at })
 	asked := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
 	runner.Behave(runnerstand.BreaksOff)
-	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
+	f.g.Expect(r.call("/once/x", nil).truncated).To(BeTrue())
 	f.counts(at, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
 	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+asked), Not(ContainSubstring("runner ended with requests at work"))))
 	runner.Behave(runnerstand.Dies)
-	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
-	r.logs("runner ended with requests at work")
+	f.g.Expect(r.call("/once/x", nil).truncated).To(BeTrue())
+	r.waitForLog("runner ended with requests at work")
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + asked + `"]`))
 	f.counts(at, `clovertiller_runner_checks_total{outcome="ended",service="engines"}`, 1)
 }
@@ -62,13 +62,13 @@
 	go func() { done <- r.call("/once/x", nil) }()
 	f.g.Eventually(runner.Arrivals).Should(Equal(1))
 	if byAnswer {
-		r.logs(`"leaving":true`)
+		r.waitForLog(`"leaving":true`)
 	} else {
-		f.list(runner, "draining")
-		r.logs(`"draining":true`)
+		f.putEntry(runner, "draining")
+		r.waitForLog(`"draining":true`)
 	}
 	runner.Close()
-	f.g.Expect((<-done).cut).To(BeTrue())
+	f.g.Expect((<-done).truncated).To(BeTrue())
 	f.g.Consistently(r.log.String, "300ms").ShouldNot(ContainSubstring("runner ended with requests at work"))
-	f.g.Expect(figures(f.g, at)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
+	f.g.Expect(scrapeMetrics(f.g, at)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
 }
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -69,7 +69,7 @@
 	}
 	for _, r := range f.routers {
 		for _, engine := range f.engines {
-			r.logs(fmt.Sprintf(`"runner":"%s"`, engine.ID))
+			r.waitForLog(fmt.Sprintf(`"runner":"%s"`, engine.ID))
 		}
 	}
 	return f
@@ -211,7 +211,7 @@
 		refused = r.call("/once/x", nil)
 	}
 	f.g.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
-	f.g.Expect(refused.after).To(BeNumerically("<", 250*time.Millisecond))
+	f.g.Expect(refused.duration).To(BeNumerically("<", 250*time.Millisecond))
 	seconds, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.g.Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", 10)))
@@ -228,7 +228,7 @@
 		got := f.load(f.routers, time.Second)
 		f.g.Expect(got.whole).To(Equal(got.sent), value)
 	}
-	f.routers[0].logs("what a runner says of itself cannot be read")
+	f.routers[0].waitForLog("what a runner says of itself cannot be read")
 	announce(f.engines, platform.HeaderLimit, "1e300")
 	got := f.load(f.routers, time.Second)
 	f.g.Expect(got.whole).To(Equal(got.sent), "as good as none")
@@ -248,7 +248,7 @@
 	f.routers[0] = f.servingRouter("seed-0-again", f.asSeed(f.seeds[0]))
 	restarted := time.Now()
 	got := f.load(f.routers[1:], 2*limitWindow)
-	f.routers[0].logs("another router told what a runner says of itself")
+	f.routers[0].waitForLog("another router told what a runner says of itself")
 	f.load(f.routers[1:], limitWindow)
 	f.g.Expect(got.whole).To(Equal(got.sent))
 	f.g.Expect(mostInWindow(limited[0], named.Add(contactTime))).To(BeNumerically("<=", allowedInWindow(limitedRate)))
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -84,8 +84,8 @@
 func TestRunnersAreSharedOutOverAllRouters(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, figuresAt := scheduledFleet(t, 1, 4, "p1", "p2")
-	placed := func() float64 { return figures(f.g, figuresAt[0])["clovertiller_placed_requests"] }
-	chosen := func() float64 { return figures(f.g, figuresAt[1])[chosenByScheduler] }
+	placed := func() float64 { return scrapeMetrics(f.g, figuresAt[0])["clovertiller_placed_requests"] }
+	chosen := func() float64 { return scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler] }
 	for _, runner := range runners {
 		runner.Behave(runnerstand.Delays)
 	}
@@ -115,7 +115,7 @@
 	for range 20 {
 		got := follower.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
-		f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "no call waits for lost schedulers")
+		f.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond), "no call waits for lost schedulers")
 	}
 }
 
@@ -125,35 +125,35 @@
 	t.Parallel()
 	f, routers, _, figuresAt := scheduledFleet(t, 1, 1, "p1")
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(figures(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 1))
 	for _, r := range routers {
-		r.door.Set(storestand.Silent)
+		r.storeEndpoint.Set(storestand.Silent)
 	}
 	time.Sleep(4 * time.Second) // its proof is no longer good
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are served on")
-	f.g.Expect(figures(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 1))
 }
 
 // A scheduler that does not reach the store is proved by a router that does, and goes on.
 func TestSchedulerIsProvedByTheRoutersThatAskIt(t *testing.T) {
 	t.Parallel()
 	f, routers, _, figuresAt := scheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.Set(storestand.Silent)
-	f.list(f.runnerOf("p1"), "draining")
+	routers[0].storeEndpoint.Set(storestand.Silent)
+	f.putEntry(f.runnerByID("p1"), "draining")
 	time.Sleep(4 * time.Second)
-	before := figures(f.g, figuresAt[1])[chosenByScheduler]
+	before := scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler]
 	f.g.Expect(routers[1].call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(figures(f.g, figuresAt[1])[chosenByScheduler]).To(Equal(before + 1))
+	f.g.Expect(scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler]).To(Equal(before + 1))
 	f.g.Expect(routers[0].log.String()).To(ContainSubstring(lineDraining))
-	f.g.Expect(f.runnerOf("p1").Runs()).To(BeEmpty())
+	f.g.Expect(f.runnerByID("p1").Runs()).To(BeEmpty())
 }
 
 // A router that knows that a runner leaves is bound by that, whoever chose it.
 func TestChoiceOfALeavingRunnerIsNotTaken(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, _ := scheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.Set(storestand.Silent)
-	f.list(runners[0], "draining")
+	routers[0].storeEndpoint.Set(storestand.Silent)
+	f.putEntry(runners[0], "draining")
 	f.g.Eventually(routers[1].log.String, 4*time.Second, 20*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	before := runners[0].Arrivals()
 	for range 10 {
@@ -170,7 +170,7 @@
 	routers[1].call("/safe/x", nil)
 	f.g.Expect(len(runners[0].Runs())).To(Equal(1))
 	f.g.Expect(len(runners[1].Runs())).To(Equal(1))
-	f.g.Expect(figures(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 2))
+	f.g.Expect(scrapeMetrics(f.g, figuresAt[1])[chosenByScheduler]).To(BeNumerically("==", 2))
 }
 
 // Calls hold one of eight slots for 0.4 s each and are to be answered within 0.3 s: most
@@ -215,7 +215,7 @@
 		f.g.Eventually(r.log.String, 3*time.Second, 10*time.Millisecond).Should(ContainSubstring(`"runner":"e1"`))
 	}
 	f.g.Expect(routers[1].call("/once/x", nil).status).To(Equal(http.StatusOK))
-	placed := func() float64 { return figures(f.g, figuresAt[0])["clovertiller_placed_requests"] }
+	placed := func() float64 { return scrapeMetrics(f.g, figuresAt[0])["clovertiller_placed_requests"] }
 	f.g.Eventually(placed, time.Second, 10*time.Millisecond).Should(BeZero())
 	caller, err := net.Dial("tcp", routers[1].address)
 	f.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/silentholder_test.go
+++ b/internal/gateway/silentholder_test.go
@@ -9,9 +9,9 @@
 	"github.com/clovertiller/clovertiller/internal/gateway"
 )
 
-// The lease of a holder that falls silent is free a fixed time after its last renewal.
-// A router that looked at it long before that renewal has to learn of it soon.
-func TestSilentHolderIsReplacedSoonAfterItsLastRenewal(t *testing.T) {
+// The lease of a silent holder becomes available a fixed time after its last renewal. A router
+// that read the lease long before this renewal must learn of it soon.
+func TestSilentLeaseHolderIsReplacedSoonAfterLastRenewal(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -24,7 +24,8 @@
 	first := runner.Orders()[0].Holder
 	time.Sleep(800 * time.Millisecond)
 	routers[first].Kill()
-	// One second of the lease, 3.25 s between the orders of two holders, and a look each second.
+	// The sum of the lease duration of 1 s, 3.25 s between the orders of two holders, and a
+	// read of the lease each second.
 	f.g.Eventually(func() bool {
 		orders := runner.Orders()
 		return orders[len(orders)-1].Holder != first
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -12,107 +12,108 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Two versions were named while a router learned nothing. Lists and other routers hold the
-// newest version only, so that it never learned of the first, and counted the time of the
-// weights before both from the naming of the second. It counts from the first.
+// Guards against older weights that are used too long. Two versions are named while a router
+// receives no changes. Lists and other routers contain only the newest version, so the router
+// never learns of the first one. It used to count the deadline of the weights before both from
+// the naming of the second version. It must count from the naming of the first one.
 
 const (
-	// skippedGap lies between the two namings.
-	skippedGap = 3 * time.Second
-	// blindAfter is how much longer the router learns nothing.
-	blindAfter = 300 * time.Millisecond
+	// namingInterval is the time between the two namings.
+	namingInterval = 3 * time.Second
+	// extraIsolation is how much longer the router receives no changes.
+	extraIsolation = 300 * time.Millisecond
 )
 
-// The router knows when the second version was named from its own reads of the
-// configuration; only the watch of weights is held up, and the history is gone.
-func TestOlderWeightsExpireByTheNamingOfASkippedVersion(t *testing.T) {
+// The router can tell when the second version was named from its own reads of the
+// configuration. Only the watch of weights is stalled, and the history is gone.
+func TestOlderWeightsExpireAfterSkippedVersionDespiteStalledWatch(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	held, store := holdingStore(f, platform.KindVersions)
-	held.Store(false)
+	stalled, store := holdingStore(f, platform.KindVersions)
+	stalled.Store(false)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = store })
-	time.Sleep(3500 * time.Millisecond) // it has settled
-	held.Store(true)
-	f.store.Put("leases", "someone", map[string]any{}) // has the watch of weights made anew
+	time.Sleep(3500 * time.Millisecond) // longer than the settle time
+	stalled.Store(true)
+	f.store.Put("leases", "someone", map[string]any{}) // makes the router renew the watch of weights
 	time.Sleep(2 * time.Second)
-	named := f.nameTwo()
+	named := f.nameTwoVersions()
 	f.store.Forget()
-	held.Store(false)
-	f.expiresInTime(r, named)
+	stalled.Store(false)
+	f.expectOlderExpireInTime(r, named)
 }
 
-// As after a freeze: neither store nor other routers reach it, and another router then
-// tells when the second version was named.
-func TestOlderWeightsExpireByTheNamingOfASkippedVersionThoughTheNextIsTold(t *testing.T) {
+// The router reaches neither the store nor other routers, as after a freeze. Another router
+// then reports when the second version was named.
+func TestOlderWeightsExpireAfterSkippedVersionOnIsolatedRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	seedAt := loopback.FreeAddress()
+	seedAddress := loopback.FreeAddress()
 	f.servingRouter("seed", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds = seedAt, []string{seedAt}
+		settings.PeerAddress, settings.Seeds = seedAddress, []string{seedAddress}
 	})
-	door, err := f.store.Open()
+	endpoint, err := f.store.Open()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(door.Close)
-	toSeed, toStore := f.pathTo(seedAt), f.pathTo(door.Address)
+	t.Cleanup(endpoint.Close)
+	seedProxy, storeProxy := f.faultProxyTo(seedAddress), f.faultProxyTo(endpoint.Address)
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), []string{toSeed.Address}
-		settings.StoreAddress = toStore.Address
+		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), []string{seedProxy.Address}
+		settings.StoreAddress = storeProxy.Address
 	})
-	time.Sleep(3500 * time.Millisecond) // it has settled
-	toSeed.Set(faultproxy.Silence)
-	toStore.Set(faultproxy.Silence)
-	time.Sleep(2300 * time.Millisecond) // the seed pushes nothing any more
-	named := f.nameTwo()
-	toSeed.Set(faultproxy.Pass)
-	f.expiresInTime(follower, named)
+	time.Sleep(3500 * time.Millisecond) // longer than the settle time
+	seedProxy.Set(faultproxy.Silence)
+	storeProxy.Set(faultproxy.Silence)
+	time.Sleep(2300 * time.Millisecond) // until the seed stops pushing changes
+	named := f.nameTwoVersions()
+	seedProxy.Set(faultproxy.Pass)
+	f.expectOlderExpireInTime(follower, named)
 }
 
-func (f *fleet) pathTo(address string) *faultproxy.Proxy {
-	path, err := faultproxy.Start(address)
+func (f *fleet) faultProxyTo(address string) *faultproxy.Proxy {
+	proxy, err := faultproxy.Start(address)
 	f.g.Expect(err).NotTo(HaveOccurred())
-	f.t.Cleanup(path.Close)
-	return path
+	f.t.Cleanup(proxy.Close)
+	return proxy
 }
 
-// nameTwo names two versions and returns when the first was named.
-func (f *fleet) nameTwo() time.Time {
+// nameTwoVersions names versions 2 and 3 and returns when version 2 was named.
+func (f *fleet) nameTwoVersions() time.Time {
 	name(f, 2)
-	named := time.Now()
-	time.Sleep(skippedGap)
+	secondNamedAt := time.Now()
+	time.Sleep(namingInterval)
 	name(f, 3)
-	time.Sleep(blindAfter)
-	return named
+	time.Sleep(extraIsolation)
+	return secondNamedAt
 }
 
-// expiresInTime checks that the router, which skipped the second version, uses the first
-// no longer than allowed since the naming of the second.
-func (f *fleet) expiresInTime(r *router, named time.Time) {
+// expectOlderExpireInTime checks that the router, which skipped version 2, uses version 1 no
+// longer than the deadline after the naming of version 2.
+func (f *fleet) expectOlderExpireInTime(r *router, secondNamedAt time.Time) {
 	f.g.Eventually(func() time.Time { return r.olderUntil(3) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
-	f.g.Expect(r.olderUntil(2)).To(BeZero(), "it was to be skipped")
-	time.Sleep(time.Second) // others have told what they know
-	f.t.Logf("the first version is used until %v after the second was named", r.olderUntil(3).Sub(named))
-	f.g.Expect(r.olderUntil(3)).To(BeTemporally("<=", named.Add(8*time.Second)))
+	f.g.Expect(r.olderUntil(2)).To(BeZero(), "the router must not learn of version 2")
+	time.Sleep(time.Second) // until other routers have reported their bounds
+	f.t.Logf("version 1 is used until %v after version 2 was named", r.olderUntil(3).Sub(secondNamedAt))
+	f.g.Expect(r.olderUntil(3)).To(BeTemporally("<=", secondNamedAt.Add(8*time.Second)))
 }
 
-// As after a restart between the namings and their deadlines: the router learns of the
-// newest version only, and others tell when that was named.
-func TestStartedRouterExpiresOlderWeightsByTheNamingOfASkippedVersion(t *testing.T) {
+// The router starts between the namings and their deadlines. It learns only of the newest
+// version, and other routers report when that was named.
+func TestOlderWeightsExpireAfterSkippedVersionOnNewRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("e1", "engines")
 	name(f, 1)
-	seedAt := loopback.FreeAddress()
+	seedAddress := loopback.FreeAddress()
 	f.servingRouter("seed", func(settings *gateway.Settings) {
-		settings.PeerAddress, settings.Seeds = seedAt, []string{seedAt}
+		settings.PeerAddress, settings.Seeds = seedAddress, []string{seedAddress}
 	})
 	time.Sleep(time.Second)
-	named := f.nameTwo()
-	f.expiresInTime(f.servingRouter("started", f.asFollower([]string{seedAt})), named)
+	named := f.nameTwoVersions()
+	f.expectOlderExpireInTime(f.servingRouter("started", f.asFollower([]string{seedAddress})), named)
 }
--- a/internal/gateway/slowreaders_test.go
+++ b/internal/gateway/slowreaders_test.go
@@ -64,7 +64,7 @@
 	// It reads on, up to the end of what the runner has ended.
 	f.g.Expect(connection.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 	_, _ = io.Copy(io.Discard, connection)
-	r.logs("request ended")
+	r.waitForLog("request ended")
 	runner := r.Status().Runners[0]
 	f.g.Expect(runner.State).To(Equal(backend.Serving.String()))
 	f.g.Expect(runner.FailureShare).To(BeZero())
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -92,7 +92,7 @@
 	} {
 		f.g.Eventually(f.routers[0].log.String, inForceTime, 5*time.Millisecond).Should(MatchRegexp(line))
 	}
-	read := figures(f.g, metricsAt)
+	read := scrapeMetrics(f.g, metricsAt)
 	f.g.Expect(read[`clovertiller_store_era`]).To(Equal(2.0))
 	f.g.Expect(read[`clovertiller_store_restores_total`]).To(Equal(1.0))
 	f.g.Expect(read[`clovertiller_store_lost_objects_total{kind="configuration",state="older"}`]).To(Equal(1.0))
@@ -103,7 +103,7 @@
 // calls counts the calls to the store of all routers.
 func (f *restorable) calls() (count int) {
 	for _, r := range f.routers {
-		count += r.door.Calls()
+		count += r.storeEndpoint.Calls()
 	}
 	return count
 }
@@ -118,12 +118,12 @@
 	p.endRunners(3)
 	p.keeps(3)
 	for _, r := range p.routers {
-		r.door.Set(storestand.Reset)
+		r.storeEndpoint.Set(storestand.Reset)
 	}
 	p.store.Restore(kept)
 	p.g.Expect(p.store.Specs(platform.KindQuarantines)).To(BeEmpty())
 	for _, r := range p.routers {
-		r.door.Set(storestand.Healthy)
+		r.storeEndpoint.Set(storestand.Healthy)
 	}
 	p.keeps(3)
 	time.Sleep(time.Second)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -11,24 +11,25 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// A machine was suspended for seconds. The steady clock stands still meanwhile, and all that
-// the router held for a time went on as if none had passed: found by reading, 165 places read
-// the time by that clock and none by another. Keys that were taken away were served by a
-// proof that looked young, at the router that had been suspended and at those that learned
-// from it; older weights were used beyond their deadline by as much as the suspension had
-// taken; and a holder of the lease gave orders when another one might have had it.
+// Guards against state that looks too young after the machine was suspended for seconds. The
+// monotonic clock stops during a suspension, and a review found that 165 places of the router
+// read the time from that clock and none from another. As a result, revoked keys were accepted
+// on the basis of an outdated proof, on the suspended router and on those that learned from it;
+// older weights were used beyond their deadline by the duration of the suspension; and a lease
+// holder sent orders when another router could already hold the lease.
 
-// suspension is longer than a proof, a lease and the deadlines of these tests.
+// suspension is longer than the validity of a proof, the lease and the deadlines in these
+// tests.
 const suspension = 6 * time.Second
 
-func TestRouterThatWasSuspendedServesNoKeyThatWasTakenAway(t *testing.T) {
+func TestSuspendedRouterRejectsRevokedKey(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	r.door.Set(storestand.Silent)
+	r.storeEndpoint.Set(storestand.Silent)
 	f.configure(2, defaultRoutes(), "another key")
 	r.clock.suspend(suspension)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable))
@@ -36,23 +37,23 @@
 	f.g.Expect(runner.Runs()).To(HaveLen(1))
 }
 
-// The routers that others learn from were suspended, and the other was not.
-func TestProofOfARouterThatWasSuspendedIsOldElsewhere(t *testing.T) {
+// The sources were suspended, and the follower was not.
+func TestProofFromSuspendedRouterIsOutdated(t *testing.T) {
 	t.Parallel()
 	f, seeds, _ := relayedFleet(t)
 	for _, seed := range seeds {
-		seed.door.Set(storestand.Silent)
+		seed.storeEndpoint.Set(storestand.Silent)
 	}
 	f.configure(2, defaultRoutes(), "another key")
 	for _, seed := range seeds {
 		seed.clock.suspend(suspension)
 	}
-	follower := f.routerAt("started since", f.asFollower(seeds[0].seeds), storestand.Silent)
+	follower := f.routerWithStoreFault("started since", f.asFollower(seeds[0].seeds), storestand.Silent)
 	// 503 while nothing proves a configuration, 401 once the third router has read the store.
 	f.g.Consistently(func() int { return follower.call("/safe/x", nil).status }, time.Second, 50*time.Millisecond).Should(Or(Equal(http.StatusServiceUnavailable), Equal(http.StatusUnauthorized)))
 }
 
-func TestRouterThatWasSuspendedUsesNoExpiredWeights(t *testing.T) {
+func TestSuspendedRouterUsesNoExpiredWeights(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -62,25 +63,25 @@
 		settings.WeightDeadline, settings.SettleTime = suspension, 10*time.Millisecond
 	})
 	name(f, 2)
-	r.logs("weights named")
+	r.waitForLog("weights named")
 	f.g.Expect(r.call("/once/x", nil).status).To(Equal(http.StatusOK))
 	r.clock.suspend(suspension)
 	f.g.Eventually(func() int { return r.call("/once/x", nil).status }, time.Second, 50*time.Millisecond).Should(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(r.call("/once/x", nil).status).To(Equal(http.StatusServiceUnavailable))
-	f.g.Expect(runner.Runs()).To(HaveLen(1), "none began on older weights")
+	f.g.Expect(runner.Runs()).To(HaveLen(1), "no request began on expired weights")
 }
 
-func TestHolderThatWasSuspendedGivesNoOrder(t *testing.T) {
+func TestSuspendedLeaseHolderSendsNoOrders(t *testing.T) {
 	t.Parallel()
-	f, runners := engines(t)
+	f, runners := fleetWithFourEngines(t)
 	for _, runner := range runners {
 		runner.DelayReports(100 * time.Millisecond)
 	}
 	r := f.servingRouter("r1", nil)
 	name(f, 2)
-	f.g.Eventually(func() int { return ordered(runners) }, 4*time.Second, time.Millisecond).Should(Equal(1))
-	// It cannot renew the lease, nor learn that another router has it.
-	r.door.Set(storestand.Busy)
+	f.g.Eventually(func() int { return orderedCount(runners) }, 4*time.Second, time.Millisecond).Should(Equal(1))
+	// The router can neither renew the lease nor learn that another router holds it.
+	r.storeEndpoint.Set(storestand.Busy)
 	r.clock.suspend(suspension)
-	f.g.Consistently(func() int { return ordered(runners) }, 1500*time.Millisecond, 10*time.Millisecond).Should(Equal(1))
+	f.g.Consistently(func() int { return orderedCount(runners) }, 1500*time.Millisecond, 10*time.Millisecond).Should(Equal(1))
 }
--- a/internal/gateway/unansweredorders_test.go
+++ b/internal/gateway/unansweredorders_test.go
@@ -11,8 +11,9 @@
 	"github.com/clovertiller/clovertiller/internal/lab/runnerstand"
 )
 
-// engines starts four runners of one service: of these a quarter is updated at once.
-func engines(t *testing.T) (*fleet, []*runnerstand.Runner) {
+// fleetWithFourEngines starts four runners of one service, a quarter of which may be updated at
+// once.
+func fleetWithFourEngines(t *testing.T) (*fleet, []*runnerstand.Runner) {
 	t.Helper()
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
@@ -23,8 +24,8 @@
 	return f, runners
 }
 
-// ordered counts the runners that were given an order.
-func ordered(runners []*runnerstand.Runner) (count int) {
+// orderedCount returns the number of runners that have received an order.
+func orderedCount(runners []*runnerstand.Runner) (count int) {
 	for _, runner := range runners {
 		if len(runner.Orders()) > 0 {
 			count++
@@ -33,25 +34,25 @@
 	return count
 }
 
-// An order without an answer may be carried out much later, so the others do not wait
-// for it.
-func TestUnansweredOrderHoldsNobodyUp(t *testing.T) {
+// An order without an answer may be carried out much later, so the updates of other runners
+// must not wait for it.
+func TestUnansweredOrderDoesNotDelayOtherRunners(t *testing.T) {
 	t.Parallel()
-	f, runners := engines(t)
+	f, runners := fleetWithFourEngines(t)
 	runners[0].LeaveOrders()
 	f.servingRouter("r1", nil)
 	name(f, 2)
 	for _, runner := range runners[1:] {
 		f.g.Eventually(runner.Version, 4*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	}
-	f.g.Expect(runners[0].Orders()).NotTo(BeEmpty(), "it was the first to be ordered")
+	f.g.Expect(runners[0].Orders()).NotTo(BeEmpty(), "the first runner must have been ordered first")
 }
 
-// Runners that may take new weights at any moment are as good as out of use, so half of
-// them are left alone until their weights expire: from then on they serve nobody.
-func TestHalfOfTheRunnersAreSparedUntilTheirWeightsExpire(t *testing.T) {
+// Runners that may load new weights at any moment count as out of service. Half of the runners
+// must therefore get no orders until their weights expire and they no longer serve requests.
+func TestHalfOfTheRunnersGetNoOrdersBeforeTheirWeightsExpire(t *testing.T) {
 	t.Parallel()
-	f, runners := engines(t)
+	f, runners := fleetWithFourEngines(t)
 	for _, runner := range runners {
 		runner.LeaveOrders()
 	}
@@ -59,7 +60,7 @@
 		settings.WeightDeadline, settings.SettleTime = 5*time.Second, 10*time.Millisecond
 	})
 	name(f, 2)
-	count := func() int { return ordered(runners) }
+	count := func() int { return orderedCount(runners) }
 	f.g.Eventually(count, 3*time.Second, 10*time.Millisecond).Should(Equal(2))
 	f.g.Consistently(count, 500*time.Millisecond, 10*time.Millisecond).Should(Equal(2))
 	f.g.Eventually(count, 4*time.Second, 10*time.Millisecond).Should(Equal(4))
--- a/internal/gateway/unreadcalls_test.go
+++ b/internal/gateway/unreadcalls_test.go
@@ -33,12 +33,12 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	runner := f.runner("p1", "plain")
-	r := f.routerAt("r1", func(settings *gateway.Settings) { settings.StartWait = 900 * time.Millisecond }, storestand.Busy)
+	r := f.routerWithStoreFault("r1", func(settings *gateway.Settings) { settings.StartWait = 900 * time.Millisecond }, storestand.Busy)
 	for range calls {
 		r.leaveUnread("/safe/x")
 	}
 	time.Sleep(200 * time.Millisecond)
-	r.door.Set(storestand.Healthy)
+	r.storeEndpoint.Set(storestand.Healthy)
 	f.g.Eventually(func() int { return r.call("/public/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(200))
 	time.Sleep(200 * time.Millisecond)
 	f.g.Expect(runner.Arrivals()).To(Equal(1), "nobody waits for the others")
--- a/internal/gateway/weightbounds.go
+++ b/internal/gateway/weightbounds.go
@@ -34,20 +34,20 @@
 	}
 }
 
-func (g *Gateway) receiveBound(model string, version uint64, before time.Time) {
+func (g *Gateway) receiveBound(model string, version uint64, notNamedBefore time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	known := g.weightBounds.Of(model)
-	if !known.Take(g.settings.namingConfig(), version, before) {
+	bounds := g.weightBounds.Of(model)
+	if !bounds.Take(g.settings.namingConfig(), version, notNamedBefore) {
 		return
 	}
-	g.updateOlderDeadlines(model, known)
-	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": known.Named(), "told": version, "older_until_ms": g.until(known.OlderUntil(g.settings.namingConfig())).Milliseconds()})
+	g.updateOlderDeadlines(model, bounds)
+	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": bounds.Named(), "told": version, "older_until_ms": g.until(bounds.OlderUntil(g.settings.namingConfig())).Milliseconds()})
 }
 
 // updateOlderDeadlines sets the deadlines of the model's older weights. The mutex is held.
-func (g *Gateway) updateOlderDeadlines(model string, known *namings.Model) {
-	deadlines := known.Deadlines(g.settings.namingConfig())
+func (g *Gateway) updateOlderDeadlines(model string, bounds *namings.Model) {
+	deadlines := bounds.Deadlines(g.settings.namingConfig())
 	g.runners.WeightTargets().SetDeadlines(model, deadlines)
 	for _, deadline := range deadlines {
 		g.scheduleWithdrawal(deadline.WithdrawAt, model)
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -53,14 +53,14 @@
 // record records the error of a call that was sent at the given time, as evidence that the
 // store or the path to it did not work then. Cancelled calls, throttled calls and a history
 // that is gone are no such evidence.
-func (f *storeFailures) record(sent time.Time, err, contextErr error) {
+func (f *storeFailures) record(sentAt time.Time, err, contextErr error) {
 	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(contextErr, context.Canceled) {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if sent.Sub(f.span.Last) > maxLostWatchDelay {
-		f.span.First = sent
+	if sentAt.Sub(f.span.Last) > maxLostWatchDelay {
+		f.span.First = sentAt
 	}
-	f.span.Last = namings.Later(f.span.Last, sent)
+	f.span.Last = namings.Later(f.span.Last, sentAt)
 }
--- a/internal/gateway/weightdeadline_test.go
+++ b/internal/gateway/weightdeadline_test.go
@@ -14,20 +14,20 @@
 
 func TestCheckpointsBoundWhenARevisionWasWritten(t *testing.T) {
 	g := NewWithT(t)
-	var known checkpoints
+	var recorded checkpoints
 	at := time.Unix(1_000, 0)
-	g.Expect(known.latestBefore(5)).To(BeZero())
+	g.Expect(recorded.latestBefore(5)).To(BeZero())
 	for revision := range storerev.Revision(maxCheckpoints + 4) {
-		known.add(checkpoint{revision: revision, at: at.Add(time.Duration(revision) * time.Second)})
+		recorded.add(checkpoint{revision: revision, at: at.Add(time.Duration(revision) * time.Second)})
 	}
-	g.Expect(known.latestBefore(10)).To(Equal(at.Add(9 * time.Second)))
-	g.Expect(known.latestBefore(4)).To(BeZero(), "no longer known")
-	newest, found := known.newest()
+	g.Expect(recorded.latestBefore(10)).To(Equal(at.Add(9 * time.Second)))
+	g.Expect(recorded.latestBefore(4)).To(BeZero(), "checkpoints before the revision are no longer kept")
+	newest, found := recorded.newest()
 	g.Expect(found).To(BeTrue())
 	g.Expect(newest.revision).To(Equal(storerev.Revision(maxCheckpoints + 3)))
 }
 
-func TestFailuresWithAGapBetweenAreApart(t *testing.T) {
+func TestStoreFailuresAfterGapStartNewSpan(t *testing.T) {
 	g := NewWithT(t)
 	var d storeFailures
 	at := time.Unix(1_000, 0)
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -37,7 +37,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = shortDeadline, shortSettle
 	})
-	r.door.Set(storestand.Loses)
+	r.storeEndpoint.Set(storestand.Loses)
 	time.Sleep(2 * shortSettle)
 	return f, r, runner
 }
@@ -47,7 +47,7 @@
 func (r *router) nameNew() time.Time {
 	named := time.Now()
 	name(r.fleet, 2)
-	r.logs("weights named")
+	r.waitForLog("weights named")
 	return named
 }
 
@@ -139,7 +139,7 @@
 	time.Sleep(time.Until(named.Add(shortDeadline + 200*time.Millisecond)))
 	old.Resume()
 	got := <-answers
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(wholeStream))
 	f.g.Expect(renewed.Arrivals()).To(BeZero())
 }
@@ -155,7 +155,7 @@
 			r.nameNew()
 			answers := r.callQueued("/once/x", runner)
 			runner.SetVersion(2)
-			f.list(runner, "ready")
+			f.putEntry(runner, "ready")
 			got := <-answers
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
 			f.g.Expect(got.body).To(Equal(wholeStream))
@@ -188,12 +188,12 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/once/x", longPrompt) }()
 	f.g.Eventually(holder.Continued, time.Second, 5*time.Millisecond).Should(HaveLen(1))
-	r.door.Set(storestand.Loses)
+	r.storeEndpoint.Set(storestand.Loses)
 	time.Sleep(2 * shortSettle)
 	named := r.nameNew()
 	got := <-answers
 	f.g.Expect(time.Since(named)).To(BeNumerically(">", shortDeadline), "the answer came after the deadline")
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(wholeStream))
 }
 
@@ -211,7 +211,7 @@
 		settings.WeightDeadline, settings.SettleTime = shortDeadline, shortSettle
 	})
 	answers := r.callQueued("/whole/x", runner)
-	r.door.Set(storestand.Loses)
+	r.storeEndpoint.Set(storestand.Loses)
 	time.Sleep(2 * shortSettle)
 	named := r.nameNew()
 	got := <-answers
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -21,7 +21,7 @@
 // all start at once on a busy machine.
 func crowdedFleet(t *testing.T, caches gateway.CacheReader, followers int) (f *fleet, seed *router, others []*router) {
 	f = newFleet(t)
-	f.caches = caches
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	address := loopback.FreeAddress()
@@ -64,7 +64,7 @@
 	f.configure(2, defaultRoutes(), "key-two")
 	for _, r := range others {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 	}
 	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "changes are pushed on")
 }
@@ -80,7 +80,7 @@
 	lost := time.Now()
 	for _, r := range others[1:] {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 	}
 	f.g.Expect(time.Since(lost)).To(BeNumerically("<", time.Second))
 }
@@ -97,15 +97,15 @@
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 	}
 	for _, r := range others[1:] {
-		f.g.Expect(r.door.Calls()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 	}
 }
 
 // What runners keep reaches the followers of a relay.
 func TestRelayGivesOnWhatRunnersKeep(t *testing.T) {
 	t.Parallel()
-	kept := newKeptParts()
-	kept.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
+	kept := newFakeCacheReader()
+	kept.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
 	f, seed, others := crowdedFleet(t, kept, 6)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	f.g.Eventually(func() int { return sources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
@@ -113,7 +113,7 @@
 	f.g.Eventually(func() string {
 		before := runCounts(runners)
 		last.call("/stream/x", withPrompt(fmt.Sprintf("trunk:2000,f%d:100,own:50", time.Now().UnixNano())))
-		_, fetched := sentTo(runners, before)
+		_, fetched := newestRun(runners, before)
 		return fetched
 	}, 5*time.Second, 10*time.Millisecond).Should(Equal(runners[0].Address), "a runner that lacks the trunk fetches it")
 }
@@ -128,8 +128,8 @@
 	r := f.router("first", f.asFollower([]string{silentPeer(f)}))
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Eventually(r.door.StaleLists, time.Second, 5*time.Millisecond).Should(Equal(4), "one a kind: configuration, runners, weights and quarantines")
-	f.g.Expect(r.door.Calls()-r.door.StaleLists()).To(BeNumerically("<=", 5), "one watch a kind, and the next of the configuration")
+	f.g.Eventually(r.storeEndpoint.StaleLists, time.Second, 5*time.Millisecond).Should(Equal(4), "one a kind: configuration, runners, weights and quarantines")
+	f.g.Expect(r.storeEndpoint.Calls()-r.storeEndpoint.StaleLists()).To(BeNumerically("<=", 5), "one watch a kind, and the next of the configuration")
 }
 
 // A store whose history is gone since the stale list is listed in full.
@@ -138,7 +138,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	r := f.routerAt("first", f.asFollower([]string{silentPeer(f)}), storestand.Healthy)
+	r := f.routerWithStoreFault("first", f.asFollower([]string{silentPeer(f)}), storestand.Healthy)
 	f.store.Forget()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
@@ -153,14 +153,14 @@
 	f.router("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address[0], address })
 	r := f.router("r1", f.asFollower(address))
 	time.Sleep(1500 * time.Millisecond)
-	f.g.Expect(r.door.Calls()).To(BeZero())
+	f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
 	f.store.Put(platform.KindServers, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
 	f.configure(1, defaultRoutes(), goodKey)
 	configured := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(time.Since(configured)).To(BeNumerically("<", 500*time.Millisecond))
-	f.g.Expect(r.door.Calls()).To(BeZero())
+	f.g.Expect(r.storeEndpoint.Calls()).To(BeZero())
 }
 
 // A relay that comes back without knowing anything is left for the next one.
@@ -174,7 +174,7 @@
 	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]))
 	relay := others[1].Status().Source
 	others[0].Kill()
-	f.routerAt("again", func(settings *gateway.Settings) {
+	f.routerWithStoreFault("again", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = relay, []string{silentPeer(f)}
 	}, storestand.Silent)
 	onNextRelay := func() bool {
