--- a/internal/gatewaymain/gatewaymain.go
+++ b/internal/gatewaymain/gatewaymain.go
@@ -1,5 +1,5 @@
-// Package gatewaymain is the process of a router on the users' platform, whatever clock it
-// goes by: the program's is the kernel's.
+// Package gatewaymain runs a router process on the users' platform. The caller provides the
+// clock: production uses the kernel's, and tests may use another one.
 package gatewaymain
 
 import (
@@ -21,34 +21,34 @@
 const (
 	exitOK = iota
 	exitFailure
-	exitSettings
+	exitInvalidSettings
 )
 
-// gcPercent keeps the heap small: memory is dearer than the processor time
-// that more frequent collections take.
+// gcPercent keeps the heap small, as memory costs more than the CPU time of more frequent
+// garbage collections.
 const gcPercent = 30
 
-// Run runs a router until the process is told to stop, with the settings of the platform's
-// settings file, and returns the exit code.
+// Run runs a router with the settings from the platform's settings file until the process
+// receives a stop signal, and returns the exit code. SIGHUP reloads the settings.
 func Run(clock gateway.Clock) int {
 	debug.SetGCPercent(gcPercent)
 	path := os.Getenv(platform.SettingsVariable)
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if faults := settings.Check(); len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintln(os.Stderr, "settings:", fault)
 		}
-		return exitSettings
+		return exitInvalidSettings
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	output := events.NewAsyncWriter(os.Stdout)
 	defer output.Flush()
-	router, err := gateway.Start(settings, ports(settings, clock, output), events.NewLogger(output, settings.Node, logrus.InfoLevel))
+	router, err := gateway.Start(settings, newPorts(settings, clock, output), events.NewLogger(output, settings.Node, logrus.InfoLevel))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
@@ -63,14 +63,14 @@
 	return exitOK
 }
 
-func ports(settings gateway.Settings, clock gateway.Clock, output *events.AsyncWriter) gateway.Ports {
-	calls := httpconn.NewPool(httpconn.DefaultDialTimeout)
+func newPorts(settings gateway.Settings, clock gateway.Clock, output *events.AsyncWriter) gateway.Ports {
+	callPool := httpconn.NewPool(httpconn.DefaultDialTimeout)
 	return gateway.Ports{
 		Protocol:     platform.Protocol{},
 		Decode:       platform.Decode,
-		Store:        &platform.Store{Address: settings.StoreAddress, Pool: calls},
-		Runners:      &platform.Runners{Pool: calls},
-		Caches:       &platform.Caches{Pool: calls},
+		Store:        &platform.Store{Address: settings.StoreAddress, Pool: callPool},
+		Runners:      &platform.Runners{Pool: callPool},
+		Caches:       &platform.Caches{Pool: callPool},
 		ReadyPath:    platform.PathReadiness,
 		DroppedLines: output.Dropped,
 		RunnerPool:   httpconn.NewPool(httpconn.DefaultDialTimeout),
@@ -78,7 +78,8 @@
 	}
 }
 
-// reload reads the settings again; a file that cannot be read changes nothing.
+// reload reads the settings file again and applies it. If the file cannot be read, nothing
+// changes.
 func reload(router *gateway.Gateway, path string) {
 	settings, err := platform.LoadSettings(path)
 	if err != nil {
