--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -43,7 +43,7 @@
 			preferredRunner(runners).SetBehaviourOnce(behaviour)
 			start := time.Now()
 			got := r.call("/once/x", withLongPrompt)
-			f.g.Expect(got.cut).To(BeFalse())
+			f.g.Expect(got.truncated).To(BeFalse())
 			f.g.Expect(got.body).To(Equal(completeStream))
 			f.g.Expect(time.Since(start)).To(BeNumerically("<", 2*time.Second))
 			f.g.Expect(totalRuns(runners)).To(Equal(runsBefore+1), "the request ran once")
@@ -63,7 +63,7 @@
 	f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
 	runsBefore := totalRuns(runners)
 	preferredRunner(runners).SetBehaviourOnce(runnerstand.Terminates)
-	f.g.Expect(r.call("/once/x", withLongPrompt).cut).To(BeTrue())
+	f.g.Expect(r.call("/once/x", withLongPrompt).truncated).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(runsBefore+1), "no other runner may run it")
 	f.g.Expect(append(runners[0].ContinuedRuns(), runners[1].ContinuedRuns()...)).To(BeEmpty())
 }
@@ -77,7 +77,7 @@
 	f.runners.Clear()
 	behaveOnceOnAll(runners, runnerstand.Terminates)
 	got := r.call("/once/x", nil)
-	f.g.Expect(got.cut).To(BeTrue())
+	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
 
@@ -88,20 +88,20 @@
 func TestCopyIsNotUsedOnUnusableRunner(t *testing.T) {
 	for name, makeUnusable := range map[string]func(*router, *runnerstand.Runner){
 		"it is draining": func(r *router, backup *runnerstand.Runner) {
-			r.fleet.list(backup, "draining")
-			r.logs("runner changed state")
+			r.fleet.putEntry(backup, "draining")
+			r.waitForLog("runner changed state")
 		},
 		"it is not listed": func(r *router, backup *runnerstand.Runner) {
 			r.fleet.store.Delete(platform.KindRunners, backup.ID)
-			r.logs("runner removed")
+			r.waitForLog("runner removed")
 		},
 		"it has restarted": func(r *router, backup *runnerstand.Runner) {
 			backup.Restart()
-			r.fleet.list(backup, "ready")
-			r.logs("runner started again")
+			r.fleet.putEntry(backup, "ready")
+			r.waitForLog("runner restarted")
 		},
 		"its weights have expired": func(r *router, _ *runnerstand.Runner) {
-			r.door.SetFault(storestand.LosesResponses)
+			r.storeEndpoint.SetFault(storestand.LosesResponses)
 			time.Sleep(2 * shortSettleTime)
 			r.announceNewWeights()
 			time.Sleep(shortWeightDeadline)
@@ -111,7 +111,7 @@
 			t.Parallel()
 			f := newFleet(t)
 			f.configure(1, defaultRoutes(), goodKey)
-			runners := []*runnerstand.Runner{f.startedRunner("e1", "engines"), f.startedRunner("e2", "engines")}
+			runners := []*runnerstand.Runner{f.runnerWithIncarnation("e1", "engines"), f.runnerWithIncarnation("e2", "engines")}
 			r := f.servingRouter("r1", func(settings *gateway.Settings) {
 				settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortWeightDeadline, shortSettleTime
 			})
@@ -131,7 +131,7 @@
 			preferred.Close()
 			got := <-answers
 			f.g.Expect(backup.ContinuedRuns()).To(BeEmpty())
-			f.g.Expect(got.cut).To(BeTrue())
+			f.g.Expect(got.truncated).To(BeTrue())
 			f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"))
 			f.g.Expect(backup.ArrivalCount()).To(Equal(arrivals), "no other runner may run it")
 		})
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -57,7 +57,7 @@
 	f.servingRouter("other", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until all routers are in a steady state
 	for _, seed := range seeds {
-		seed.door.SetFault(fault)
+		seed.storeEndpoint.SetFault(fault)
 	}
 	time.Sleep(200 * time.Millisecond)
 	return f, seeds
@@ -76,7 +76,7 @@
 			}
 			time.Sleep(time.Until(changedAt.Add(4500 * time.Millisecond)))
 			for _, seed := range seeds {
-				seed.door.SetFault(storestand.Healthy)
+				seed.storeEndpoint.SetFault(storestand.Healthy)
 			}
 			time.Sleep(time.Second)
 			for _, seed := range seeds {
@@ -96,7 +96,7 @@
 	f.store.Put(platform.KindRunners, "p1", entry)
 	leftAt := time.Now()
 	time.Sleep(2200 * time.Millisecond)
-	leaving := f.runnerAt(entry["address"].(string))
+	leaving := f.runnerByAddress(entry["address"].(string))
 	runsBefore, answered := len(leaving.Runs()), 0
 	for time.Since(leftAt) < 4*time.Second {
 		if seeds[0].call("/safe/x", nil).status == http.StatusOK {
@@ -122,7 +122,7 @@
 	previousSeed := f.servingRouter("former", asSeed)
 	follower := f.servingRouter("follower", f.followerSettings(addresses))
 	time.Sleep(3500 * time.Millisecond) // until it is in a steady state
-	follower.door.SetFault(storestand.Hangs)
+	follower.storeEndpoint.SetFault(storestand.Hangs)
 	previousSeed.Kill()
 	f.router("seed", func(settings *gateway.Settings) {
 		asSeed(settings)
@@ -169,10 +169,10 @@
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
 	const window = 5 * time.Second
-	before := r.door.CallCount()
+	before := r.storeEndpoint.CallCount()
 	for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(350 * time.Millisecond) {
 		f.store.Put("leases", "someone", map[string]any{"at": time.Now().UnixNano()})
 	}
 	maxReads := int(window/(900*time.Millisecond)) + 1
-	f.g.Expect(r.door.CallCount() - before).To(BeNumerically("<=", 3*maxReads+2))
+	f.g.Expect(r.storeEndpoint.CallCount() - before).To(BeNumerically("<=", 3*maxReads+2))
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -46,7 +46,7 @@
 	incoming  *http.Request
 	metadata  RequestInfo
 	arrivedAt time.Time
-	view      *view
+	view      *activeConfig
 	route     *routing.Route
 	tenant    *routing.Tenant
 	service   string
@@ -138,10 +138,10 @@
 // serveCall handles one HTTP request from a caller.
 func (g *Gateway) serveCall(writer http.ResponseWriter, request *http.Request) {
 	now := g.now()
-	g.awaitStart(request.Context(), now)
+	g.waitForStartup(request.Context(), now)
 	c := &call{
 		gateway: g, writer: writer, controller: http.NewResponseController(writer), incoming: request,
-		metadata: g.ports.Protocol.ParseRequest(request.Header), arrivedAt: now, view: g.view.Load(),
+		metadata: g.ports.Protocol.ParseRequest(request.Header), arrivedAt: now, view: g.activeConfig.Load(),
 	}
 	// Replace the write deadline of an earlier request on this connection.
 	_ = c.controller.SetWriteDeadline(time.Now().Add(maxCallDuration))
@@ -217,7 +217,7 @@
 	if c.view == nil {
 		return unavailable("no configuration is known yet", startupRetryAfter)
 	}
-	fresh := c.view.fresh(c.gateway.now(), c.gateway.settings.ConfigLease)
+	fresh := c.view.isFresh(c.gateway.now(), c.gateway.settings.ConfigLease)
 	c.route = c.view.table.Match(c.incoming.Host, requestPath(c.incoming))
 	if c.route == nil {
 		if !fresh {
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -14,14 +14,14 @@
 	if len(c.metadata.Prompt) < 2 {
 		return
 	}
-	now, store := c.gateway.now(), c.gateway.cacheStores.storeOf(c.view.table, c.query.Family)
+	now, store := c.gateway.now(), c.gateway.cacheStores.storeForFamily(c.view.table, c.query.Family)
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
 	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weightVersion, store)
 	dispatch.FetchFrom = source.Address
 	c.fetchSource = fetchSourceLabel(source.Address, store)
-	c.gateway.metrics.sources.WithLabelValues(c.fetchSource).Inc()
-	if store != "" && !source.StoreHasAll && c.gateway.saves.ShouldSave(now, c.query, c.weightVersion) {
+	c.gateway.metrics.fetchSources.WithLabelValues(c.fetchSource).Inc()
+	if store != "" && !source.StoreHasAll && c.gateway.saveThrottle.ShouldSave(now, c.query, c.weightVersion) {
 		dispatch.SaveTo = store
 	}
 }
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -119,7 +119,7 @@
 	got := r.call("/unsafe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-	f.g.Expect(got.after).To(BeNumerically("<", 200*time.Millisecond), "refused immediately")
+	f.g.Expect(got.duration).To(BeNumerically("<", 200*time.Millisecond), "refused immediately")
 }
 
 func TestTimeoutIsReportedImmediately(t *testing.T) {
@@ -129,7 +129,7 @@
 	}
 	got := r.call("/brief/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusGatewayTimeout))
-	f.g.Expect(got.after).To(BeNumerically("~", 250*time.Millisecond, 100*time.Millisecond))
+	f.g.Expect(got.duration).To(BeNumerically("~", 250*time.Millisecond, 100*time.Millisecond))
 }
 
 func TestCallerDisconnectCancelsRun(t *testing.T) {
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	f.g.Expect(r.callWithin(ctx, "/safe/x", nil).cut).To(BeTrue())
+	f.g.Expect(r.callWithContext(ctx, "/safe/x", nil).truncated).To(BeTrue())
 	run := append(runners[0].Runs(), runners[1].Runs()...)[0]
 	f.g.Eventually(run.Finished, 500*time.Millisecond).Should(BeClosed())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
@@ -160,7 +160,7 @@
 
 func TestDrainingRunnerGetsNoCalls(t *testing.T) {
 	f, r, runners := newPlainFleet(t)
-	f.list(runners[0], "draining")
+	f.putEntry(runners[0], "draining")
 	f.g.Eventually(r.log.String).Should(ContainSubstring("runner changed state"))
 	for range 6 {
 		f.g.Expect(r.call("/unsafe/x", nil).status).To(Equal(http.StatusOK))
@@ -187,7 +187,7 @@
 	}
 	runners[preferredIndex].SetBehaviourOnce(runnerstand.TruncatesResponse)
 	got = r.call("/stream/x", withLongPrompt)
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeBody))
 	f.g.Expect(got.header.Get(platform.HeaderResponseStamp)).To(HavePrefix(runners[preferredIndex].ID), "the headers come from the first runner")
 	otherRuns := runners[1-preferredIndex].Runs()
@@ -202,7 +202,7 @@
 	r := f.servingRouter("r1", nil)
 	behaveOnceOnAll(runners, runnerstand.TruncatesResponse)
 	got := r.call("/once/x", nil)
-	f.g.Expect(got.cut).To(BeTrue())
+	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "only complete events are forwarded")
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 }
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -92,7 +92,7 @@
 
 // The call may run only once, so if another runner gets it, nothing was sent to the first one.
 func TestRunnerThatLeavesDuringDialGetsNoCalls(t *testing.T) {
-	drain := func(f *fleet, r *runnerstand.Runner) { f.list(r, "draining") }
+	drain := func(f *fleet, r *runnerstand.Runner) { f.putEntry(r, "draining") }
 	remove := func(f *fleet, r *runnerstand.Runner) { f.store.Delete(platform.KindRunners, r.ID) }
 	t.Run("draining", func(t *testing.T) { testRunnerLeavesDuringDial(t, drain, "runner changed state") })
 	t.Run("removed", func(t *testing.T) { testRunnerLeavesDuringDial(t, remove, "runner removed") })
@@ -163,12 +163,12 @@
 	preferred.SetBehaviourOnce(runnerstand.Terminates)
 	answers := r.callWithLongTimeout("/once/x", withLongPrompt)
 	f.g.Expect(f.awaitBlockedDial()).To(BeIdenticalTo(backup))
-	f.list(backup, "draining")
+	f.putEntry(backup, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
 	f.g.Expect(backup.ArrivalCount()).To(BeZero())
-	f.g.Expect(got.cut).To(BeTrue(), "no other runner may run it")
+	f.g.Expect(got.truncated).To(BeTrue(), "no other runner may run it")
 }
 
 // fetchStatus returns the status of the router at the address.
@@ -204,13 +204,13 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
 	answers := r.callWithLongTimeout("/unsafe/x", nil)
 	leaving := f.awaitBlockedDial()
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	f.g.Eventually(answers, longTimeout).Should(Receive())
 	f.g.Expect(r.log.String()).To(ContainSubstring("request not sent: its runner may not begin it any more"))
 	state := func() string { return f.fetchRunnerSummary(metricsAddress, leaving.ID).State }
-	f.list(leaving, "ready")
+	f.putEntry(leaving, "ready")
 	f.g.Eventually(state, 5*time.Second, 5*time.Millisecond).ShouldNot(Equal(backend.Draining.String()))
 	f.g.Expect(state()).To(Equal(backend.Serving.String()))
 	f.g.Expect(f.fetchRunnerSummary(metricsAddress, leaving.ID).FailureShare).To(BeZero())
@@ -237,7 +237,7 @@
 	for _, runner := range runners {
 		runner.SetBehaviour(runnerstand.Normal)
 	}
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
 	var got answer
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -38,7 +38,7 @@
 	// first one. It is read without the mutex, which is held while whole lists are decoded.
 	provenTimes map[ObjectKind]*atomic.Pointer[time.Time]
 	// reachedRevisions holds the highest revisions that any copy has reached and when, in ascending
-	// order, at most keptCheckpoints of them.
+	// order, at most maxCheckpoints of them.
 	reachedRevisions []checkpoint
 	// checkpoints holds the store's latest revisions.
 	checkpoints checkpoints
@@ -130,8 +130,8 @@
 	if freshness.valid && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
 		c.recordProof(kind, freshness.at)
 	}
-	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.proven(c.gateway.now()) {
-		c.gateway.startup.finish()
+	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.configIsProven(c.gateway.now()) {
+		c.gateway.startup.markReady()
 	}
 	c.mutex.Unlock()
 	if outcome == config.Applied && len(delta.Objects) > 0 && previous > 0 {
@@ -189,11 +189,11 @@
 
 // applyConfig brings a configuration into effect unless a newer one already is.
 func (g *Gateway) applyConfig(object Object) {
-	current := g.view.Load()
-	if current != nil && !current.precedes(object) {
+	current := g.activeConfig.Load()
+	if current != nil && !current.isSupersededBy(object) {
 		return
 	}
-	next := &view{table: routing.NewTable(object.Config), revision: object.Revision}
+	next := &activeConfig{table: routing.NewTable(object.Config), revision: object.Revision}
 	if current != nil {
 		next.provenAt = current.provenAt
 	}
@@ -201,13 +201,13 @@
 	g.splitter.Retain(object.Config)
 	g.runners.SetServices(serviceNames(object.Config))
 	g.mutex.Unlock()
-	g.view.Store(next)
+	g.activeConfig.Store(next)
 	g.log.Log(events.ConfigInForce, events.Fields{
 		"version": object.Config.Version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
 		"routes": len(object.Config.Routes), "services": len(object.Config.Services), "tenants": len(object.Config.Tenants),
 	})
 	if current == nil {
-		g.log.Log(events.NodeServing, events.Fields{"after_ms": g.since(g.started).Milliseconds()})
+		g.log.Log(events.NodeServing, events.Fields{"after_ms": g.since(g.startedAt).Milliseconds()})
 	}
 }
 
@@ -222,10 +222,10 @@
 // recordConfigProof records that the configuration in effect was current at the given time. The
 // mutex of the copies must be held, so the view does not change meanwhile.
 func (g *Gateway) recordConfigProof(at time.Time) {
-	current := g.view.Load()
+	current := g.activeConfig.Load()
 	if current == nil {
-		if last := g.unconfigured.Load(); last == nil || at.After(*last) {
-			g.unconfigured.Store(&at)
+		if last := g.provenEmptyAt.Load(); last == nil || at.After(*last) {
+			g.provenEmptyAt.Store(&at)
 		}
 		return
 	}
@@ -234,19 +234,19 @@
 	}
 	updated := *current
 	updated.provenAt = at
-	g.view.Store(&updated)
-	if updated.fresh(g.now(), g.settings.ConfigLease) && g.stale.CompareAndSwap(true, false) {
+	g.activeConfig.Store(&updated)
+	if updated.isFresh(g.now(), g.settings.ConfigLease) && g.configStale.CompareAndSwap(true, false) {
 		g.log.Log(events.ConfigProven, events.Fields{"version": current.table.Version, "unproven_ms": g.since(current.provenAt).Milliseconds()})
 	}
 }
 
 // logStaleConfig logs once that the proof of the configuration in effect is too old.
 func (g *Gateway) logStaleConfig(now time.Time) {
-	current := g.view.Load()
-	if current == nil || current.provenAt.IsZero() || current.fresh(now, g.settings.ConfigLease) {
+	current := g.activeConfig.Load()
+	if current == nil || current.provenAt.IsZero() || current.isFresh(now, g.settings.ConfigLease) {
 		return
 	}
-	if g.stale.CompareAndSwap(false, true) {
+	if g.configStale.CompareAndSwap(false, true) {
 		g.log.Log(events.ConfigStale, events.Fields{"version": current.table.Version, "revision": current.revision.Number(), "unproven_ms": now.Sub(current.provenAt).Milliseconds()})
 	}
 }
@@ -254,24 +254,24 @@
 func (g *Gateway) applyWeights(object Object) {
 	now := g.now()
 	model, version := object.Weights.Model, object.Weights.Version
-	observation := g.newsOfWeights(now, object.Revision)
+	observation := g.weightNews(now, object.Revision)
 	g.mutex.Lock()
-	history := g.bounds.ForModel(model)
+	history := g.weightBounds.ForModel(model)
 	if version <= history.NamedVersion() {
 		g.mutex.Unlock()
 		return
 	}
 	history.RecordNaming(version, observation)
-	g.runners.WeightTargets().SetTarget(model, version, namings.OlderVersionDeadlines(g.settings.namingTimes(), observation))
-	g.countOlder(model, history)
-	olderExpiry := history.OldestExpiry(g.settings.namingTimes())
+	g.runners.WeightTargets().SetTarget(model, version, namings.OlderVersionDeadlines(g.settings.namingConfig(), observation))
+	g.updateOlderDeadlines(model, history)
+	olderExpiry := history.OldestExpiry(g.settings.namingConfig())
 	g.mutex.Unlock()
 	g.log.Log(events.WeightsNamed, events.Fields{
 		"model": model, "version": version, "revision": object.Revision.Number(), "era": object.Revision.Era(),
 		"older_until_ms": olderExpiry.Sub(now).Milliseconds(), "copy_age_ms": g.copies.ageMillis(now, WeightObjects),
 	})
 	select {
-	case g.named <- struct{}{}:
+	case g.weightsNamed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/gateway/copyproofs.go
+++ b/internal/gateway/copyproofs.go
@@ -35,7 +35,7 @@
 		return
 	}
 	c.reachedRevisions = append(c.reachedRevisions, reached)
-	c.reachedRevisions = slices.Delete(c.reachedRevisions, 0, max(len(c.reachedRevisions)-keptCheckpoints, 0))
+	c.reachedRevisions = slices.Delete(c.reachedRevisions, 0, max(len(c.reachedRevisions)-maxCheckpoints, 0))
 }
 
 // reachedBy returns the highest revision that any copy had reached at the time asOf, or 0 if that
@@ -100,7 +100,7 @@
 func (r *peerRouters) applyProofs(answer *wire.CopyAnswer, sentAt time.Time, configAge time.Duration) {
 	copies := r.gateway.copies
 	if answer.GetStoreRevision() > 0 {
-		copies.checkpoints.note(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sentAt.Add(-wire.AgeFromMillis(answer.GetStoreAgeMillis()))})
+		copies.checkpoints.add(checkpoint{revision: storerev.Revision(answer.GetStoreRevision()), at: sentAt.Add(-wire.AgeFromMillis(answer.GetStoreAgeMillis()))})
 	}
 	if !answer.GetTellsProofs() {
 		newest, _ := copies.checkpoints.newest()
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -71,7 +71,7 @@
 }
 
 func (w *storeWatcher) run() {
-	for w.gateway.direct.waitEnabled(w.gateway.ctx) {
+	for w.gateway.directReads.waitEnabled(w.gateway.ctx) {
 		if err := w.step(); err != nil {
 			w.handleFailure(err)
 			continue
@@ -162,7 +162,7 @@
 // first one of a series.
 func (w *storeWatcher) recordStaleResponse(call string, response storeResponse) {
 	g := w.gateway
-	g.metrics.storeBehind.WithLabelValues(w.kind.String()).Inc()
+	g.metrics.staleStoreAnswers.WithLabelValues(w.kind.String()).Inc()
 	if w.stale.Swap(true) {
 		return
 	}
@@ -178,8 +178,8 @@
 	g := w.gateway
 	response := storeResponse{knownRevision: g.copies.newestRevision(), sentAt: w.gateway.now()}
 	response.objects, response.revision, response.err = do()
-	g.metrics.storeCall(w.kind.String(), name, g.since(response.sentAt))
-	g.disturbance.note(response.sentAt, response.err, ctx.Err())
+	g.metrics.observeStoreCall(w.kind.String(), name, g.since(response.sentAt))
+	g.storeFailures.record(response.sentAt, response.err, ctx.Err())
 	return response
 }
 
@@ -209,7 +209,7 @@
 	observed = checkpoint{revision: response.revision, at: provenTime(g.now(), response.sentAt, timeout, response.objects)}
 	current = g.copies.isCurrent(response, observed.at)
 	if current {
-		g.copies.checkpoints.note(observed)
+		g.copies.checkpoints.add(observed)
 	}
 	delta := config.Delta{From: revision, Through: completeThrough(response.objects, revision, response.revision), Objects: response.objects}
 	g.copies.apply(w.kind, delta, proof{at: observed.at, valid: current})
@@ -226,7 +226,7 @@
 	}
 	// A response with a change proves only the state at the time its watch was sent. The next watch
 	// is short, so that the proof does not become too old meanwhile.
-	remaining := maxProofAge - configWatchMargin - w.gateway.since(w.gateway.provenAt())
+	remaining := maxProofAge - configWatchMargin - w.gateway.since(w.gateway.configProvenAt())
 	return min(w.watchTimeout, max(remaining, shortWatchTimeout))
 }
 
@@ -272,7 +272,7 @@
 		w.unavailable = true
 		g.log.Log(events.StoreUnavailable, events.Fields{"kind": w.kind.String(), "revision": g.copies.revision(w.kind).Number(), "error": err.Error()})
 	}
-	g.backOff(w.failures-1, minRetryDelay, maxRetryDelay)
+	g.backoff(w.failures-1, minRetryDelay, maxRetryDelay)
 }
 
 // handleHistoryGone causes a new list, unless another router provides the objects of a new era
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/keptquarantines.go
@@ -81,7 +81,7 @@
 	// little. Once the history since a stale list has been compacted, stale lists are of no use and
 	// are not requested again.
 	stale := !g.relays.alwaysReadsStore()
-	for g.direct.waitEnabled(g.ctx) {
+	for g.directReads.waitEnabled(g.ctx) {
 		next, err := q.read(revision, stale)
 		if err == nil && next > 0 {
 			revision, failures = next, 0
@@ -115,7 +115,7 @@
 	} else {
 		objects, next, err = g.ports.Store.WatchQuarantines(ctx, revision, wait)
 	}
-	g.metrics.storeCall(quarantineKind, callName, g.since(start))
+	g.metrics.observeStoreCall(quarantineKind, callName, g.since(start))
 	switch {
 	case err != nil:
 		return revision, err
@@ -218,7 +218,7 @@
 // nextPending returns a content whose record must be written, or false if there is none or this
 // router does not read the store.
 func (q *storedQuarantines) nextPending() (quarantine.ContentID, bool) {
-	if !q.gateway.direct.isEnabled() {
+	if !q.gateway.directReads.isEnabled() {
 		return quarantine.ContentID{}, false
 	}
 	q.mutex.Lock()
@@ -291,7 +291,7 @@
 	g, start := q.gateway, q.gateway.now()
 	ctx, cancel := context.WithTimeout(g.ctx, quarantineCallTimeout)
 	defer cancel()
-	defer func() { g.metrics.storeCall(quarantineKind, callWrite, g.since(start)) }()
+	defer func() { g.metrics.observeStoreCall(quarantineKind, callWrite, g.since(start)) }()
 	return call(ctx)
 }
 
@@ -308,7 +308,7 @@
 	if err != nil && failures == 0 {
 		g.log.Log(events.QuarantineStoreCallFailed, events.Fields{"call": callName, "error": err.Error()})
 	}
-	return g.backOff(failures, minQuarantineRetryDelay, maxQuarantineRetryDelay)
+	return g.backoff(failures, minQuarantineRetryDelay, maxQuarantineRetryDelay)
 }
 
 // toLocalClock converts the times of a record, which are wall clock times in the store, to this
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/keptquarantines_internal_test.go
@@ -50,7 +50,7 @@
 // newQuarantineGateway returns a router that has peers, is no seed and does not read the store yet.
 func newQuarantineGateway(t *testing.T, store Store) *Gateway {
 	ctx, cancel := context.WithCancel(t.Context())
-	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, direct: newDirectMode(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
+	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, directReads: newDirectMode(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
 	gateway.relays = newPeerRouters(gateway)
 	// Any transport will do, since nothing is sent.
@@ -68,7 +68,7 @@
 	g := NewWithT(t)
 	store := &compactedStore{}
 	gateway := newQuarantineGateway(t, store)
-	gateway.direct.setEnabled(true)
+	gateway.directReads.setEnabled(true)
 	done := make(chan struct{})
 	go func() { gateway.suspects.stored.readLoop(); close(done) }()
 	time.Sleep(300 * time.Millisecond)
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/latenews_test.go
@@ -76,12 +76,12 @@
 			})
 			follower := f.servingRouter("follower", f.followerSettings(addresses))
 			time.Sleep(300 * time.Millisecond)
-			seed.door.AbandonWatches(kind)
+			seed.storeEndpoint.AbandonWatches(kind)
 			f.drainRunnerAndNameWeights()
 			for _, r := range []*router{seed, follower} {
 				f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 			}
-			f.g.Expect(follower.door.CallCount()).To(BeZero())
+			f.g.Expect(follower.storeEndpoint.CallCount()).To(BeZero())
 		})
 	}
 }
@@ -97,11 +97,11 @@
 		f.configure(1, defaultRoutes(), goodKey)
 		runner := f.runner("e1", "engines")
 		r := start(f)
-		r.door.SetFault(storestand.Hangs)
+		r.storeEndpoint.SetFault(storestand.Hangs)
 		nameWeights(f, 2)
 		namedAt := time.Now()
 		time.Sleep(silence)
-		r.door.SetFault(storestand.LosesResponses) // so that no router can make the runner update
+		r.storeEndpoint.SetFault(storestand.LosesResponses) // so that no router can make the runner update
 		f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(lineWeightsNamed))
 		time.Sleep(time.Until(namedAt.Add(deadline)))
 		runsBefore := len(runner.Runs())
@@ -118,7 +118,7 @@
 		expectExpiry(t, 1500*time.Millisecond, func(f *fleet) *router { return f.servingRouter("r1", withShortDeadline) })
 	})
 	t.Run("started", func(t *testing.T) {
-		expectExpiry(t, 2*time.Second, func(f *fleet) *router { return f.routerAt("r1", withShortDeadline, storestand.Hangs) })
+		expectExpiry(t, 2*time.Second, func(f *fleet) *router { return f.routerWithStoreFault("r1", withShortDeadline, storestand.Hangs) })
 	})
 }
 
@@ -138,14 +138,14 @@
 		settings.WeightDeadline, settings.SettleTime, settings.MetricsAddress = deadline, 10*time.Millisecond, metricsAddress
 	})
 	time.Sleep(time.Second)
-	r.door.SetReplicaRevision(oldRevision, platform.KindConfig, platform.KindWeightVersions)
+	r.storeEndpoint.SetReplicaRevision(oldRevision, platform.KindConfig, platform.KindWeightVersions)
 	f.drainRunnerAndNameWeights()
 	namedAt := time.Now()
-	r.logs(lineDraining)
+	r.waitForLog(lineDraining)
 	time.Sleep(time.Until(namedAt.Add(staleTime)))
 	f.g.Expect(f.fetchStatus(metricsAddress).ProofAgeMillis).To(BeNumerically(">", (staleTime - time.Second).Milliseconds()))
-	calls := r.door.CallCount()
-	r.door.CatchUp()
+	calls := r.storeEndpoint.CallCount()
+	r.storeEndpoint.CatchUp()
 	f.g.Expect(calls).To(BeNumerically("<", 40), "the router pauses between calls to the store")
 	f.g.Eventually(r.log.String, 2*time.Second, 5*time.Millisecond).Should(ContainSubstring(`"version":2`))
 	f.g.Expect(r.oldWeightsExpiry(2)).To(BeTemporally("<", namedAt.Add(deadline)))
@@ -179,7 +179,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	blocked.Store(true)
 	f.runner("p2", "plain") // ends the pending watch
-	follower.logs(`"runner":"p2"`)
+	follower.waitForLog(`"runner":"p2"`)
 	time.Sleep(500 * time.Millisecond)
 	// The change comes right after all copies were proved to be current, which is the worst case.
 	f.g.Eventually(func() int64 { return f.fetchStatus(metricsAddress).ProofAgeMillis }, 2*time.Second, time.Millisecond).Should(BeNumerically("<", 20))
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -70,12 +70,12 @@
 	leaving := f.busiest(1)
 	announcedAt := announceLeaving(leaving...)
 	for _, r := range f.routers {
-		r.door.SetFault(storestand.Hangs)
+		r.storeEndpoint.SetFault(storestand.Hangs)
 	}
 	f.sendLoad(f.routers, leavingGrace)
-	f.list(leaving[0], "ready")
+	f.putEntry(leaving[0], "ready")
 	for _, r := range f.routers {
-		r.door.SetFault(storestand.Healthy)
+		r.storeEndpoint.SetFault(storestand.Healthy)
 	}
 	f.sendLoad(f.routers, 3*time.Second)
 	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
@@ -90,7 +90,7 @@
 	other := f.startRunner(runnerstand.Config{ID: "p1", Service: "plain", Incarnation: 7})
 	leaving := f.startRunner(runnerstand.Config{ID: "p2", Service: "plain", Incarnation: 7})
 	r := f.servingRouter("r", nil)
-	r.logs(`"runner":"p2"`)
+	r.waitForLog(`"runner":"p2"`)
 	announceLeaving(other, leaving)
 	other.SetResponseHeaders()
 	sendCalls := func(count int) {
@@ -100,15 +100,15 @@
 	}
 	sendCalls(10)
 	f.store.Delete(platform.KindRunners, leaving.ID)
-	r.logs("runner removed")
-	f.list(leaving, "ready")
+	r.waitForLog("runner removed")
+	f.putEntry(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	before := leaving.ArrivalCount()
 	sendCalls(20)
 	f.g.Expect(leaving.ArrivalCount()).To(Equal(before), "the same incarnation is still leaving")
 	leaving.SetResponseHeaders()
 	leaving.Restart()
-	f.list(leaving, "ready")
+	f.putEntry(leaving, "ready")
 	time.Sleep(300 * time.Millisecond)
 	sendCalls(20)
 	f.g.Expect(leaving.ArrivalCount()).To(BeNumerically(">", before), "a new incarnation is not leaving")
@@ -124,7 +124,7 @@
 	announcedAt := announceLeaving(leaving...)
 	f.sendLoad(f.routers, time.Second)
 	f.routers[0].Kill()
-	f.routers[1].door.SetFault(storestand.Hangs)
+	f.routers[1].storeEndpoint.SetFault(storestand.Hangs)
 	f.routers[1].clock.suspend(time.Second)
 	f.sendLoad(f.routers[1:], leavingGrace+time.Second)
 	f.g.Expect(arrivalsAfterGrace(leaving[0], announcedAt)).To(BeZero())
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -36,7 +36,7 @@
 	now := s.gateway.now()
 	s.gateway.runners.SetPeerLoads(now, router, share.GetFull(), loads)
 	for _, reservation := range share.GetPromises() {
-		s.gateway.order.AddReservation(now, decodeReservation(reservation))
+		s.gateway.loadShedder.AddReservation(now, decodeReservation(reservation))
 	}
 	s.gateway.shares.merge(router, share)
 }
@@ -62,7 +62,7 @@
 			loads = s.gateway.runners.Loads()
 			usage = s.gateway.shares.localUsage(s.gateway.now())
 		}
-		reservations := s.gateway.order.TakeReservations()
+		reservations := s.gateway.loadShedder.TakeReservations()
 		s.gateway.mutex.Unlock()
 		if !full && len(loads) == 0 && len(reservations) == 0 {
 			continue
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -155,7 +155,7 @@
 }
 
 func (c *copies) recordLosses(kind ObjectKind, list config.Delta, counts losses) {
-	counter := c.gateway.metrics.storeLosses
+	counter := c.gateway.metrics.storeLostObjects
 	counter.WithLabelValues(kind.String(), "older").Add(float64(counts.older))
 	counter.WithLabelValues(kind.String(), "missing").Add(float64(counts.missing))
 	counter.WithLabelValues(kind.String(), "returned").Add(float64(counts.reappeared))
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -30,7 +30,7 @@
 		Service: query.Service, Rank: query.Rank, TargetLatency: query.TargetLatency, MaxQueue: query.MaxQueueTime, TimeLeft: timeLeft,
 		Excess: excess, Ticket: query.Ticket,
 	}
-	queueLimit = g.order.QueueLimit(now, admissionRequest, totalLoad(candidates))
+	queueLimit = g.loadShedder.QueueLimit(now, admissionRequest, totalLoad(candidates))
 	request.MaxWait = queueLimit.MaxQueue
 	chosen = placement.Choose(request, candidates, placementWeights, g.random)
 	if chosen.Status == placement.AllHeldBack {
@@ -42,7 +42,7 @@
 	refused := chosen.Status == placement.Overloaded
 	refusedForShare = refused && chosen.QueueWait <= queueLimit.MaxQueueAtFairShare
 	g.shares.recordChoice(now, query, chosen, refusedForShare)
-	reservedRetryAfter := g.order.RecordDecision(now, admissionRequest, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
+	reservedRetryAfter := g.loadShedder.RecordDecision(now, admissionRequest, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case refusedForShare:
 		// A caller that retries before its tenant's recorded usage has decayed to its share is
@@ -79,7 +79,7 @@
 func (c *call) recordQueueLimit(chosen placement.Pick) {
 	c.expectedQueueTime = chosen.QueueWait
 	if c.query.MaxQueueTime > 0 {
-		c.gateway.metrics.limited(c.route.Name, chosen.Status == placement.Overloaded, c.queueLimit)
+		c.gateway.metrics.observeQueueLimit(c.route.Name, chosen.Status == placement.Overloaded, c.queueLimit)
 	}
 }
 
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -49,7 +49,7 @@
 	f, routers, runners, metricsAddresses := newScheduledFleet(t, 1, 1, "p1")
 	f.configure(2, routesWithPriorities(), goodKey)
 	for _, r := range routers {
-		r.settled(2)
+		r.waitForConfig(2)
 	}
 	runners[0].SetBehaviour(runnerstand.Delays)
 	entryRouter := routers[1]
@@ -61,5 +61,5 @@
 	defer entryRouter.startCallers("/urgent/x", 24)()
 	defer entryRouter.startCallers("/bulk/x", 4)()
 	f.g.Eventually(entryRouter.log.String, 10*time.Second, 20*time.Millisecond).Should(MatchRegexp(bulkRefusalPattern))
-	f.g.Expect(figures(f.g, metricsAddresses[1])[`clovertiller_bound_yield_count{route="bulk"}`]).To(BeNumerically(">", 12))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[`clovertiller_bound_yield_count{route="bulk"}`]).To(BeNumerically(">", 12))
 }
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -99,7 +99,7 @@
 	reply, roundTrip := s.gateway.relays.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: message}})
 	answer := reply.GetRunnerAnswer()
 	answered := answer != nil && !answer.GetDeclined()
-	s.gateway.metrics.placementCalls.WithLabelValues(outcomeOf(answered)).Observe(roundTrip.Seconds())
+	s.gateway.metrics.placementCalls.WithLabelValues(outcomeLabel(answered)).Observe(roundTrip.Seconds())
 	if !answered {
 		s.markUnresponsive(scheduler)
 		return nil
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -153,12 +153,12 @@
 // sendWith makes a modified call in the background and counts its result.
 func (o *outcomes) sendWith(r *router, path string, change func(*http.Request)) {
 	o.group.Go(func() {
-		got := r.callWithin(context.Background(), path, change)
+		got := r.callWithContext(context.Background(), path, change)
 		o.mutex.Lock()
 		defer o.mutex.Unlock()
 		o.sent++
 		switch {
-		case got.cut:
+		case got.truncated:
 			o.failed++
 		case got.status == http.StatusOK:
 			o.succeeded++
@@ -271,17 +271,17 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- p.routers[1].call("/once/x", withBody(poisonBody)) }()
 	p.g.Eventually(queueing.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
-	p.list(queueing, "draining")
+	p.putEntry(queueing, "draining")
 	for range 6 {
 		p.startNext()
 	}
 	for _, r := range p.routers {
-		r.logs(`"draining":true`)
-		r.logs(`"runner":"e6"`)
+		r.waitForLog(`"draining":true`)
+		r.waitForLog(`"runner":"e6"`)
 	}
 	p.crashRunners(3)
 	got := <-answers
 	p.g.Expect(got.status).To(Equal(http.StatusBadGateway), "the runner may have begun to process it")
-	p.g.Expect(got.after).To(BeNumerically("<", 2*time.Second))
+	p.g.Expect(got.duration).To(BeNumerically("<", 2*time.Second))
 	p.g.Expect(queueing.Runs()).To(BeEmpty())
 }
--- a/internal/gateway/proxystream.go
+++ b/internal/gateway/proxystream.go
@@ -129,7 +129,7 @@
 func (c *call) beginStream(response *httpconn.Response) {
 	c.stream = &eventStream{}
 	c.recordFirstResponse()
-	c.gateway.metrics.firstEvents.WithLabelValues(c.service).Observe(c.gateway.since(c.arrivedAt).Seconds())
+	c.gateway.metrics.firstEventLatencies.WithLabelValues(c.service).Observe(c.gateway.since(c.arrivedAt).Seconds())
 	c.setResponseHeaders(response.Header)
 	c.writer.WriteHeader(response.Status)
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -42,7 +42,7 @@
 func (r *peerRouters) waitForNextPull() {
 	interval := r.pullInterval()
 	switch {
-	case !r.gateway.informed():
+	case !r.gateway.knowsConfigState():
 		interval = minRetryDelay
 	case r.gateway.copies.revision(RunnerObjects) == 0:
 		interval = nextPullDelay
@@ -95,7 +95,7 @@
 	if requested > 0 {
 		return min(max(requested, minPullInterval), maxPullInterval)
 	}
-	return pullIntervalFor(int(r.gateway.routers.Load()) / seeds)
+	return pullIntervalFor(int(r.gateway.knownRouters.Load()) / seeds)
 }
 
 // pullIntervalFor returns the interval between two pulls of each follower. It is shorter when there
@@ -107,7 +107,7 @@
 // pull pulls from the first candidate, and from all candidates if that gives no recent proof. It
 // reports whether it received one.
 func (r *peerRouters) pull() bool {
-	if r.gateway.informed() {
+	if r.gateway.knowsConfigState() {
 		if candidates := r.candidates(); len(candidates) > 0 && r.pullFrom(candidates[0]) {
 			r.setSource(candidates[0])
 			return true
@@ -195,13 +195,13 @@
 	r.mutex.Lock()
 	maxAge := r.proofAgeLimit(address)
 	switch {
-	case answer == nil && !r.gateway.informed():
+	case answer == nil && !r.gateway.knowsConfigState():
 		r.selector.RecordStarting(now, address)
 	case answer == nil, !hasState && address == r.selector.Relay():
 		r.selector.RecordFailure(now, address)
 	case !hasState:
 		r.selector.RecordStarting(now, address)
-		r.seedWaitUntil = r.gateway.started.Add(startingSeedTimeout)
+		r.seedWaitUntil = r.gateway.startedAt.Add(startingSeedTimeout)
 	case !usable, !isRecent(answer, maxAge):
 		r.selector.RecordFailure(now, address)
 	default:
@@ -218,14 +218,14 @@
 	}
 	r.gateway.suspects.applyPull(address, answer.GetSuspects())
 	r.gateway.signals.applyPull(address, answer.GetSignals())
-	r.gateway.takeBounds(answer.GetWeightBounds(), sentAt)
+	r.gateway.receiveBounds(answer.GetWeightBounds(), sentAt)
 	r.applyDeltas(deltas, proof{at: sentAt.Add(-age), valid: true})
 	r.applyProofs(answer, sentAt, age)
 	if !r.alwaysReadsStore() {
-		r.gateway.routers.Store(int64(answer.GetRouters()))
+		r.gateway.knownRouters.Store(int64(answer.GetRouters()))
 	}
-	r.gateway.caches.told(address, answer.GetCache())
-	r.gateway.cacheStores.told(cacheStores{config: answer.GetCacheStoresConfig(), answering: answer.GetCacheStores()}, address)
+	r.gateway.caches.receiveDelta(address, answer.GetCache())
+	r.gateway.cacheStores.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
 	return usable && isRecent(answer, maxAge)
 }
 
@@ -266,9 +266,9 @@
 	ctx, cancel := context.WithTimeout(g.ctx, timeout)
 	defer cancel()
 	request := r.newPull(address)
-	if g.informed() {
+	if g.knowsConfigState() {
 		// The first answer should be small, and a full feed is not requested again soon.
-		g.caches.ask(address, request)
+		g.caches.addToPull(address, request)
 	}
 	g.suspects.addPullPosition(address, request)
 	g.signals.addPullPosition(address, request)
@@ -277,7 +277,7 @@
 	}
 	sentAt := r.gateway.now()
 	reply, err := r.transport.Call(ctx, "", address, &wire.Envelope{Body: &wire.Envelope_CopyPull{CopyPull: request}})
-	g.metrics.peerCalls.WithLabelValues(outcomeOf(err == nil)).Observe(r.gateway.since(sentAt).Seconds())
+	g.metrics.peerCalls.WithLabelValues(outcomeLabel(err == nil)).Observe(r.gateway.since(sentAt).Seconds())
 	if err != nil {
 		return nil, sentAt
 	}
@@ -324,7 +324,7 @@
 // routers request it.
 func (r *peerRouters) pullParameters() (timeout time.Duration, kinds []ObjectKind) {
 	switch {
-	case !r.gateway.informed():
+	case !r.gateway.knowsConfigState():
 		return firstPullTimeout, []ObjectKind{ConfigObjects, WeightObjects}
 	case r.gateway.copies.revision(RunnerObjects) == 0:
 		return directoryPullTimeout, objectKinds
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -47,10 +47,10 @@
 	metricsAddress := loopback.FreeAddress()
 	p.routers = []*router{p.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })}
 	p.crashRunners(3)
-	p.routers[0].logs("content is not sent any more")
+	p.routers[0].waitForLog("content is not sent any more")
 	got := p.routers[0].call("/once/x", withBody(poisonBody))
 	p.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
-	p.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond))
+	p.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond))
 	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	p.g.Expect(err).NotTo(HaveOccurred())
 	p.g.Expect(retryAfter).To(BeNumerically("~", 300, 5), "seconds")
@@ -59,9 +59,9 @@
 	listed := p.fetchStatus(metricsAddress).Quarantined
 	p.g.Expect(listed).To(HaveLen(1))
 	p.g.Expect(listed[0].Runners).To(HaveLen(3))
-	p.g.Expect(listed[0].LeftMillis).To(BeNumerically("~", 300_000, 5_000))
+	p.g.Expect(listed[0].RemainingMillis).To(BeNumerically("~", 300_000, 5_000))
 	p.g.Expect(p.routers[0].log.String()).To(ContainSubstring(`"content":"` + listed[0].Content + `","event":511`))
-	metrics := figures(p.g, metricsAddress)
+	metrics := scrapeMetrics(p.g, metricsAddress)
 	p.g.Expect(metrics[`clovertiller_quarantines_total`]).To(Equal(1.0))
 	p.g.Expect(metrics[`clovertiller_quarantine_seconds_count`]).To(Equal(1.0))
 	p.g.Expect(metrics[`clovertiller_contents{state="quarantined"}`]).To(Equal(1.0))
@@ -85,7 +85,7 @@
 	for _, r := range p.routers {
 		got := r.call("/once/x", withBody("an innocent body"))
 		p.g.Expect(got.status).To(Equal(http.StatusOK))
-		p.g.Expect(got.after).To(BeNumerically("<", 600*time.Millisecond), "the four events of its response take 160 ms")
+		p.g.Expect(got.duration).To(BeNumerically("<", 600*time.Millisecond), "the four events of its response take 160 ms")
 	}
 }
 
@@ -97,7 +97,7 @@
 	p.startRouters(3)
 	p.crashRunners(3)
 	for _, r := range p.routers {
-		r.logs("content is not sent any more")
+		r.waitForLog("content is not sent any more")
 	}
 	p.expectStoredCrashes(3)
 	late := p.servingRouter("late", p.followerSettings(p.routers[0].seeds))
@@ -113,10 +113,10 @@
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
 	p.routers[0].Kill()
-	next := p.routerAt("r2", nil, storestand.Busy)
+	next := p.routerWithStoreFault("r2", nil, storestand.Busy)
 	time.Sleep(300 * time.Millisecond)
-	next.door.SetFault(storestand.Healthy)
-	next.logs("configuration in force")
+	next.storeEndpoint.SetFault(storestand.Healthy)
+	next.waitForLog("configuration in force")
 	p.g.Eventually(next.log.String, 3*time.Second, 5*time.Millisecond).Should(ContainSubstring("content is not sent any more"))
 	p.g.Expect(next.call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 	crashed, _ := p.crashCount()
@@ -135,11 +135,11 @@
 	})
 	p.routers = []*router{seed, p.servingRouter("follower", p.followerSettings(seeds))}
 	p.crashRunners(3)
-	p.routers[1].logs("content is not sent any more")
+	p.routers[1].waitForLog("content is not sent any more")
 	for range 10 {
 		p.g.Expect(p.routers[1].call("/once/x", withBody(poisonBody)).status).To(Equal(http.StatusServiceUnavailable))
 	}
-	p.g.Eventually(func() float64 { return figures(p.g, metricsAddress)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
+	p.g.Eventually(func() float64 { return scrapeMetrics(p.g, metricsAddress)["clovertiller_placed_requests"] }, time.Second, 10*time.Millisecond).Should(BeZero())
 }
 
 // Once a runner has survived the content, for example in a run of another caller that was already
@@ -151,22 +151,22 @@
 	survivor := p.engine("survivor", 1)
 	survivor.SetBehaviour(runnerstand.Pauses)
 	for _, runner := range p.runners {
-		p.list(runner, "draining")
+		p.putEntry(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
 	answers := make(chan answer, 1)
 	go func() { answers <- p.routers[0].call("/once/x", withBody(poisonBody)) }()
 	p.g.Eventually(survivor.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
-	p.list(survivor, "draining")
+	p.putEntry(survivor, "draining")
 	for _, runner := range p.runners {
-		p.list(runner, "ready")
+		p.putEntry(runner, "ready")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":false`) }, time.Second).Should(BeNumerically(">=", 16))
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
 	survivor.ResumeStreams()
 	p.g.Expect((<-answers).status).To(Equal(http.StatusOK))
-	p.routers[0].logs("content is sent again")
+	p.routers[0].waitForLog("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
 }
 
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -15,10 +15,10 @@
 // limitsConfig returns the configuration of the client that enforces tenants' limits.
 func (g *Gateway) limitsConfig() limits.Config {
 	return limits.Config{
-		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, StartTime: g.started,
+		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, StartTime: g.startedAt,
 		Peers: g.relays, RouterCount: g.routerCount,
 		ObserveCall: func(answered bool, roundTrip time.Duration) {
-			g.metrics.quotaCalls.WithLabelValues(outcomeOf(answered)).Observe(roundTrip.Seconds())
+			g.metrics.quotaCalls.WithLabelValues(outcomeLabel(answered)).Observe(roundTrip.Seconds())
 		},
 	}
 }
@@ -49,7 +49,7 @@
 	decision := <-c.quotaDecision
 	waited := time.Since(waitStart)
 	c.quotaKeeper = decision.Server
-	c.gateway.metrics.quotaDecided(decision, waited)
+	c.gateway.metrics.observeQuotaDecision(decision, waited)
 	c.bufferLog(events.QuotaDecided, events.Fields{
 		"tenant": c.quotaCharge.Tenant, "amount": c.quotaCharge.Amount, "rate": c.quotaCharge.Limit.Rate, "burst": c.quotaCharge.Limit.Burst, "granted": decision.Granted,
 		"by": decision.DecidedBy, "keeper": decision.Server, "left": int64(decision.Level), "waited_us": waited.Microseconds(),
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -111,7 +111,7 @@
 	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "without keepers it is unknown whether the limit is reached")
 	var slow int
 	for _, refusal := range refused {
-		if refusal.after >= 100*time.Millisecond {
+		if refusal.duration >= 100*time.Millisecond {
 			slow++
 		}
 	}
@@ -126,14 +126,14 @@
 	f.g.Expect(refused).To(BeEmpty())
 	f.store.Put(configKind, configName, limitedConfig(2, tokenLimit(900, 0)))
 	for _, r := range routers {
-		r.settled(2)
+		r.waitForConfig(2)
 	}
 	served, refused = sendFor(routers, 300, time.Second)
 	f.g.Expect(served).To(BeNumerically("<=", 900+4*300))
 	f.g.Expect(refused).NotTo(BeEmpty())
 	f.store.Put(configKind, configName, limitedConfig(3, nil))
 	for _, r := range routers {
-		r.settled(3)
+		r.waitForConfig(3)
 	}
 	_, refused = sendFor(routers, 300, 200*time.Millisecond)
 	f.g.Expect(refused).To(BeEmpty(), "the limit was removed")
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -39,7 +39,7 @@
 		maxPause = c.stream.maxPause
 	}
 	reason := lateReason(firstResponseTime, maxPause, c.route)
-	c.gateway.metrics.ended(c.route, c.service, outcome, now.Sub(c.arrivedAt))
+	c.gateway.metrics.observeCallEnd(c.route, c.service, outcome, now.Sub(c.arrivedAt))
 	if outcome != outcomeComplete || reason != "" || c.attemptState.Attempt() > 1 {
 		c.flushLog()
 	}
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -72,7 +72,7 @@
 	return &peerRouters{
 		gateway: g, selector: relay.NewSelector(g.settings.PeerAddress, g.settings.Zone, g.settings.Seeds),
 		assigner: relay.NewAssigner(), followers: map[string]followerState{}, counter: peers.NewRouterCounter(), pullNow: make(chan struct{}, 1), packedDeltas: map[ObjectKind]packedDelta{},
-		seedWaitUntil: g.started.Add(initialSeedWait(g)),
+		seedWaitUntil: g.startedAt.Add(initialSeedWait(g)),
 	}
 }
 
@@ -95,7 +95,7 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	identity := wire.Identity{Node: r.gateway.settings.Node, Incarnation: uint64(r.gateway.started.UnixMilli())}
+	identity := wire.Identity{Node: r.gateway.settings.Node, Incarnation: uint64(r.gateway.startedAt.UnixMilli())}
 	r.transport = wire.NewTransport(identity, listener, r.handle)
 	r.transport.OnLostConnection(r.handleSilentConnection)
 	return nil
@@ -140,7 +140,7 @@
 // handleSeedWaitExpired starts to read the store if no configuration was received, while pulls from
 // the seeds continue.
 func (r *peerRouters) handleSeedWaitExpired() {
-	if !r.gateway.informed() {
+	if !r.gateway.knowsConfigState() {
 		r.setDirect(r.shouldReadStore(false))
 	}
 }
@@ -150,7 +150,7 @@
 	r.mutex.Lock()
 	inSeedWait := r.gateway.now().Before(r.seedWaitUntil)
 	r.mutex.Unlock()
-	waits := inSeedWait && !r.gateway.informed()
+	waits := inSeedWait && !r.gateway.knowsConfigState()
 	return r.alwaysReadsStore() || !(pulled || waits)
 }
 
@@ -171,7 +171,7 @@
 	r.mutex.Lock()
 	isSeed := r.selector.IsSeed()
 	r.mutex.Unlock()
-	current := r.gateway.view.Load()
+	current := r.gateway.activeConfig.Load()
 	return !isSeed || current == nil || r.gateway.since(current.provenAt) > maxProofAge || r.gateway.copies.anyOlderThan(r.gateway.now(), maxProofAge+copyProofMargin)
 }
 
@@ -183,7 +183,7 @@
 }
 
 func (r *peerRouters) setDirect(enabled bool) {
-	if r.gateway.direct.setEnabled(enabled) != enabled {
+	if r.gateway.directReads.setEnabled(enabled) != enabled {
 		r.gateway.log.Log(events.SourceChanged, events.Fields{"store": enabled, "router": r.lastSource()})
 	}
 }
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -79,7 +79,7 @@
 func TestFollowerPullsFromSeedsWithoutReadingStore(t *testing.T) {
 	f, _, follower := newSeededFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Consistently(follower.door.CallCount, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
+	f.g.Consistently(follower.storeEndpoint.CallCount, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
 	changed := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
@@ -95,7 +95,7 @@
 	nameWeights(f, 2)
 	f.g.Eventually(runner.WeightVersion, 3*time.Second, 10*time.Millisecond).Should(Equal(uint64(2)))
 	f.g.Eventually(func() int { return follower.call("/stream/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
-	f.g.Expect(follower.door.CallCount()).To(Equal(0))
+	f.g.Expect(follower.storeEndpoint.CallCount()).To(Equal(0))
 
 	for _, seed := range seeds {
 		seed.Kill()
@@ -109,10 +109,10 @@
 	for i, seed := range seeds {
 		seed.Kill()
 		f.configure(2+i, defaultRoutes(), goodKey)
-		follower.settled(2 + i)
+		follower.waitForConfig(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
-	f.g.Expect(follower.door.CallCount()).To(BeNumerically(">", 0), "without seeds the follower reads the store")
+	f.g.Expect(follower.storeEndpoint.CallCount()).To(BeNumerically(">", 0), "without seeds the follower reads the store")
 }
 
 // Guards against a seed that loses the store while it serves others, and then leaves its followers
@@ -121,7 +121,7 @@
 	for name, fault := range map[string]storestand.Fault{"busy": storestand.Busy, "silent": storestand.Hangs} {
 		t.Run(name, func(t *testing.T) {
 			f, seeds, follower := newSeededFleet(t)
-			seeds[0].door.SetFault(fault)
+			seeds[0].storeEndpoint.SetFault(fault)
 			failedAt := time.Now()
 			f.configure(2, defaultRoutes(), "key-two")
 			for _, r := range []*router{follower, seeds[0], seeds[1]} {
@@ -136,7 +136,7 @@
 func TestRouterStartsFromPeersWhileStoreIsDown(t *testing.T) {
 	f, seeds, _ := newSeededFleet(t)
 	addresses := seeds[0].seeds
-	restarted := f.routerAt("restarted", f.followerSettings(addresses), storestand.Hangs)
+	restarted := f.routerWithStoreFault("restarted", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Eventually(restarted.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(restarted.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 }
@@ -146,7 +146,7 @@
 func TestPeersCannotProveConfigurationWithoutStore(t *testing.T) {
 	f, seeds, follower := newSeededFleet(t)
 	for _, r := range append(seeds, follower) {
-		r.door.SetFault(storestand.Hangs)
+		r.storeEndpoint.SetFault(storestand.Hangs)
 	}
 	f.g.Eventually(func() bool {
 		ready := false
@@ -162,19 +162,19 @@
 func TestSeedNeverSendsOldConfigurationWithNewProof(t *testing.T) {
 	f := newFleet(t)
 	addresses := []string{loopback.FreeAddress()}
-	seed := f.routerAt("seed", func(settings *gateway.Settings) {
+	seed := f.routerWithStoreFault("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = addresses[0], addresses
 	}, storestand.Busy)
-	first := f.routerAt("first", f.followerSettings(addresses), storestand.Hangs)
+	first := f.routerWithStoreFault("first", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	seed.door.SetFault(storestand.Healthy)
+	seed.storeEndpoint.SetFault(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(first.isReady, time.Second, 10*time.Millisecond).Should(BeTrue(), "the seed is pulled from again soon after it has a configuration")
 	f.configure(2, defaultRoutes(), "key-two")
-	seed.settled(2)
-	second := f.routerAt("second", f.followerSettings(addresses), storestand.Hangs)
+	seed.waitForConfig(2)
+	second := f.routerWithStoreFault("second", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Eventually(second.isReady, time.Second, 10*time.Millisecond).Should(BeTrue())
 	f.g.Expect(second.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized))
 }
@@ -201,7 +201,7 @@
 	for i := range 6 {
 		r := f.router(fmt.Sprint("r", i), f.followerSettings(seeds))
 		f.g.Eventually(r.isReady, 150*time.Millisecond, 2*time.Millisecond).Should(BeTrue())
-		f.g.Expect(r.door.CallCount()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	}
 }
 
@@ -220,17 +220,17 @@
 	})
 	got := first.call("/safe/x", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
-	f.g.Expect(got.after).To(BeNumerically("<", startWait))
+	f.g.Expect(got.duration).To(BeNumerically("<", startWait))
 
-	alone := f.routerAt("alone", f.followerSettings(seeds), storestand.Hangs)
+	alone := f.routerWithStoreFault("alone", f.followerSettings(seeds), storestand.Hangs)
 	for range 2 {
 		got = alone.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		f.g.Expect(got.after).To(BeNumerically("<", 300*time.Millisecond))
+		f.g.Expect(got.duration).To(BeNumerically("<", 300*time.Millisecond))
 		time.Sleep(time.Second)
 	}
-	f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "calls wait only while the router starts")
+	f.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond), "calls wait only while the router starts")
 }
 
 // startSilentPeer returns the address of a peer that accepts connections and never answers.
@@ -274,7 +274,7 @@
 	r := f.servingRouter("r1", nil)
 	proofAge := func() int64 { return r.Status().ProofAgeMillis }
 	f.configure(2, defaultRoutes(), goodKey)
-	r.settled(2)
+	r.waitForConfig(2)
 	time.Sleep(800 * time.Millisecond) // The next watch has waited for most of its 0.9 s.
 	f.configure(3, defaultRoutes(), goodKey)
 	f.g.Eventually(proofAge, 700*time.Millisecond, 5*time.Millisecond).Should(BeNumerically("<", 500))
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -52,7 +52,7 @@
 
 // probe checks with a second watch, while one is pending, whether changes were missed.
 func (w *storeWatcher) probe() {
-	if w.gateway.direct.isEnabled() && w.probing.CompareAndSwap(false, true) {
+	if w.gateway.directReads.isEnabled() && w.probing.CompareAndSwap(false, true) {
 		w.gateway.spawn(w.runProbe)
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	w.applyWatch(from, shortWatchTimeout, response)
 	w.probing.Store(false)
-	g.metrics.renewals.WithLabelValues(w.kind.String(), renewalOutcome(len(response.objects) > 0)).Inc()
+	g.metrics.watchRenewals.WithLabelValues(w.kind.String(), renewalOutcomeLabel(len(response.objects) > 0)).Inc()
 	if len(response.objects) > 0 {
 		w.cancelPendingWatch()
 		g.log.Log(events.WatchStalled, events.Fields{"kind": w.kind.String(), "objects": len(response.objects), "revision": g.copies.revision(w.kind).Number()})
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -48,7 +48,7 @@
 	t.Parallel()
 	f, joined := newFleetWithLostRunner(t)
 	f.expectStatus(http.StatusOK)
-	f.list(joined, "ready")
+	f.putEntry(joined, "ready")
 	time.Sleep(removalTime)
 	f.expectStatus(http.StatusOK)
 }
@@ -71,16 +71,16 @@
 	f := newRestorableFleet(t, 3, nil)
 	leaving, gone := f.runner("leaving", "plain"), f.runner("gone", "plain")
 	for _, r := range f.routers {
-		r.logs(`"runner":"leaving"`)
-		r.logs(`"runner":"gone"`)
+		r.waitForLog(`"runner":"leaving"`)
+		r.waitForLog(`"runner":"gone"`)
 	}
 	backup := f.store.Backup()
-	f.list(leaving, "draining")
+	f.putEntry(leaving, "draining")
 	f.store.Delete(platform.KindRunners, gone.ID)
 	f.writeUnrelated(lostWrites)
 	for _, r := range f.routers {
-		r.logs(`"draining":true`)
-		r.logs("runner removed")
+		r.waitForLog(`"draining":true`)
+		r.waitForLog("runner removed")
 	}
 	runsBefore := []int{len(leaving.Runs()), len(gone.Runs())}
 	for range 2 {
@@ -108,11 +108,11 @@
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
 	for _, engine := range f.engines {
-		f.list(engine, "ready")
+		f.putEntry(engine, "ready")
 	}
 	f.writeUnrelated(lostWrites)
 	time.Sleep(revisionPropagationTime)
-	orders := f.orders()
+	orders := f.orderCount()
 	streams := make(chan answer, len(f.routers))
 	f.setStoreFault(storestand.Reset)
 	for _, r := range f.routers {
@@ -124,15 +124,15 @@
 	for range f.routers {
 		got := <-streams
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
-		f.g.Expect(got.cut).To(BeFalse())
+		f.g.Expect(got.truncated).To(BeFalse())
 	}
 	for range 10 {
 		for _, r := range f.routers {
 			f.g.Expect(r.call("/stream/x", nil).status).To(Equal(http.StatusOK))
 		}
 	}
-	f.g.Expect(f.orders()).To(Equal(orders), "orders sent to runners")
-	f.g.Expect(f.routers[0].log.String()).NotTo(ContainSubstring("runner started again"))
+	f.g.Expect(f.orderCount()).To(Equal(orders), "orders sent to runners")
+	f.g.Expect(f.routers[0].log.String()).NotTo(ContainSubstring("runner restarted"))
 }
 
 // Guards against removed runners that are used forever because of a router that missed their
@@ -141,7 +141,7 @@
 	t.Parallel()
 	f := newRestorableFleet(t, 1, nil)
 	removed, seed := f.runner("gone", "plain"), f.routers[0]
-	seed.logs(`"runner":"gone"`)
+	seed.waitForLog(`"runner":"gone"`)
 	bound := loopback.FreeAddress()
 	proxies := []*faultproxy.Proxy{f.proxyTo(seed.seeds[0]), f.proxyTo(bound)}
 	setProxies := func(mode faultproxy.Mode) {
@@ -152,18 +152,18 @@
 	follower := f.servingRouter("follower", func(settings *gateway.Settings) {
 		settings.Seeds, settings.PeerAddress, settings.PeerBindAddress = []string{proxies[0].Address}, proxies[1].Address, bound
 	})
-	follower.logs(`"runner":"gone"`)
-	follower.door.SetFault(storestand.Reset)
+	follower.waitForLog(`"runner":"gone"`)
+	follower.storeEndpoint.SetFault(storestand.Reset)
 	setProxies(faultproxy.Reset)
 	f.store.Delete(platform.KindRunners, removed.ID)
-	seed.logs("runner removed")
+	seed.waitForLog("runner removed")
 	f.store.Restore(f.store.Backup())
-	seed.logs(`"event":829`)
+	seed.waitForLog(`"event":829`)
 	time.Sleep(listingTime)
-	seed.door.SetFault(storestand.Throttled)
+	seed.storeEndpoint.SetFault(storestand.Throttled)
 	f.writeUnrelated(3)
-	follower.door.SetFault(storestand.Healthy)
-	follower.logs(`"missing":1`)
+	follower.storeEndpoint.SetFault(storestand.Healthy)
+	follower.waitForLog(`"missing":1`)
 	setProxies(faultproxy.Pass)
 
 	time.Sleep(removalTime)
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -52,7 +52,7 @@
 
 // startRouter starts a router at the address, with access to the store.
 func (f *restoredFleet) startRouter(address string, seeds []string) *router {
-	return f.routerAt("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
+	return f.routerWithStoreFault("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
 }
 
 // awaitNewerState waits until the router knows what the backup lacks.
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -66,7 +66,7 @@
 // setStoreFault sets how the store treats the calls of all routers.
 func (f *restorableFleet) setStoreFault(fault storestand.Fault) {
 	for _, r := range f.routers {
-		r.door.SetFault(fault)
+		r.storeEndpoint.SetFault(fault)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (f *restorableFleet) rewriteEntries(weights uint64) {
 	nameWeights(f.fleet, weights)
 	for _, runner := range append(f.engines[:len(f.engines):len(f.engines)], f.plain) {
-		f.list(runner, "ready")
+		f.putEntry(runner, "ready")
 	}
 }
 
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -3,7 +3,7 @@
 import "github.com/clovertiller/clovertiller/internal/admission"
 
 // routerCount returns the number of routers known to this one, itself included. It is at least 1.
-func (g *Gateway) routerCount() int { return max(1, int(g.routers.Load())) }
+func (g *Gateway) routerCount() int { return max(1, int(g.knownRouters.Load())) }
 
 // retryReserve returns how many retries this router may send at once, apart from those earned by
 // requests. A common bound for all routers is divided equally among them, so that a retry needs
@@ -26,10 +26,10 @@
 // retryBudget returns the retry budget of the service. The gateway's mutex must be held.
 func (g *Gateway) retryBudget(service string) *admission.RetryBudget {
 	reserve := g.retryReserve()
-	budget := g.retries[service]
+	budget := g.retryBudgets[service]
 	if budget == nil {
 		budget = admission.NewRetryBudget(g.settings.RetryShare*retryShareFraction, reserve)
-		g.retries[service] = budget
+		g.retryBudgets[service] = budget
 	}
 	budget.SetCapacity(reserve)
 	return budget
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -103,7 +103,7 @@
 	liveness := d.probe(runner)
 	d.gateway.metrics.runnerChecks.WithLabelValues(runner.Service, liveness.String()).Inc()
 	switch liveness {
-	case RunnerRuns:
+	case RunnerRunning:
 		d.mutex.Lock()
 		d.runTable.RunnerAlive(probedAt, incarnationOf(runner))
 		d.mutex.Unlock()
@@ -118,7 +118,7 @@
 	d.mutex.Lock()
 	runs := d.runTable.RunnerCrashed(now, incarnationOf(runner))
 	d.mutex.Unlock()
-	d.gateway.metrics.runnerEndRuns.WithLabelValues(runner.Service).Observe(float64(len(runs)))
+	d.gateway.metrics.requestsAtRunnerEnd.WithLabelValues(runner.Service).Observe(float64(len(runs)))
 	d.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -15,7 +15,7 @@
 
 // expectMetric waits until the metric series at the address has the value.
 func (f *fleet) expectMetric(address, series string, value float64) {
-	f.g.Eventually(func() float64 { return figures(f.g, address)[series] }, time.Second, 5*time.Millisecond).Should(Equal(value))
+	f.g.Eventually(func() float64 { return scrapeMetrics(f.g, address)[series] }, time.Second, 5*time.Millisecond).Should(Equal(value))
 }
 
 // The crash of a runner is distinguished from a lost connection, and the log contains the contents
@@ -29,12 +29,12 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
 	content := quarantine.NewContentID("tenant-one", "h.example", "/once/x", []byte("the body")).String()
 	runner.SetBehaviour(runnerstand.TruncatesResponse)
-	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
+	f.g.Expect(r.call("/once/x", nil).truncated).To(BeTrue())
 	f.expectMetric(metricsAddress, `clovertiller_runner_checks_total{outcome="runs",service="engines"}`, 1)
 	f.g.Expect(r.log.String()).To(And(ContainSubstring(`"content":"`+content), Not(ContainSubstring("runner ended while requests were running"))))
 	runner.SetBehaviour(runnerstand.Terminates)
-	f.g.Expect(r.call("/once/x", nil).cut).To(BeTrue())
-	r.logs("runner ended while requests were running")
+	f.g.Expect(r.call("/once/x", nil).truncated).To(BeTrue())
+	r.waitForLog("runner ended while requests were running")
 	f.g.Expect(r.log.String()).To(ContainSubstring(`"contents":["` + content + `"]`))
 	f.expectMetric(metricsAddress, `clovertiller_runner_checks_total{outcome="ended",service="engines"}`, 1)
 }
@@ -62,13 +62,13 @@
 	go func() { done <- r.call("/once/x", nil) }()
 	f.g.Eventually(runner.ArrivalCount).Should(Equal(1))
 	if inResponse {
-		r.logs(`"leaving":true`)
+		r.waitForLog(`"leaving":true`)
 	} else {
-		f.list(runner, "draining")
-		r.logs(`"draining":true`)
+		f.putEntry(runner, "draining")
+		r.waitForLog(`"draining":true`)
 	}
 	runner.Close()
-	f.g.Expect((<-done).cut).To(BeTrue())
+	f.g.Expect((<-done).truncated).To(BeTrue())
 	f.g.Consistently(r.log.String, "300ms").ShouldNot(ContainSubstring("runner ended while requests were running"))
-	f.g.Expect(figures(f.g, metricsAddress)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddress)).NotTo(HaveKey(HavePrefix("clovertiller_runner_checks_total")))
 }
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -70,7 +70,7 @@
 	}
 	for _, r := range f.routers {
 		for _, engine := range f.engines {
-			r.logs(fmt.Sprintf(`"runner":"%s"`, engine.ID))
+			r.waitForLog(fmt.Sprintf(`"runner":"%s"`, engine.ID))
 		}
 	}
 	return f
@@ -213,7 +213,7 @@
 		refused = r.call("/once/x", nil)
 	}
 	f.g.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
-	f.g.Expect(refused.after).To(BeNumerically("<", 250*time.Millisecond))
+	f.g.Expect(refused.duration).To(BeNumerically("<", 250*time.Millisecond))
 	seconds, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.g.Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", 10)))
@@ -230,7 +230,7 @@
 		got := f.sendLoad(f.routers, time.Second)
 		f.g.Expect(got.succeeded).To(Equal(got.sent), value)
 	}
-	f.routers[0].logs("signal headers of a runner cannot be read")
+	f.routers[0].waitForLog("signal headers of a runner cannot be read")
 	announce(f.engines, platform.HeaderServerLimit, "1e300")
 	got := f.sendLoad(f.routers, time.Second)
 	f.g.Expect(got.succeeded).To(Equal(got.sent), "such a high limit has no effect")
@@ -250,7 +250,7 @@
 	f.routers[0] = f.servingRouter("seed-0-again", f.asSeed(f.seeds[0]))
 	restartedAt := time.Now()
 	got := f.sendLoad(f.routers[1:], 2*limitWindow)
-	f.routers[0].logs("received a runner's signal from another router")
+	f.routers[0].waitForLog("received a runner's signal from another router")
 	f.sendLoad(f.routers[1:], limitWindow)
 	f.g.Expect(got.succeeded).To(Equal(got.sent))
 	f.g.Expect(maxArrivalsInWindow(limited[0], limitedAt.Add(propagationTime))).To(BeNumerically("<=", maxAllowedInWindow(runnerLimit)))
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -86,8 +86,8 @@
 func TestSchedulerBalancesCallsOfAllRouters(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, metricsAddresses := newScheduledFleet(t, 1, 4, "p1", "p2")
-	placed := func() float64 { return figures(f.g, metricsAddresses[0])["clovertiller_placed_requests"] }
-	chosen := func() float64 { return figures(f.g, metricsAddresses[1])[schedulerChoices] }
+	placed := func() float64 { return scrapeMetrics(f.g, metricsAddresses[0])["clovertiller_placed_requests"] }
+	chosen := func() float64 { return scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices] }
 	for _, runner := range runners {
 		runner.SetBehaviour(runnerstand.Delays)
 	}
@@ -117,7 +117,7 @@
 	for range 20 {
 		got := follower.call("/safe/x", nil)
 		f.g.Expect(got.status).To(Equal(http.StatusOK))
-		f.g.Expect(got.after).To(BeNumerically("<", 100*time.Millisecond), "calls do not wait for lost schedulers")
+		f.g.Expect(got.duration).To(BeNumerically("<", 100*time.Millisecond), "calls do not wait for lost schedulers")
 	}
 }
 
@@ -127,35 +127,35 @@
 	t.Parallel()
 	f, routers, _, metricsAddresses := newScheduledFleet(t, 1, 1, "p1")
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(figures(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
 	for _, r := range routers {
-		r.door.SetFault(storestand.Hangs)
+		r.storeEndpoint.SetFault(storestand.Hangs)
 	}
 	time.Sleep(4 * time.Second) // until its proof has expired
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are still served")
-	f.g.Expect(figures(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
 }
 
 // A scheduler that cannot reach the store gets its proof from a router that can, and continues.
 func TestSchedulerGetsProofFromItsRouters(t *testing.T) {
 	t.Parallel()
 	f, routers, _, metricsAddresses := newScheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.SetFault(storestand.Hangs)
-	f.list(f.runnerOf("p1"), "draining")
+	routers[0].storeEndpoint.SetFault(storestand.Hangs)
+	f.putEntry(f.runnerByID("p1"), "draining")
 	time.Sleep(4 * time.Second)
-	before := figures(f.g, metricsAddresses[1])[schedulerChoices]
+	before := scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]
 	f.g.Expect(routers[1].call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(figures(f.g, metricsAddresses[1])[schedulerChoices]).To(Equal(before + 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(Equal(before + 1))
 	f.g.Expect(routers[0].log.String()).To(ContainSubstring(lineDraining))
-	f.g.Expect(f.runnerOf("p1").Runs()).To(BeEmpty())
+	f.g.Expect(f.runnerByID("p1").Runs()).To(BeEmpty())
 }
 
 // A router that knows that a runner is leaving rejects it, no matter who chose it.
 func TestChoiceOfLeavingRunnerIsRejected(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, _ := newScheduledFleet(t, 1, 1, "p1", "p2")
-	routers[0].door.SetFault(storestand.Hangs)
-	f.list(runners[0], "draining")
+	routers[0].storeEndpoint.SetFault(storestand.Hangs)
+	f.putEntry(runners[0], "draining")
 	f.g.Eventually(routers[1].log.String, 4*time.Second, 20*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	before := runners[0].ArrivalCount()
 	for range 10 {
@@ -172,7 +172,7 @@
 	routers[1].call("/safe/x", nil)
 	f.g.Expect(len(runners[0].Runs())).To(Equal(1))
 	f.g.Expect(len(runners[1].Runs())).To(Equal(1))
-	f.g.Expect(figures(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 2))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 2))
 }
 
 // Each call occupies one of eight slots for 0.4 s and has a target latency of 0.3 s. Most of forty
@@ -216,7 +216,7 @@
 		f.g.Eventually(r.log.String, 3*time.Second, 10*time.Millisecond).Should(ContainSubstring(`"runner":"e1"`))
 	}
 	f.g.Expect(routers[1].call("/once/x", nil).status).To(Equal(http.StatusOK))
-	placed := func() float64 { return figures(f.g, metricsAddresses[0])["clovertiller_placed_requests"] }
+	placed := func() float64 { return scrapeMetrics(f.g, metricsAddresses[0])["clovertiller_placed_requests"] }
 	f.g.Eventually(placed, time.Second, 10*time.Millisecond).Should(BeZero())
 	caller, err := net.Dial("tcp", routers[1].address)
 	f.g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -58,7 +58,7 @@
 	}
 	if c.attemptState.Attempt() > 0 && !c.attemptState.MayHaveRun() && slices.Contains(query.Excluded, chosen.Candidate.Name) {
 		g.schedulers.release(c.schedulerChoice)
-		g.metrics.retries.WithLabelValues(c.service, retryNoBackend).Inc()
+		g.metrics.retries.WithLabelValues(c.service, retryNoRunner).Inc()
 		return backend.Runner{}, unavailable("all runners have refused", busyRetryAfter)
 	}
 	switch {
@@ -71,7 +71,7 @@
 	runner, _ := g.runners.Get(chosen.Candidate.Name)
 	c.takePermit(now, runner.ID)
 	c.weightVersion = g.runners.WeightVersion(runner.ID, query.Model)
-	g.metrics.placed(query, chosen.Candidate.CachedTokens)
+	g.metrics.countPlacement(query, chosen.Candidate.CachedTokens)
 	c.bufferLog(events.RequestSent, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "attempt": c.attemptState.Attempt() + 1, "weights": c.weightVersion,
 		"expected_wait_ms": chosen.Wait.Milliseconds(), "cached_tokens": chosen.Candidate.CachedTokens, "prompt_tokens": query.PromptTokens,
@@ -104,12 +104,12 @@
 func (c *call) chooseRunner(now time.Time, choice *placementChoice) (chosen placement.Pick, placedBy string) {
 	g := c.gateway
 	if chosen, accepted := c.acceptChoice(now, choice); accepted {
-		g.metrics.choices.WithLabelValues(schedulerChoices).Inc()
+		g.metrics.runnerChoices.WithLabelValues(schedulerChoices).Inc()
 		return chosen, choice.scheduler
 	}
-	g.metrics.choices.WithLabelValues(chosenHere).Inc()
+	g.metrics.runnerChoices.WithLabelValues(chosenLocally).Inc()
 	chosen, c.queueLimit, c.refusedForShare = g.placeRequest(now, c.query, c.deadline.Sub(now))
-	return chosen, chosenHere
+	return chosen, chosenLocally
 }
 
 // send sends the call to c.runner and forwards the response.
@@ -198,7 +198,7 @@
 	}
 	now := g.now()
 	if g.runners.IsLimited(c.runner.ID) {
-		g.metrics.limitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitRequestedAt))
+		g.metrics.observeLimitedSend(c.service, c.permit.Valid(now), now.Sub(c.permitRequestedAt))
 	}
 	return g.runners.MaySend(now, c.runner.ID, c.query, c.weightVersion, c.permit)
 }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -21,7 +21,7 @@
 	gateway *Gateway
 	tracker *fairshare.Tracker
 	// weightsView is the configuration whose tenant weights are applied.
-	weightsView *view
+	weightsView *activeConfig
 	// reportedExcesses holds the excesses that schedulers reported, by service and tenant name. It
 	// is cleared when the configuration changes, so it holds only entries of the current one.
 	reportedExcesses map[string]reportedExcess
@@ -45,7 +45,7 @@
 // syncWeights applies the tenant weights of the current configuration and reports whether there are
 // at least two tenants, so that there is something to share.
 func (s *fairShares) syncWeights() bool {
-	current := s.gateway.view.Load()
+	current := s.gateway.activeConfig.Load()
 	if current == nil || len(current.table.TenantWeights()) < 2 {
 		return false
 	}
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -57,7 +57,7 @@
 	}
 	g.mutex.Unlock()
 	for range answer.Signals.Malformed {
-		g.metrics.signals.WithLabelValues(c.service, signalMalformed).Inc()
+		g.metrics.runnerSignals.WithLabelValues(c.service, signalMalformed).Inc()
 	}
 	if shouldLog {
 		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.metadata.ID})
@@ -70,7 +70,7 @@
 // recordChanges counts and logs the changes that a response made, and broadcasts those that other
 // routers need.
 func (s *signals) recordChanges(runner backend.Runner, service string, changes backpressure.Changes, received backpressure.Signals, requestID string) {
-	counters := s.gateway.metrics.signals
+	counters := s.gateway.metrics.runnerSignals
 	for signal, changed := range map[string]bool{signalLeaving: changes.Leaving, signalLimit: changes.Limit, signalBackoff: changes.Backoff} {
 		if changed {
 			counters.WithLabelValues(service, signal).Inc()
@@ -141,7 +141,7 @@
 	if !pull.GetWantsSignals() {
 		return nil
 	}
-	feed, through := uint64(s.gateway.started.UnixMilli()), pull.GetSignalsThrough()
+	feed, through := uint64(s.gateway.startedAt.UnixMilli()), pull.GetSignalsThrough()
 	if pull.GetSignalsFeed() != feed {
 		through = 0
 	}
--- a/internal/gateway/slowreaders_test.go
+++ b/internal/gateway/slowreaders_test.go
@@ -64,7 +64,7 @@
 	// Read the rest of the stream that the runner has closed.
 	f.g.Expect(connection.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 	_, _ = io.Copy(io.Discard, connection)
-	r.logs("request ended")
+	r.waitForLog("request ended")
 	runner := r.Status().Runners[0]
 	f.g.Expect(runner.State).To(Equal(backend.Serving.String()))
 	f.g.Expect(runner.FailureShare).To(BeZero())
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -76,7 +76,7 @@
 	}()
 	startedAt := g.now()
 	for attempt := 0; g.since(startedAt) < transferTimeout; attempt++ {
-		if t.pullFromAny(g.relays.transferSources(), attempt > 0) || !g.backOff(attempt, minTransferRetryDelay, maxTransferRetryDelay) {
+		if t.pullFromAny(g.relays.transferSources(), attempt > 0) || !g.backoff(attempt, minTransferRetryDelay, maxTransferRetryDelay) {
 			return
 		}
 	}
@@ -145,7 +145,7 @@
 // answer returns this router's full copies of the requested kinds.
 func (t *stateTransfer) answer(pull *wire.CopyPull) *wire.CopyAnswer {
 	g := t.gateway
-	current := g.view.Load()
+	current := g.activeConfig.Load()
 	answer := &wire.CopyAnswer{Zone: g.settings.Zone, Proven: current != nil && !current.provenAt.IsZero(), StoreOnly: t.running.Load()}
 	if !answer.Proven || answer.StoreOnly {
 		return answer
--- a/internal/gateway/storeera_test.go
+++ b/internal/gateway/storeera_test.go
@@ -91,7 +91,7 @@
 	} {
 		f.g.Eventually(f.routers[0].log.String, applyTimeout, 5*time.Millisecond).Should(MatchRegexp(line))
 	}
-	metrics := figures(f.g, metricsAddress)
+	metrics := scrapeMetrics(f.g, metricsAddress)
 	f.g.Expect(metrics[`clovertiller_store_era`]).To(Equal(2.0))
 	f.g.Expect(metrics[`clovertiller_store_restores_total`]).To(Equal(1.0))
 	f.g.Expect(metrics[`clovertiller_store_lost_objects_total{kind="configuration",state="older"}`]).To(Equal(1.0))
@@ -102,7 +102,7 @@
 // storeCalls returns the number of store calls of all routers.
 func (f *restorableFleet) storeCalls() (count int) {
 	for _, r := range f.routers {
-		count += r.door.CallCount()
+		count += r.storeEndpoint.CallCount()
 	}
 	return count
 }
@@ -117,12 +117,12 @@
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
 	for _, r := range p.routers {
-		r.door.SetFault(storestand.Reset)
+		r.storeEndpoint.SetFault(storestand.Reset)
 	}
 	p.store.Restore(backup)
 	p.g.Expect(p.store.Specs(platform.KindQuarantines)).To(BeEmpty())
 	for _, r := range p.routers {
-		r.door.SetFault(storestand.Healthy)
+		r.storeEndpoint.SetFault(storestand.Healthy)
 	}
 	p.expectStoredCrashes(3)
 	time.Sleep(time.Second)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -176,7 +176,7 @@
 	g := s.gateway
 	firstCrash := record.Crashes[max(len(record.Crashes)-status.Crashes, 0)]
 	g.metrics.quarantines.Inc()
-	g.metrics.quarantineTimes.Observe(now.Sub(firstCrash.DetectedAt).Seconds())
+	g.metrics.quarantineDelays.Observe(now.Sub(firstCrash.DetectedAt).Seconds())
 	g.log.Log(events.ContentQuarantined, events.Fields{
 		"content": record.Content.String(), "tenant": record.Content.Tenant, "ends": status.Crashes, "runners": crashedRunners(record),
 		"after_ms": now.Sub(firstCrash.DetectedAt).Milliseconds(), "for_ms": status.Until.Sub(now).Milliseconds(),
@@ -208,7 +208,7 @@
 	if !pull.GetWantsSuspects() {
 		return nil
 	}
-	feed, through := uint64(s.gateway.started.UnixMilli()), pull.GetSuspectsThrough()
+	feed, through := uint64(s.gateway.startedAt.UnixMilli()), pull.GetSuspectsThrough()
 	if pull.GetSuspectsFeed() != feed {
 		through = 0
 	}
@@ -264,10 +264,10 @@
 func (s *suspects) summary(now time.Time) (summary []QuarantinedContent) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, record := range s.detector.Quarantined(now, mostQuarantined) {
+	for _, record := range s.detector.Quarantined(now, maxQuarantinedInStatus) {
 		summary = append(summary, QuarantinedContent{
 			Content: record.Content.String(), Tenant: record.Content.Tenant, Runners: crashedRunners(record),
-			LeftMillis: s.detector.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
+			RemainingMillis: s.detector.Evaluate(now, record.Content).Until.Sub(now).Milliseconds(),
 		})
 	}
 	return summary
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -34,7 +34,7 @@
 func (c *call) beginSend(now time.Time, runner backend.Runner, prefillTokens int) {
 	g := c.gateway
 	c.currentSend = g.runners.BeginQuery(now, runner.ID, prefillTokens, c.query)
-	c.run = g.ends.begin(now, runner, c.content)
+	c.run = g.endedRunners.begin(now, runner, c.content)
 	c.sendCtx, c.unstarted = c.ctx, nil
 	if !c.isStartObservable() {
 		return
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.sendCtx = ctx
 	c.unstarted = &unstartedSend{runner: runner.ID, model: c.query.Model, weightVersion: c.weightVersion, content: c.content, cancel: cancel}
-	g.unbegun[c.unstarted] = struct{}{}
+	g.pendingSends[c.unstarted] = struct{}{}
 }
 
 // isStartObservable reports whether the send starts a run on a model's weights and its response
@@ -56,7 +56,7 @@
 // ended. The gateway's mutex must be held.
 func (c *call) preventWithdrawal() {
 	if c.unstarted != nil {
-		delete(c.gateway.unbegun, c.unstarted)
+		delete(c.gateway.pendingSends, c.unstarted)
 	}
 }
 
@@ -75,9 +75,9 @@
 func (g *Gateway) withdrawExpiredSends(now time.Time, model string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.unbegun {
+	for send := range g.pendingSends {
 		if send.model == model && !g.runners.MayBegin(now, send.runner, model, send.weightVersion) {
-			delete(g.unbegun, send)
+			delete(g.pendingSends, send)
 			send.cancel(errWeightsExpired)
 		}
 	}
@@ -89,9 +89,9 @@
 func (g *Gateway) withdrawQuarantinedSends(content quarantine.ContentID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.unbegun {
+	for send := range g.pendingSends {
 		if send.content == content {
-			delete(g.unbegun, send)
+			delete(g.pendingSends, send)
 			send.cancel(errContentQuarantined)
 		}
 	}
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -39,7 +39,7 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
-	r.door.SetFault(storestand.LosesResponses)
+	r.storeEndpoint.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	return f, r, runner
 }
@@ -49,7 +49,7 @@
 func (r *router) announceNewWeights() time.Time {
 	announcedAt := time.Now()
 	nameWeights(r.fleet, 2)
-	r.logs("weights named")
+	r.waitForLog("weights named")
 	return announcedAt
 }
 
@@ -142,7 +142,7 @@
 	time.Sleep(time.Until(announcedAt.Add(shortWeightDeadline + 200*time.Millisecond)))
 	oldRunner.ResumeStreams()
 	got := <-answers
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeStream))
 	f.g.Expect(updatedRunner.ArrivalCount()).To(BeZero())
 }
@@ -158,7 +158,7 @@
 			r.announceNewWeights()
 			answers := r.startQueuedCall("/once/x", runner)
 			runner.SetWeightVersion(2)
-			f.list(runner, "ready")
+			f.putEntry(runner, "ready")
 			got := <-answers
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
 			f.g.Expect(got.body).To(Equal(completeStream))
@@ -191,12 +191,12 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- r.call("/once/x", withLongPrompt) }()
 	f.g.Eventually(backup.ContinuedRuns, time.Second, 5*time.Millisecond).Should(HaveLen(1))
-	r.door.SetFault(storestand.LosesResponses)
+	r.storeEndpoint.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
 	got := <-answers
 	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the answer came after the deadline")
-	f.g.Expect(got.cut).To(BeFalse())
+	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeStream))
 }
 
@@ -215,7 +215,7 @@
 		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
 	answers := r.startQueuedCall("/whole/x", runner)
-	r.door.SetFault(storestand.LosesResponses)
+	r.storeEndpoint.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
 	got := <-answers
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -21,7 +21,7 @@
 // although all start at once on a busy machine.
 func newOverloadedFleet(t *testing.T, caches gateway.CacheReader, followers int) (f *fleet, seed *router, others []*router) {
 	f = newFleet(t)
-	f.caches = caches
+	f.cacheReader = caches
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
 	address := loopback.FreeAddress()
@@ -64,7 +64,7 @@
 	f.configure(2, defaultRoutes(), "key-two")
 	for _, r := range others {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.CallCount()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	}
 	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "the relay pushes changes")
 }
@@ -80,7 +80,7 @@
 	killedAt := time.Now()
 	for _, r := range others[1:] {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		f.g.Expect(r.door.CallCount()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	}
 	f.g.Expect(time.Since(killedAt)).To(BeNumerically("<", time.Second))
 }
@@ -97,15 +97,15 @@
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, 2*time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 	}
 	for _, r := range others[1:] {
-		f.g.Expect(r.door.CallCount()).To(BeZero())
+		f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	}
 }
 
 // The cache contents of runners reach the followers of a relay.
 func TestRelayForwardsCacheContents(t *testing.T) {
 	t.Parallel()
-	cached := newKeptParts()
-	cached.put("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
+	cached := newFakeCacheReader()
+	cached.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
 	f, seed, others := newOverloadedFleet(t, cached, 6)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1))
@@ -113,7 +113,7 @@
 	f.g.Eventually(func() string {
 		before := runCounts(runners)
 		last.call("/stream/x", withPrompt(fmt.Sprintf("trunk:2000,f%d:100,own:50", time.Now().UnixNano())))
-		_, fetched := sentTo(runners, before)
+		_, fetched := newestRun(runners, before)
 		return fetched
 	}, 5*time.Second, 10*time.Millisecond).Should(Equal(runners[0].Address), "a runner that lacks the trunk fetches it")
 }
@@ -128,8 +128,8 @@
 	r := f.router("first", f.followerSettings([]string{startSilentPeer(f)}))
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Eventually(r.door.StaleListCount, time.Second, 5*time.Millisecond).Should(Equal(4), "one per kind: configuration, runners, weights and quarantines")
-	f.g.Expect(r.door.CallCount()-r.door.StaleListCount()).To(BeNumerically("<=", 5), "one watch per kind, and the next one of the configuration")
+	f.g.Eventually(r.storeEndpoint.StaleListCount, time.Second, 5*time.Millisecond).Should(Equal(4), "one per kind: configuration, runners, weights and quarantines")
+	f.g.Expect(r.storeEndpoint.CallCount()-r.storeEndpoint.StaleListCount()).To(BeNumerically("<=", 5), "one watch per kind, and the next one of the configuration")
 }
 
 // If the history after a stale list is gone, the store is listed again in full.
@@ -138,7 +138,7 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	r := f.routerAt("first", f.followerSettings([]string{startSilentPeer(f)}), storestand.Healthy)
+	r := f.routerWithStoreFault("first", f.followerSettings([]string{startSilentPeer(f)}), storestand.Healthy)
 	f.store.CompactHistory()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second).Should(Equal(http.StatusOK))
@@ -153,14 +153,14 @@
 	f.router("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address[0], address })
 	r := f.router("r1", f.followerSettings(address))
 	time.Sleep(1500 * time.Millisecond)
-	f.g.Expect(r.door.CallCount()).To(BeZero())
+	f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
 	f.store.Put(platform.KindRunners, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
 	f.configure(1, defaultRoutes(), goodKey)
 	configured := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(time.Since(configured)).To(BeNumerically("<", 500*time.Millisecond))
-	f.g.Expect(r.door.CallCount()).To(BeZero())
+	f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 }
 
 // Followers leave a relay that restarts without a configuration and use the next one.
@@ -175,7 +175,7 @@
 	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]))
 	relay := others[1].Status().Source
 	others[0].Kill()
-	f.routerAt("again", func(settings *gateway.Settings) {
+	f.routerWithStoreFault("again", func(settings *gateway.Settings) {
 		settings.PeerAddress, settings.Seeds = relay, []string{startSilentPeer(f)}
 	}, storestand.Hangs)
 	onNextRelay := func() bool {
