--- a/internal/admission/fairsharebound_test.go
+++ b/internal/admission/fairsharebound_test.go
@@ -10,7 +10,7 @@
 func TestFairShareBoundIsAtLeastLowestMaxQueue(t *testing.T) {
 	g := NewWithT(t)
 	const ownBound = 500 * time.Millisecond
-	withExcess := func(excess float64) Request { return Request{TargetLatency: time.Second, Excess: excess} }
+	withExcess := func(excess float64) Request { return Request{LatencyTarget: time.Second, Excess: excess} }
 	lowest := LowestMaxQueue(time.Second, Rank{})
 	g.Expect(fairShareBound(ownBound, withExcess(1))).To(Equal(ownBound))
 	g.Expect(fairShareBound(ownBound, withExcess(8))).To(Equal(lowest))
--- a/internal/admission/loadshedder.go
+++ b/internal/admission/loadshedder.go
@@ -7,7 +7,7 @@
 )
 
 // exemptShare is the share of requests whose bound is not tightened by higher ranks. It keeps any
-// kind of request from being starved while a higher rank needs all runners: a client that retries
+// kind of request from being starved while a higher rank needs all runners: a caller that retries
 // a few times in a minute is served once.
 const exemptShare = 0.05
 
@@ -24,12 +24,13 @@
 type Request struct {
 	Service string
 	Rank    Rank
-	// TargetLatency is the time within which an answer counts as on time; 0 means no target.
-	TargetLatency time.Duration
+	// LatencyTarget is the longest time until the first event of an answer that counts as on time;
+	// 0 means no target.
+	LatencyTarget time.Duration
 	// MaxQueue is the request's own bound on its expected queueing time, as returned by
 	// DrawMaxQueue. A request with bound 0 is never refused.
 	MaxQueue time.Duration
-	// TimeLeft is the time for which the client still waits.
+	// TimeLeft is the time for which the caller still waits.
 	TimeLeft time.Duration
 	// Excess divides the bound of a tenant above its fair share (see fairshare.Tracker.Excess). It
 	// is 1 for a tenant at or below its share.
@@ -119,7 +120,7 @@
 // queues for less benefits nobody.
 func fairShareBound(bound time.Duration, request Request) time.Duration {
 	divided := time.Duration(float64(bound) / math.Max(request.Excess, 1))
-	return min(max(divided, LowestMaxQueue(request.TargetLatency, request.Rank)), bound)
+	return min(max(divided, LowestMaxQueue(request.LatencyTarget, request.Rank)), bound)
 }
 
 // priorityFactor returns the lowest factor that the higher ranks impose on the request's bound.
@@ -127,7 +128,7 @@
 	lowest := 1.0
 	for rank, p := range s.pressures {
 		if rank.tightens(request.Rank) {
-			lowest = min(lowest, p.factorFor(now, request.TargetLatency))
+			lowest = min(lowest, p.factorFor(now, request.LatencyTarget))
 		}
 	}
 	return lowest
@@ -135,7 +136,7 @@
 
 // RecordDecision records the expected queueing time of a request and whether it was refused. For a
 // refused request it returns the time after which to retry: the reserved time or, failing that, a
-// time that is at least earliest unless the client waits for less. It returns 0 for an admitted
+// time that is at least earliest unless the caller waits for less. It returns 0 for an admitted
 // request and earliest for a request without a bound.
 func (l *LoadShedder) RecordDecision(now time.Time, request Request, queueTime time.Duration, refused bool, earliest time.Duration) time.Duration {
 	if request.MaxQueue <= 0 {
@@ -147,7 +148,7 @@
 		p = newRankPressure(now)
 		state.pressures[request.Rank] = p
 	}
-	p.record(now, request.TargetLatency, queueTime)
+	p.record(now, request.LatencyTarget, queueTime)
 	if !refused {
 		state.retries.recordAdmission(now, request)
 		return 0
--- a/internal/admission/loadshedder_test.go
+++ b/internal/admission/loadshedder_test.go
@@ -17,8 +17,8 @@
 var (
 	epoch    = time.Unix(100, 0)
 	busyLoad = Load{OpenRequests: 90, Slots: 100}
-	bulk     = Request{Service: "s", Rank: Rank{Route: 1}, TargetLatency: bulkTarget, MaxQueue: time.Second, TimeLeft: 5 * time.Second, Excess: 1}
-	urgent   = Request{Service: "s", TargetLatency: urgentTarget, MaxQueue: 400 * time.Millisecond, TimeLeft: 15 * time.Second, Excess: 1}
+	bulk     = Request{Service: "s", Rank: Rank{Route: 1}, LatencyTarget: bulkTarget, MaxQueue: time.Second, TimeLeft: 5 * time.Second, Excess: 1}
+	urgent   = Request{Service: "s", LatencyTarget: urgentTarget, MaxQueue: 400 * time.Millisecond, TimeLeft: 15 * time.Second, Excess: 1}
 )
 
 func newTestShedder() *LoadShedder { return NewLoadShedder(rand.New(rand.NewPCG(1, 2))) }
@@ -151,7 +151,7 @@
 			if random.Float64() >= load*speed/cost*step.Seconds() {
 				continue
 			}
-			request.MaxQueue = DrawMaxQueue(request.TargetLatency, request.Rank, random)
+			request.MaxQueue = DrawMaxQueue(request.LatencyTarget, request.Rank, random)
 			wait := time.Duration(queue / speed * float64(time.Second))
 			bound := request.MaxQueue
 			if sheds {
@@ -168,7 +168,7 @@
 				continue
 			}
 			queue += cost
-			if wait <= request.TargetLatency {
+			if wait <= request.LatencyTarget {
 				result.inTime[rank]++
 			}
 		}
--- a/internal/admission/rankpressure.go
+++ b/internal/admission/rankpressure.go
@@ -15,18 +15,18 @@
 	// neither tighten nor relax. A few queued requests are no reason to refuse others.
 	allowedCongestion = 0.02
 	// tightenTime is the time in which a fully congested rank reduces the bounds of lower ranks to
-	// a third. A burst fills a queue of half the target latency in a few times this duration.
+	// a third. A burst fills a queue of half the latency target in a few times this duration.
 	tightenTime = 50 * time.Millisecond
 	// relaxTime is the time in which the bounds triple again without congestion. It is longer than
 	// an admitted request stays on a runner, so that the effect of each step is observed before
 	// the next.
 	relaxTime = 3 * time.Second
-	// minCongestedShare is the queueing time, as a share of the target latency, above which a rank
+	// minCongestedShare is the queueing time, as a share of the latency target, above which a rank
 	// is congested. It is half of noSheddingShare, because requests admitted earlier still occupy
 	// the runners while the bounds of other ranks tighten.
 	minCongestedShare = 0.2
 	// minBoundShare is the lowest mean bound that a rank leaves to lower ranks, as a share of its
-	// own target latency. It is half of minCongestedShare.
+	// own latency target. It is half of minCongestedShare.
 	minBoundShare = 0.1
 	// minRequestCount is the lowest number of recent requests that a rank's mean congestion is
 	// computed with.
@@ -47,7 +47,7 @@
 	updatedAt            time.Time
 	// priorityFactor is the factor applied to the bounds of lower ranks.
 	priorityFactor float64
-	// lastTarget is the target latency of the rank's latest request.
+	// lastTarget is the latency target of the rank's latest request.
 	lastTarget time.Duration
 }
 
@@ -105,8 +105,8 @@
 	p.congestion, p.requests = p.congestion*decay, p.requests*decay
 }
 
-// factorFor returns the factor for the bound of a lower-ranked request with the given target
-// latency.
+// factorFor returns the factor for the bound of a lower-ranked request with the given latency
+// target.
 func (p *rankPressure) factorFor(now time.Time, target time.Duration) float64 {
 	p.advance(now)
 	if p.priorityFactor >= 1 || target <= 0 {
--- a/internal/admission/retryadvisor.go
+++ b/internal/admission/retryadvisor.go
@@ -7,24 +7,24 @@
 
 // Parameters of retryAdvisor.
 const (
-	// retryWaitShare is the share of its remaining time that a client spends waiting before a
-	// retry. A client that is given a longer retry time retries then all the same.
+	// retryWaitShare is the share of its remaining time that a caller spends waiting before a
+	// retry. A caller that is given a longer retry time retries then all the same.
 	retryWaitShare = 1.0 / 3
-	// maxReservationShare is the share of the target latency within which a reserved time must
-	// lie; the rest is needed for the answer. A client that retries later is late in any case and
+	// maxReservationShare is the share of the latency target within which a reserved time must
+	// lie; the rest is needed for the answer. A caller that retries later is late in any case and
 	// would take capacity from one that is not.
 	maxReservationShare = 0.6
-	// maxRetryAfter is the longest retry time given to clients with much time left. After a few
+	// maxRetryAfter is the longest retry time given to callers with much time left. After a few
 	// seconds a shortage caused by a burst or by lost runners is either over or known to last.
 	maxRetryAfter = 5 * time.Second
-	// retryJitter is the share of the retry time by which clients without a reservation may retry
+	// retryJitter is the share of the retry time by which callers without a reservation may retry
 	// earlier, so that they do not retry all at once.
 	retryJitter = 0.3
 )
 
-// retryAdvisor tells refused clients of one service when to retry. Times are reserved per rank, at
-// the rank's recent admission rate, for clients that can still be served within their target
-// latency at that time.
+// retryAdvisor tells refused callers of one service when to retry. Times are reserved per rank, at
+// the rank's recent admission rate, for callers that can still be served within their latency
+// target at that time.
 type retryAdvisor struct {
 	schedule *RetrySchedule
 	// newReservations are the reservations made since the last call of takeReservations.
@@ -58,7 +58,7 @@
 	r.schedule.RecordAdmission(now, classOf(request.Rank))
 }
 
-// retryAfter returns the time after which the client of a refused request should retry. A client
+// retryAfter returns the time after which the caller of a refused request should retry. A caller
 // that has a reservation keeps it. Otherwise the next free time is reserved for it or, if it could
 // not be served in time then, it is told to retry near the end of the time for which it waits,
 // when the shortage may be over.
@@ -72,7 +72,7 @@
 		longest = min(time.Duration(retryWaitShare*float64(request.TimeLeft)), maxRetryAfter)
 	}
 	next := r.schedule.NextFree(now, class, earliest)
-	if next > min(longest, time.Duration(maxReservationShare*float64(request.TargetLatency))) || request.Excess > 1 {
+	if next > min(longest, time.Duration(maxReservationShare*float64(request.LatencyTarget))) || request.Excess > 1 {
 		jitter := time.Duration(retryJitter * random.Float64() * float64(longest))
 		return max(longest-jitter, min(earliest, longest))
 	}
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -9,7 +9,7 @@
 
 // refuse records a refusal of the request and returns its retry time.
 func refuse(shedder *LoadShedder, now time.Time, request Request, earliest time.Duration) time.Duration {
-	return shedder.RecordDecision(now, request, 2*request.TargetLatency, true, earliest)
+	return shedder.RecordDecision(now, request, 2*request.LatencyTarget, true, earliest)
 }
 
 // bulkRequest returns a bulk request with the ticket.
@@ -19,7 +19,7 @@
 	return request
 }
 
-// Clients with a short, a long and an unknown remaining time are all given a usable retry time.
+// Callers with a short, a long and an unknown remaining time are all given a usable retry time.
 func TestRetryAfterIsWithinBounds(t *testing.T) {
 	g := NewWithT(t)
 	const earliest = 250 * time.Millisecond
@@ -33,7 +33,7 @@
 	}
 }
 
-// A client that retries before its reserved time neither loses its reservation nor takes another
+// A caller that retries before its reserved time neither loses its reservation nor takes another
 // one.
 func TestEarlyRetryKeepsItsReservation(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/admission/retryreservations_test.go
+++ b/internal/admission/retryreservations_test.go
@@ -34,7 +34,7 @@
 	return now
 }
 
-func TestRetryTimesAreSpreadWithinClientDeadlines(t *testing.T) {
+func TestRetryTimesAreSpreadWithinCallerDeadlines(t *testing.T) {
 	g := NewWithT(t)
 	shedder := newTestShedder()
 	now := admitMany(shedder, bulk)
@@ -42,16 +42,16 @@
 	perInterval := map[time.Duration]int{}
 	for _, after := range retryTimes {
 		g.Expect(after).To(BeNumerically(">=", 250*time.Millisecond))
-		g.Expect(after).To(BeNumerically("<=", bulk.TimeLeft/3), "a client waits for at most a third of its remaining time")
+		g.Expect(after).To(BeNumerically("<=", bulk.TimeLeft/3), "a caller waits for at most a third of its remaining time")
 		perInterval[after/(100*time.Millisecond)]++
 	}
-	for interval, clients := range perInterval {
-		g.Expect(clients).To(BeNumerically("<=", 30), "clients that retry in the same 100 ms interval %d", interval)
+	for interval, callers := range perInterval {
+		g.Expect(callers).To(BeNumerically("<=", 30), "callers that retry in the same 100 ms interval %d", interval)
 	}
 }
 
 // The number of reservations corresponds to the rank's recent admission rate, and all reserved
-// times leave enough time to answer within the target latency.
+// times leave enough time to answer within the latency target.
 func TestReservationsFollowAdmissionRateOfRank(t *testing.T) {
 	g := NewWithT(t)
 	shedder := newTestShedder()
@@ -89,7 +89,7 @@
 	g.Expect(second.QueueLimit(now.Add(after), bulkWithTicket(1), busyLoad).Returned).To(BeTrue())
 }
 
-// A client ignores its retry time and retries three times at once. It cannot redeem its
+// A caller ignores its retry time and retries three times at once. It cannot redeem its
 // reservation early and takes no further times from others.
 func TestImmediateRetriesGainNothing(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/admission/retryschedule.go
+++ b/internal/admission/retryschedule.go
@@ -15,7 +15,7 @@
 	// admissionHalfLife is the half-life of the measured admission rate.
 	admissionHalfLife = 3 * time.Second
 	// earlyTolerance is how long before its time a reservation can be redeemed, to allow for
-	// clients' clocks and pauses. lateTolerance is how long after its time it expires.
+	// callers' clocks and pauses. lateTolerance is how long after its time it expires.
 	earlyTolerance = 200 * time.Millisecond
 	lateTolerance  = 10 * time.Second
 	// MaxReservations is the maximum number of stored reservations.
@@ -39,7 +39,7 @@
 	outstanding int
 }
 
-// RetrySchedule reserves retry times for refused requests, so that a client that retries at the
+// RetrySchedule reserves retry times for refused requests, so that a caller that retries at the
 // given time finds capacity. Each refused request gets the next free time of its class, times are
 // spaced by the class's recent admission rate, and a request that is retried at its time is
 // preferred to new ones. It is not safe for concurrent use.
@@ -115,7 +115,7 @@
 	return max(s.class(now, class).nextFree.Sub(now), earliest)
 }
 
-// ReserveNext reserves the next free time of the class for a client that cannot be identified when
+// ReserveNext reserves the next free time of the class for a caller that cannot be identified when
 // it retries. It returns the time until the reservation, which is at least earliest.
 func (s *RetrySchedule) ReserveNext(now time.Time, class int, earliest time.Duration) time.Duration {
 	state, after := s.class(now, class), s.NextFree(now, class, earliest)
@@ -148,7 +148,7 @@
 	return s.class(now, class).outstanding > 0
 }
 
-// removeExpired removes the reservations of clients that did not retry. It runs at most once per
+// removeExpired removes the reservations of callers that did not retry. It runs at most once per
 // second.
 func (s *RetrySchedule) removeExpired(now time.Time) {
 	if now.Before(s.nextCleanup) {
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -8,9 +8,9 @@
 
 // Parameters of the queue bound.
 const (
-	// noSheddingShare and fullSheddingShare are the queueing times, as shares of the target
-	// latency, at which none and all requests of the first rank are refused. A request that queues
-	// for less than half of its target latency is answered in time. One that queues for longer
+	// noSheddingShare and fullSheddingShare are the queueing times, as shares of the latency
+	// target, at which none and all requests of the first rank are refused. A request that queues
+	// for less than half of its latency target is answered in time. One that queues for longer
 	// than its target is late in any case.
 	noSheddingShare   = 0.4
 	fullSheddingShare = 1.2
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -56,9 +56,10 @@
 	MaxQueueTime time.Duration
 	// Zone is the zone of the router that sends the request, empty for this router's zone.
 	Zone string
-	// TargetLatency is the time within which a response counts as on time, and MaxEventGap
-	// the longest acceptable pause between two events of its stream; 0 for no bound.
-	TargetLatency time.Duration
+	// LatencyTarget is the longest time until the first event of a response that counts as
+	// on time, and MaxEventGap the longest pause between two events of its stream; 0 means
+	// no target.
+	LatencyTarget time.Duration
 	MaxEventGap   time.Duration
 	// Rank orders the request among those that compete for the same runners.
 	Rank admission.Rank
@@ -72,24 +73,23 @@
 	// SuspectContent is the hash of a request's content that is suspected of crashing
 	// runners, 0 for any other request.
 	SuspectContent uint64
-	// Resting are the runners that asked the sending router to send no requests for a
-	// while.
-	Resting []RestingRunner
+	// Backoffs are the backoffs that runners requested from the sending router.
+	Backoffs []RunnerBackoff
 }
 
-// RestingRunner is a runner that asked one router to send it no requests for the remaining
-// time.
-type RestingRunner struct {
+// RunnerBackoff is a runner's request to one router to send it no requests for the
+// remaining time.
+type RunnerBackoff struct {
 	Runner    string
 	Remaining time.Duration
 }
 
-// restRemaining returns for how long the runner accepts no requests from the router that
+// backoffRemaining returns for how long the runner accepts no requests from the router that
 // sends the query, 0 if it accepts them.
-func (q Query) restRemaining(runner string) time.Duration {
-	for _, rest := range q.Resting {
-		if rest.Runner == runner {
-			return rest.Remaining
+func (q Query) backoffRemaining(runner string) time.Duration {
+	for _, backoff := range q.Backoffs {
+		if backoff.Runner == runner {
+			return backoff.Remaining
 		}
 	}
 	return 0
@@ -156,7 +156,7 @@
 	ids, otherIDs := make([]string, 0, len(entries)), []string(nil)
 	for _, e := range entries {
 		switch {
-		case e.isLeaving() || now.Before(e.avoidUntil) || e.signalState.IsLimited() || query.restRemaining(e.ID) > 0:
+		case e.isLeaving() || now.Before(e.avoidUntil) || e.signalState.IsLimited() || query.backoffRemaining(e.ID) > 0:
 		case split.prefers(e):
 			ids = append(ids, e.ID)
 		default:
--- a/internal/backend/placedsends.go
+++ b/internal/backend/placedsends.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// AvoidRunner makes all requests avoid the request's runner for a while, after the runner
-// asked the sending router to send it none.
-func (p *PlacedSends) AvoidRunner(now time.Time, key SendKey, rest time.Duration) {
+// AvoidRunner makes all requests avoid the request's runner for the duration, after the
+// runner requested a backoff from the sending router.
+func (p *PlacedSends) AvoidRunner(now time.Time, key SendKey, duration time.Duration) {
 	if placed := p.sends[key]; placed != nil {
-		p.set.AvoidFor(now, placed.send, rest)
+		p.set.AvoidFor(now, placed.send, duration)
 	}
 }
 
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -44,7 +44,7 @@
 	signals *backpressure.Table
 	// permits is this router's part of the rate limits that runners set.
 	permits *backpressure.Permits
-	// rolloutTime is the time within which all runners of a service should reach a new
+	// rolloutTime is the time within which all runners of a service should have a new
 	// target version.
 	rolloutTime time.Duration
 }
@@ -163,7 +163,7 @@
 	Draining State = iota
 	// Updating runners load new weights on this router's order.
 	Updating
-	// Avoided runners recently failed, refused a request or asked for a rest, and are used
+	// Avoided runners recently failed, refused a request or requested a backoff, and are used
 	// last. Their state is reported as "set aside".
 	Avoided
 	// Limited runners get no more requests than the rate limit that they set.
--- a/internal/backend/signals.go
+++ b/internal/backend/signals.go
@@ -48,14 +48,14 @@
 func (s *Set) Permits() *backpressure.Permits { return s.permits }
 
 // heldBack reports whether the runner accepts no request of the query now, because of a
-// rest or a rate limit, and counts it in held. A leaving runner is not counted, as it will
+// backoff or a rate limit, and counts it in held. A leaving runner is not counted, as it will
 // not accept requests later either.
 func (s *Set) heldBack(now time.Time, e *entry, query Query, held *placement.HeldBack) bool {
 	if e.isLeaving() {
 		return false
 	}
-	if rest := query.restRemaining(e.ID); rest > 0 {
-		held.AddResting(rest)
+	if remaining := query.backoffRemaining(e.ID); remaining > 0 {
+		held.AddInBackoff(remaining)
 		return true
 	}
 	if !e.signalState.IsLimited() {
@@ -74,27 +74,28 @@
 	return !e.signalState.InBackoff(now) && (!e.signalState.IsLimited() || permit.Valid(now))
 }
 
-// Resting returns the runners that asked this router to send no requests for a while.
-func (s *Set) Resting(now time.Time) (resting []RestingRunner) {
+// Backoffs returns the backoffs that runners requested from this router and that have not
+// ended.
+func (s *Set) Backoffs(now time.Time) (backoffs []RunnerBackoff) {
 	for _, state := range s.signals.BackingOff(now) {
-		// A runner that has restarted since did not ask for the rest.
+		// A runner that has restarted since did not request the backoff.
 		if e := s.entries[state.ID]; e != nil && e.signalState == state {
-			resting = append(resting, RestingRunner{Runner: state.ID, Remaining: state.BackoffUntil.Sub(now)})
+			backoffs = append(backoffs, RunnerBackoff{Runner: state.ID, Remaining: state.BackoffUntil.Sub(now)})
 		}
 	}
-	return resting
+	return backoffs
 }
 
-// maxPeerAvoidTime bounds how long requests of other routers avoid a runner that asked one
-// router for a rest. The runner did not ask the others, but the resource that it lacks is
-// usually short for all.
+// maxPeerAvoidTime bounds how long requests of other routers avoid a runner that requested
+// a backoff from one router. The runner did not ask the others, but the resource that it
+// lacks is usually short for all.
 const maxPeerAvoidTime = time.Second
 
 // AvoidFor makes all requests avoid the runner of the send for the duration, at most
 // maxPeerAvoidTime.
-func (s *Set) AvoidFor(now time.Time, send *Send, rest time.Duration) {
-	if e := s.listedEntry(send); e != nil && rest > 0 {
-		if until := now.Add(min(rest, maxPeerAvoidTime)); until.After(e.avoidUntil) {
+func (s *Set) AvoidFor(now time.Time, send *Send, duration time.Duration) {
+	if e := s.listedEntry(send); e != nil && duration > 0 {
+		if until := now.Add(min(duration, maxPeerAvoidTime)); until.After(e.avoidUntil) {
 			e.avoidUntil = until
 		}
 	}
--- a/internal/backend/signals_test.go
+++ b/internal/backend/signals_test.go
@@ -20,7 +20,7 @@
 	}
 	a, _ := set.Get("a")
 	set.RecordSignals(start, start, a, signals, false)
-	query.Resting = set.Resting(start)
+	query.Backoffs = set.Backoffs(start)
 	return set, query
 }
 
@@ -39,7 +39,7 @@
 func TestRunnerSignalsAreRespected(t *testing.T) {
 	for name, signals := range map[string]backpressure.Signals{
 		"leaving": {Leaving: true},
-		"rest":    {Backoff: time.Second},
+		"backoff": {Backoff: time.Second},
 		"limit":   {Limited: true, Rate: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,20 +77,20 @@
 	g.Expect(set.TakePermit(start, "b")).To(Equal(backpressure.Permit{}), "a runner without a limit needs no permit")
 }
 
-func TestRestAppliesOnlyToRequestingRouter(t *testing.T) {
+func TestBackoffAppliesOnlyToRequestingRouter(t *testing.T) {
 	g := NewWithT(t)
 	set, query := newSetWithSignals(backpressure.Signals{Backoff: time.Second})
-	g.Expect(query.Resting).To(Equal([]RestingRunner{{Runner: "a", Remaining: time.Second}}))
+	g.Expect(query.Backoffs).To(Equal([]RunnerBackoff{{Runner: "a", Remaining: time.Second}}))
 	_, held := eligibleRunners(set, query)
-	g.Expect(held).To(Equal(placement.HeldBack{Resting: 1, RestWait: time.Second}))
+	g.Expect(held).To(Equal(placement.HeldBack{InBackoff: 1, BackoffWait: time.Second}))
 	otherRouter := query
-	otherRouter.Resting = nil
+	otherRouter.Backoffs = nil
 	names, _ := eligibleRunners(set, otherRouter)
-	g.Expect(names).To(Equal([]string{"a", "b"}), "the runner did not ask other routers for a rest")
+	g.Expect(names).To(Equal([]string{"a", "b"}), "the runner did not ask other routers to back off")
 	a, _ := set.Get("a")
 	a.Incarnation = 2
 	set.Put(a)
-	g.Expect(set.Resting(start)).To(BeEmpty(), "a new incarnation did not ask for a rest")
+	g.Expect(set.Backoffs(start)).To(BeEmpty(), "a new incarnation did not ask to back off")
 	g.Expect(set.Usable(start, "a", otherRouter, backpressure.Permit{})).To(BeTrue())
 }
 
@@ -105,7 +105,7 @@
 	g.Expect(request.Excluded).To(BeEmpty())
 }
 
-// Clients must not be told to retry later for a runner that is leaving.
+// Callers must not be told to retry later for a runner that is leaving.
 func TestLeavingRunnerIsNotHeldBack(t *testing.T) {
 	g := NewWithT(t)
 	set, query := newSetWithSignals(backpressure.Signals{Limited: true, Rate: 1, Leaving: true, Backoff: time.Second})
--- a/internal/backend/weighttargets.go
+++ b/internal/backend/weighttargets.go
@@ -17,7 +17,8 @@
 )
 
 // modelTarget is the target version of a model's weights, with the deadlines of older
-// versions.
+// versions. The target version is the newest version that has been named, that is, listed
+// in the store as the version of its model.
 type modelTarget struct {
 	version uint64
 	// deadlines is sorted by version. Each element holds the deadlines that one target
@@ -48,7 +49,8 @@
 const maxDeadlines = 64
 
 // WeightTargets holds the target version of each model's weights: the newest version that
-// has been announced. It is not safe for concurrent use.
+// the store has listed as the version of the model. Package namings computes the deadlines
+// of older versions. It is not safe for concurrent use.
 type WeightTargets struct {
 	targets map[string]*modelTarget
 }
@@ -76,7 +78,7 @@
 }
 
 // SetDeadlines replaces the deadlines of the model's older versions, sorted by version,
-// when more precise announcement times have become known.
+// when it has become known more precisely when newer versions were named.
 func (w *WeightTargets) SetDeadlines(model string, deadlines []VersionDeadlines) {
 	if target := w.targets[model]; target != nil {
 		target.deadlines = deadlines
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -15,8 +15,8 @@
 func (c *call) newQuery() backend.Query {
 	query := backend.Query{
 		Service: c.service, Excluded: c.attemptState.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueueTime,
-		TargetLatency: c.route.LatencyTarget, MaxEventGap: c.route.MaxEventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.metadata.MaxTokens,
-		SuspectContent: c.suspectHash(), Resting: c.gateway.restingRunners(),
+		LatencyTarget: c.route.LatencyTarget, MaxEventGap: c.route.MaxEventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.metadata.MaxTokens,
+		SuspectContent: c.suspectHash(), Backoffs: c.gateway.restingRunners(),
 	}
 	if c.attemptState.Attempt() > 0 {
 		// A call whose first attempt was admitted is not refused for its queueing time later.
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -27,7 +27,7 @@
 func (g *Gateway) placeRequestWithExcess(now time.Time, query backend.Query, timeLeft time.Duration, excess float64) (chosen placement.Pick, queueLimit admission.QueueLimit, refusedForShare bool) {
 	request, candidates := g.runners.Candidates(now, query)
 	admissionRequest := admission.Request{
-		Service: query.Service, Rank: query.Rank, TargetLatency: query.TargetLatency, MaxQueue: query.MaxQueueTime, TimeLeft: timeLeft,
+		Service: query.Service, Rank: query.Rank, LatencyTarget: query.LatencyTarget, MaxQueue: query.MaxQueueTime, TimeLeft: timeLeft,
 		Excess: excess, Ticket: query.Ticket,
 	}
 	queueLimit = g.order.QueueLimit(now, admissionRequest, totalLoad(candidates))
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -12,11 +12,11 @@
 // caller holds the gateway's mutex.
 func (g *Gateway) heldBackRetryAfter(now time.Time, service string, heldBack placement.HeldBack) time.Duration {
 	if heldBack.Limited == 0 {
-		return heldBack.RestWait
+		return heldBack.BackoffWait
 	}
 	limitRetryAfter := g.runners.Permits().RetryAfter(now, service, heldBack.LimitWait, heldBack.Rate)
-	if heldBack.Resting > 0 {
-		return min(limitRetryAfter, heldBack.RestWait)
+	if heldBack.InBackoff > 0 {
+		return min(limitRetryAfter, heldBack.BackoffWait)
 	}
 	return limitRetryAfter
 }
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -77,11 +77,11 @@
 		Send: sendNumber, Service: query.Service, Model: query.Model, Owner: query.Owner, PromptTokens: uint32(max(query.PromptTokens, 0)),
 		Family: query.Family, Excluded: query.Excluded, Zone: query.Zone, LeftMillis: uint32(max(timeLeft.Milliseconds(), 0)),
 		MaxQueueMillis: uint32(query.MaxQueueTime.Milliseconds()),
-		TargetMillis:   uint32(query.TargetLatency.Milliseconds()), GapMillis: uint32(query.MaxEventGap.Milliseconds()),
+		TargetMillis:   uint32(query.LatencyTarget.Milliseconds()), GapMillis: uint32(query.MaxEventGap.Milliseconds()),
 		Tier: uint32(query.Rank.Tier), RouteRank: uint32(query.Rank.Route), Tenant: query.Tenant,
 		MaxTokens: uint32(max(query.MaxTokens, 0)), Ticket: query.Ticket, Suspect: query.SuspectContent,
 	}
-	for _, resting := range query.Resting {
+	for _, resting := range query.Backoffs {
 		message.Resting = append(message.Resting, resting.Runner)
 		message.RestingMillis = append(message.RestingMillis, uint32(max(resting.Remaining.Milliseconds(), 1)))
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -119,7 +119,7 @@
 		Service: message.GetService(), Model: message.GetModel(), Owner: message.GetOwner(), PromptTokens: int(message.GetPromptTokens()),
 		Family: message.GetFamily(), Excluded: message.GetExcluded(), Zone: message.GetZone(),
 		MaxQueueTime:  time.Duration(message.GetMaxQueueMillis()) * time.Millisecond,
-		TargetLatency: time.Duration(message.GetTargetMillis()) * time.Millisecond,
+		LatencyTarget: time.Duration(message.GetTargetMillis()) * time.Millisecond,
 		MaxEventGap:   time.Duration(message.GetGapMillis()) * time.Millisecond,
 		Rank:          admission.Rank{Tier: int(message.GetTier()), Route: int(message.GetRouteRank())},
 		Tenant:        message.GetTenant(), MaxTokens: int(message.GetMaxTokens()),
@@ -128,7 +128,7 @@
 	for i, runner := range message.GetResting() {
 		if i < len(message.GetRestingMillis()) {
 			remaining := time.Duration(message.GetRestingMillis()[i]) * time.Millisecond
-			query.Resting = append(query.Resting, backend.RestingRunner{Runner: runner, Remaining: remaining})
+			query.Backoffs = append(query.Backoffs, backend.RunnerBackoff{Runner: runner, Remaining: remaining})
 		}
 	}
 	for i, part := range message.GetParts() {
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -166,11 +166,11 @@
 }
 
 // restingRunners returns the runners that asked this router to back off.
-func (g *Gateway) restingRunners() []backend.RestingRunner {
+func (g *Gateway) restingRunners() []backend.RunnerBackoff {
 	now := g.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.runners.Resting(now)
+	return g.runners.Backoffs(now)
 }
 
 // sweep removes the signals of runners that have not been listed for a long time.
--- a/internal/placement/interference.go
+++ b/internal/placement/interference.go
@@ -4,7 +4,7 @@
 
 // interferenceCost returns the cost, in prompt tokens, of the mutual effects of the request and
 // the other work on the runner beyond the expected wait: the pauses that the request's prefill
-// causes in running streams, and the caller's penalty for mixing kinds of requests. It is not part
+// causes in running streams, and the penalty that the caller of Choose sets for mixing kinds of requests. It is not part
 // of the expected wait, and no request is refused because of it.
 //
 // An engine prefills a prompt in chunks between the decoding steps of its streams. A stream is
--- a/internal/placement/interference_test.go
+++ b/internal/placement/interference_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// allowedPause is the pause that clients tolerate. The tests place long prompts on a pool that
+// allowedPause is the pause that callers tolerate. The tests place long prompts on a pool that
 // also serves streams with short prompts, where each decoding step waits for the prompt chunks
 // prefilled before it.
 const allowedPause = 300 * time.Millisecond
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -32,25 +32,25 @@
 	HeldBack HeldBack
 }
 
-// HeldBack summarizes the runners that have themselves announced that they currently accept no
-// requests.
+// HeldBack summarizes the runners that currently accept no requests because they requested a
+// backoff or have reached their own rate limit.
 type HeldBack struct {
-	// Resting counts runners that asked for no requests for a while. Limited counts runners that
-	// have received as many requests as their announced rate limit allows.
-	Resting, Limited int
-	// RestWait is the time until the first resting runner accepts requests again. LimitWait is the
-	// time until the first limited runner does.
-	RestWait, LimitWait time.Duration
-	// Rate is the sum of the limits in requests per second.
+	// InBackoff counts runners that asked for no requests for a while. Limited counts runners that
+	// have received as many requests as the rate limit that they set allows.
+	InBackoff, Limited int
+	// BackoffWait is the time until the first backoff ends. LimitWait is the time until the first
+	// limited runner accepts requests again.
+	BackoffWait, LimitWait time.Duration
+	// Rate is the sum of the limits of the limited runners in requests per second.
 	Rate float64
 }
 
-// AddResting adds a runner that accepts no requests for the duration wait.
-func (h *HeldBack) AddResting(wait time.Duration) {
-	if h.Resting == 0 || wait < h.RestWait {
-		h.RestWait = wait
+// AddInBackoff adds a runner whose backoff ends after wait.
+func (h *HeldBack) AddInBackoff(wait time.Duration) {
+	if h.InBackoff == 0 || wait < h.BackoffWait {
+		h.BackoffWait = wait
 	}
-	h.Resting++
+	h.InBackoff++
 }
 
 // AddLimited adds a runner whose limit of rate requests per second allows the next request after
@@ -63,8 +63,8 @@
 	h.Rate += rate
 }
 
-// Any reports whether any runner is resting or limited.
-func (h HeldBack) Any() bool { return h.Resting+h.Limited > 0 }
+// Any reports whether any runner is in backoff or limited.
+func (h HeldBack) Any() bool { return h.InBackoff+h.Limited > 0 }
 
 // Candidate is a runner of the request's pool with its state and costs.
 type Candidate struct {
@@ -122,12 +122,12 @@
 	NoRunner
 	// Overloaded means that every runner's expected queueing time exceeds the limit of the tier.
 	Overloaded
-	// AllHeldBack means that every runner that could serve the request has announced that it
-	// currently accepts none.
+	// AllHeldBack means that every runner that could serve the request is in backoff or has
+	// reached its own rate limit.
 	AllHeldBack
 )
 
-// String returns the status text that is sent to clients.
+// String returns the status text that is sent to callers.
 func (s Status) String() string {
 	switch s {
 	case Picked:
@@ -150,7 +150,7 @@
 	Wait time.Duration
 	// QueueWait is the part of Wait that is caused by other requests on the candidate.
 	QueueWait time.Duration
-	// RetryAfter is the time after which a refused client should retry.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
@@ -166,7 +166,7 @@
 	// tieTolerance is the relative distance from the best score within which scores count as
 	// equal.
 	tieTolerance = 0.02
-	// noRunnerRetryAfter is the retry time sent to clients when no runner serves the model.
+	// noRunnerRetryAfter is the retry time sent to callers when no runner serves the model.
 	noRunnerRetryAfter = time.Second
 )
 
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -70,7 +70,7 @@
 }
 
 // PromptDigest returns a hash of the salt and the whole prompt. It identifies a refused request
-// when the client retries it.
+// when the caller retries it.
 func PromptDigest(salt Salt, prompt string) uint64 {
 	digest := xxhash.New()
 	// Writes to an xxhash digest never fail.
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -77,9 +77,9 @@
 	// lateSendDelay is the time after the third crash of a content from which sends of it count
 	// as late.
 	lateSendDelay = 3 * time.Second
-	// maxClientTries is the maximum number of times that a client sends a request whose
+	// maxCallerTries is the maximum number of times that a caller sends a request whose
 	// response is interrupted.
-	maxClientTries = 4
+	maxCallerTries = 4
 	familyCount    = 20
 	runnerSlots    = 32
 )
@@ -170,7 +170,7 @@
 	}
 	for i := range s.scenario.poisonContents {
 		if s.happens(1 / s.scenario.poisonInterval.Seconds()) {
-			s.send(&simRequest{content: ContentID{Digest: uint64(1 + i)}, poison: true, family: i % familyCount, tries: maxClientTries})
+			s.send(&simRequest{content: ContentID{Digest: uint64(1 + i)}, poison: true, family: i % familyCount, tries: maxCallerTries})
 		}
 	}
 }
@@ -298,7 +298,7 @@
 	}
 }
 
-// crash restarts a runner. Its requests are interrupted, and clients send them again.
+// crash restarts a runner. Its requests are interrupted, and callers send them again.
 func (s *simulation) crash(r *simRunner) {
 	lost := r.requests
 	r.requests, r.availableAt = nil, s.now.Add(restartDelay)
@@ -311,7 +311,7 @@
 			continue
 		}
 		s.interrupted++
-		if req.tries < maxClientTries {
+		if req.tries < maxCallerTries {
 			s.send(req)
 		}
 	}
