--- a/internal/admission/retryadvisor.go
+++ b/internal/admission/retryadvisor.go
@@ -31,8 +31,8 @@
 	newReservations []Reservation
 }
 
-// Reservation is a retry time reserved for a refused request. Schedulers send their reservations
-// to each other.
+// Reservation is a retry time reserved for a refused request. Schedulers, the routers that place
+// requests for others, send their reservations to each other.
 type Reservation struct {
 	Service string
 	Rank    Rank
--- a/internal/backend/loadsharing_test.go
+++ b/internal/backend/loadsharing_test.go
@@ -34,8 +34,8 @@
 
 // event is an action at a point of the simulated time.
 type event struct {
-	at time.Time
-	do func(now time.Time)
+	at     time.Time
+	action func(now time.Time)
 }
 
 type eventQueue []event
@@ -105,7 +105,7 @@
 	}
 	for queue.Len() > 0 {
 		next := heap.Pop(queue).(event)
-		next.do(next.at)
+		next.action(next.at)
 	}
 	slices.Sort(waits)
 	return waits[int(quantile*float64(len(waits)))]
--- a/internal/backend/nextupdates.go
+++ b/internal/backend/nextupdates.go
@@ -33,8 +33,8 @@
 )
 
 // SetRolloutTime sets the time within which all runners of a service should reach a new
-// target version. It should be well below the deadline, as orders get lost and the lease
-// changes hands.
+// target version. It should be well below the deadline, as orders may be lost and the
+// lease may pass to another router.
 func (s *Set) SetRolloutTime(within time.Duration) { s.rolloutTime = within }
 
 // MaxConcurrentUpdates returns how many of a service's runners may update at once when each
--- a/internal/backend/restart_test.go
+++ b/internal/backend/restart_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// A delayed order may load older weights than a response named before. The directory entry
+// A delayed order may load older weights than a response reported before. The directory entry
 // then shows the older version, and the runner must be ordered to update again.
 func TestDirectoryRollbackOverridesLearnedVersion(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/backend/rollout.go
+++ b/internal/backend/rollout.go
@@ -17,8 +17,8 @@
 	return version
 }
 
-// LearnVersion records the weight version named in a response of the runner, and reports
-// whether it is newer than the known one.
+// LearnVersion records the weight version reported in a response of the runner, and
+// returns whether it is newer than the known one.
 func (s *Set) LearnVersion(id, model string, version uint64) (newer bool) {
 	e := s.entries[id]
 	if e == nil || model == "" {
--- a/internal/backend/runner.go
+++ b/internal/backend/runner.go
@@ -112,7 +112,7 @@
 	prefill *prefillModel
 	// idHash is a hash of the id, 0 until first used.
 	idHash uint64
-	// learnedVersions are the weight versions named in responses, by model. They may be
+	// learnedVersions are the weight versions reported in responses, by model. They may be
 	// newer than those in the directory.
 	learnedVersions map[string]uint64
 	// signalState is what the runner reported about itself in responses, nil if nothing.
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -29,7 +29,7 @@
 	holdTimes map[string]time.Duration
 	// peers are the loads reported by other routers, by router.
 	peers map[string]*peerLoads
-	// knownIncarnations contains the ids of runners whose entries have named an
+	// knownIncarnations contains the ids of runners whose entries have contained an
 	// incarnation, including runners that are not in use now.
 	knownIncarnations map[string]bool
 	// configuredServices are the services of the current configuration, nil before one is
@@ -103,12 +103,12 @@
 }
 
 // WrittenByOther reports whether the directory entry was not written by the runner itself:
-// a runner that has once named its incarnation always does.
+// a runner that once writes its incarnation into its entry always does.
 func (s *Set) WrittenByOther(runner Runner) bool {
 	return runner.Incarnation == 0 && s.knownIncarnations[runner.ID]
 }
 
-// ForgetIncarnation drops the record that the runner has named an incarnation, once it has
+// ForgetIncarnation drops the record that the runner reports its incarnation, once it has
 // no directory entry.
 func (s *Set) ForgetIncarnation(id string) { delete(s.knownIncarnations, id) }
 
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -61,7 +61,7 @@
 }
 
 // A request must not be sent to a runner where it would queue until the weights expire.
-// Such a request began 0.6 s too late (hunt-9213-31 of gelombang-ulang).
+// In run hunt-9213-31 of gelombang-ulang such a request began 0.6 s too late.
 func TestCandidatesExcludeWeightsExpiringBeforeStart(t *testing.T) {
 	g := NewWithT(t)
 	set := NewSet("z")
--- a/internal/backend/signals.go
+++ b/internal/backend/signals.go
@@ -16,9 +16,9 @@
 // sent at the given time, and returns what is new. success is set for a complete successful
 // response.
 func (s *Set) RecordSignals(now, sent time.Time, runner Runner, signals backpressure.Signals, success bool) backpressure.Changes {
-	heard := s.signals.Observe(now, sent, runner.signalKey(), signals, success)
+	changes := s.signals.Observe(now, sent, runner.signalKey(), signals, success)
 	s.attachSignals(runner.signalKey())
-	return heard
+	return changes
 }
 
 // attachSignals points the runner's entry to its signal state.
--- a/internal/backend/streams.go
+++ b/internal/backend/streams.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// removeStream uncounts a stream that addStream counted.
+// removeStream undoes addStream when the request ends.
 func (e *entry) removeStream(send *Send) {
 	if send.responded && send.maxEventGap > 0 {
 		e.streams.count--
--- a/internal/backend/waits.go
+++ b/internal/backend/waits.go
@@ -12,7 +12,7 @@
 //
 // Routers do not exchange their waits. This was tried: on a day on which a quarter of the
 // runners was lost, all routers left every runner with a wait, the shared parts of prompts
-// were prefilled again elsewhere, and worth fell from 0.60 to 0.20.
+// were prefilled again elsewhere, and the benchmark's score (worth) fell from 0.60 to 0.20.
 func (e *entry) currentAssumedWait(now time.Time) time.Duration {
 	measured := e.measuredAssumedWait(now)
 	if e.awaitingResponse == 0 {
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -1,5 +1,6 @@
 // Package cacheindex implements one shard of the index of cached prompt blocks. The index records
-// which runners hold which anchor blocks.
+// which runners hold which anchor blocks, that is, the first block and every stride-th block of a
+// prompt (see prefix.IsAnchor).
 //
 // The index is only a hint. Its entries name the runner's incarnation, and the engine checks
 // incarnation and weight version at dispatch, so a wrong entry can cause a cache miss but never a
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
 // Package clock provides a monotonic clock that includes the time during which the machine is
 // suspended.
 //
-// CLOCK_MONOTONIC, by which time.Now compares times, stops during a suspension. Proofs, leases
-// and deadlines set by other machines would then look younger than they are. The wall clock
-// includes suspensions but may step. CLOCK_BOOTTIME includes them and never steps.
+// CLOCK_MONOTONIC, by which time.Now compares times, stops during a suspension. Proofs that
+// the configuration is current, leases, and deadlines set by other machines would then seem valid
+// for longer than they are. The wall clock includes suspensions but may step. CLOCK_BOOTTIME
+// includes them and never steps.
 package clock
 
 import (
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -175,7 +175,8 @@
 	return &RefusedError{Refusal: refusal}
 }
 
-// Cancel stops an attempt. An engine that hasn't seen the attempt bars it.
+// Cancel stops an attempt. An engine that hasn't seen the attempt refuses it from then on
+// with CodeBarred.
 func (c *Client) Cancel(ctx context.Context, address string, request *CancelRequest) error {
 	return c.postControl(ctx, address, PathCancel, request)
 }
--- a/internal/engineapi/types.go
+++ b/internal/engineapi/types.go
@@ -72,7 +72,7 @@
 }
 
 // CancelRequest stops an attempt whose output isn't needed any more. An engine that has
-// never seen the attempt bars it.
+// never seen the attempt refuses it from then on with CodeBarred.
 type CancelRequest struct {
 	Request string `json:"request"`
 	Attempt uint32 `json:"attempt"`
@@ -82,7 +82,8 @@
 type Code string
 
 // Codes of refusals. Each of them means that the refused request did not start a run of
-// the attempt.
+// the attempt. An attempt is barred if it has ended, or if the engine was asked to resume
+// or cancel it before it arrived: the engine then never runs it.
 const (
 	CodeIncarnationMismatch   Code = "incarnation_mismatch"
 	CodeWeightVersionMismatch Code = "weight_version_mismatch"
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// ReadAll reads a body of fewer than limit bytes, or of limit bytes if its length was
-// announced. Of other bodies it returns the first limit bytes, with truncated set.
+// ReadAll reads the whole body if it has fewer than limit bytes, or limit bytes and a
+// Content-Length. Of other bodies it returns the first limit bytes, with truncated set.
 func (b *Body) ReadAll(limit int64) (data []byte, truncated bool, err error) {
 	if size := b.response.ContentLength; size > 0 && size <= limit {
 		data = make([]byte, size)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -135,7 +135,7 @@
 }
 
 // CloseIdle closes the idle connections to the address, so that the next request is
-// sent on a new one. Connections in use are not affected. It is for clients whose
+// sent on a new one. Connections in use are not affected. It is for callers whose
 // request timed out: what broke its connection may have broken all others.
 func (p *Pool) CloseIdle(address string) {
 	p.mutex.Lock()
--- a/internal/lease/lease_property_test.go
+++ b/internal/lease/lease_property_test.go
@@ -162,7 +162,7 @@
 // writeOtherObject increments the store's number without a change of the lease.
 func (s *simulation) writeOtherObject(*rapid.T) { s.storeNumber++ }
 
-// copy adds a backup of the store's current state.
+// copy makes a backup of the store's current state.
 func (s *simulation) copy(*rapid.T) {
 	s.backups = append(s.backups, storeBackup{storeNumber: s.storeNumber, lease: s.lease})
 }
@@ -172,7 +172,7 @@
 	if len(s.backups) == 0 {
 		return
 	}
-	backup := s.backups[rapid.IntRange(0, len(s.backups)-1).Draw(t, "copy")]
+	backup := s.backups[rapid.IntRange(0, len(s.backups)-1).Draw(t, "backup")]
 	s.era++
 	s.storeNumber, s.lease = backup.storeNumber, backup.lease
 }
@@ -209,19 +209,19 @@
 		s := newSimulation()
 		lastHolder, lastToken := -1, storerev.Revision(0)
 		t.Repeat(map[string]func(*rapid.T){
-			"observe":      s.observeLease,
-			"observe more": s.observeLease,
-			"write":        s.sendWrite,
-			"write more":   s.sendWrite,
-			"answer":       s.completeWrite,
-			"answer more":  s.completeWrite,
-			"do late":      s.applyDelayedWrite,
-			"other write":  s.writeOtherObject,
-			"order":        s.sendOrder,
-			"deliver":      s.deliverOrder,
-			"copy":         s.copy,
-			"restore":      s.restoreBackup,
-			"advance":      s.advanceClock,
+			"observe":          s.observeLease,
+			"observe more":     s.observeLease,
+			"write":            s.sendWrite,
+			"write more":       s.sendWrite,
+			"answer":           s.completeWrite,
+			"answer more":      s.completeWrite,
+			"do delayed write": s.applyDelayedWrite,
+			"other write":      s.writeOtherObject,
+			"order":            s.sendOrder,
+			"deliver":          s.deliverOrder,
+			"create backup":    s.copy,
+			"restore":          s.restoreBackup,
+			"advance":          s.advanceClock,
 			"": func(t *rapid.T) {
 				holders := 0
 				for node, candidate := range s.candidates {
--- a/internal/namings/table.go
+++ b/internal/namings/table.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Table holds the naming history of each model by name. A router that learned late because it was
-// paused gets from the reports of others how much time older weights really have left, which is
-// more than its own observation implies. A Table is not safe for concurrent use.
+// Table holds the naming history of each model by name. A router that was paused learns of a naming
+// late. By its own observation older weights would have less time left than they really have, or
+// none; the reports of other routers tell it the real time. A Table is not safe for concurrent use.
 type Table map[string]*History
 
 // ForModel returns the history of a model and adds it if it is missing.
--- a/internal/peers/counter.go
+++ b/internal/peers/counter.go
@@ -6,9 +6,9 @@
 // intervals, so that a few reports may be lost.
 const reportLifetime = 2 * time.Second
 
-// RouterCounter counts the routers of a system. Each seed reports how many routers it accounts
-// for: itself and its followers, which are the routers that learn from it. A RouterCounter is not
-// safe for concurrent use.
+// RouterCounter counts the routers of a system. Each seed, a router named in the settings,
+// reports how many routers it accounts for: itself and its followers, which are the routers that
+// pull from it. A RouterCounter is not safe for concurrent use.
 type RouterCounter struct {
 	// reports holds the latest report of each other seed by address.
 	reports map[string]followerReport
--- a/internal/placement/interference_test.go
+++ b/internal/placement/interference_test.go
@@ -40,14 +40,14 @@
 
 func TestInterferenceGrowsWithConcurrentPrefill(t *testing.T) {
 	g := NewWithT(t)
-	idle, reading := candidate("idle"), candidate("reading")
-	for _, c := range []*Candidate{&idle, &reading} {
+	idle, prefilling := candidate("idle"), candidate("prefilling")
+	for _, c := range []*Candidate{&idle, &prefilling} {
 		c.StreamLoad = StreamLoad{Streams: 1, AllowedPause: allowedPause}
 	}
-	reading.StreamLoad.PrefillTokens = 1000
+	prefilling.StreamLoad.PrefillTokens = 1000
 	r := longRequest()
 	r.PromptTokens = 1000
-	g.Expect(interferenceCost(r, reading, ScoreWeights{Uncached: 1})).To(BeNumerically(">", 2*interferenceCost(r, idle, ScoreWeights{Uncached: 1})))
+	g.Expect(interferenceCost(r, prefilling, ScoreWeights{Uncached: 1})).To(BeNumerically(">", 2*interferenceCost(r, idle, ScoreWeights{Uncached: 1})))
 }
 
 func TestInterferenceAffectsScoreButNotExpectedWait(t *testing.T) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -154,7 +154,8 @@
 	RetryAfter time.Duration
 }
 
-// Score parameters. The first two apply to runners that have not reported their own values.
+// Score parameters. defaultPrefillRate, in prompt tokens per second, and defaultMaxRunning, in
+// concurrent sequences, apply to runners that have not reported their own values.
 const (
 	defaultPrefillRate = 20000
 	defaultMaxRunning  = 16
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -263,9 +263,9 @@
 	limit := Limit{Rate: 300, Burst: 300, Window: 8 * time.Second}
 	first, second := NewServer(start.Add(-time.Minute)), NewServer(start.Add(-time.Minute))
 	g.Expect(first.Spend(start, "t", 200, limit, 2).Granted).To(BeTrue())
-	answer := first.Spend(start, "t", 200, limit, 2)
-	g.Expect(answer.Granted).To(BeFalse())
-	g.Expect(answer.Spent).To(Equal(200.0))
+	result := first.Spend(start, "t", 200, limit, 2)
+	g.Expect(result.Granted).To(BeFalse())
+	g.Expect(result.Spent).To(Equal(200.0))
 	g.Expect(second.Spend(start, "t", 200, limit, 2).Spent).To(BeZero())
 	g.Expect(limit.Allows(400, 200)).To(BeTrue())
 	g.Expect(limit.Allows(2600, 200)).To(BeFalse())
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -99,7 +99,7 @@
 	// HealthPath is the path of the runners' health check.
 	HealthPath string
 	// MaxConnections is the maximum number of connections that one runner accepts
-	// from all of its callers together.
+	// from all of its clients together.
 	MaxConnections int
 	// Engine is nil for services without a language model.
 	Engine *Engine
