--- a/internal/backend/nextupdates.go
+++ b/internal/backend/nextupdates.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The holder of the lease orders the runners with the oldest weights to update first, a
-// bounded number at once. All routers know the target version and the versions of the
+// The router that holds the controller lease orders runners to update their weights, the
+// oldest weights first and a bounded number of runners at once. All routers know the target version and the versions of the
 // runners, so each can compute which runners are updating or next without communication.
 // Routers avoid these runners: an update of a runner without requests delays nobody.
 
@@ -33,8 +33,8 @@
 )
 
 // SetRolloutTime sets the time within which all runners of a service should reach a new
-// target version. It should be well below the deadline, as orders may be lost and the
-// lease may pass to another router.
+// target version. It should be well below the deadline of older weights, as orders may be
+// lost and the lease may pass to another router.
 func (s *Set) SetRolloutTime(within time.Duration) { s.rolloutTime = within }
 
 // MaxConcurrentUpdates returns how many of a service's runners may update at once when each
--- a/internal/backend/split.go
+++ b/internal/backend/split.go
@@ -125,9 +125,9 @@
 type slotUsage struct{ used, total int }
 
 // add counts a runner's slots, of which open requests use up to all.
-func (c *slotUsage) add(openRequests, slots int) {
-	c.used += min(openRequests, slots)
-	c.total += slots
+func (u *slotUsage) add(openRequests, slots int) {
+	u.used += min(openRequests, slots)
+	u.total += slots
 }
 
 // recordSlotUsage stores the slot usage counted during a placement.
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -38,6 +38,8 @@
 
 // Shard maps anchor hashes to holders. It is not safe for concurrent use.
 type Shard struct {
+	// holders contains only the current incarnation of each runner. Entries with any other ID
+	// are stale.
 	holders    map[holderID]Holder
 	idByRunner map[string]holderID
 	lastID     holderID
@@ -47,6 +49,7 @@
 	firstHolder  map[uint64]holderID
 	otherHolders map[uint64][]holderID
 
+	// unconfirmed holds the provisional entries with the times at which they expire.
 	unconfirmed map[provisionalEntry]time.Time
 	// confirmTimeout is how long a provisional entry is kept without an event of the engine.
 	confirmTimeout  time.Duration
--- a/internal/claim/claim_property_test.go
+++ b/internal/claim/claim_property_test.go
@@ -34,29 +34,36 @@
 	issuedAt   time.Time
 	assignment int
 	round      *Round
-	sent       []bool
-	answered   []bool
-	won        bool
-	done       bool
+	// sent and answered are indexed by the holders of the assignment: whether the claim was
+	// delivered, and whether a verdict or a timeout was recorded.
+	sent     []bool
+	answered []bool
+	won      bool
+	done     bool
 }
 
 // holderChange is a change of holders in progress.
 type holderChange struct {
+	// from is the number of the assignment that is replaced, and results are indexed by its
+	// holders.
 	from    int
 	results []SealResult
-	next    []assignedHolder
+	// next are the proposed holders.
+	next []assignedHolder
 }
 
 // simulation runs the whole protocol: the routers, the assignments stored on the platform, and
 // the attempts. The choice of the next action determines whether messages are delivered,
 // delayed, lost or repeated.
 type simulation struct {
-	now         time.Time
-	routers     []*simRouter
+	now     time.Time
+	routers []*simRouter
+	// assignments are indexed by assignment number; 0 stands for none.
 	assignments [][]assignedHolder
 	attempts    []*simAttempt
 	changes     []*holderChange
-	winners     map[string]string
+	// winners holds the name of the attempt that won each key.
+	winners map[string]string
 }
 
 func newSimulation(t *rapid.T) *simulation {
--- a/internal/claim/handover.go
+++ b/internal/claim/handover.go
@@ -10,7 +10,9 @@
 	// Ended is true if the holder's process is known to have ended: its node runs a newer
 	// incarnation, or is no longer in the machine list. A holder that merely does not respond
 	// has not ended.
-	Ended   bool
+	Ended bool
+	// Sealed is true if the holder was sealed. Horizon and Records are then those that Seal
+	// returned.
 	Sealed  bool
 	Horizon time.Time
 	Records []Record
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -69,8 +69,10 @@
 
 // Record is one remembered claim.
 type Record struct {
-	Key      string
-	Attempt  string
+	Key string
+	// Attempt is the name of the attempt that owns the key.
+	Attempt string
+	// IssuedAt is the issue time of the key.
 	IssuedAt time.Time
 }
 
@@ -83,8 +85,10 @@
 // Holder is the state of one claim holder. It is not safe for concurrent use.
 type Holder struct {
 	assignment uint64
-	sealed     bool
-	serving    bool
+	// sealed is true once Seal was called for the assignment; no more claims are granted then.
+	sealed bool
+	// serving is true if Serve was called for the assignment.
+	serving bool
 	// installed is true if the records were taken over with Install, and false if they started
 	// empty.
 	installed bool
--- a/internal/fairshare/excess.go
+++ b/internal/fairshare/excess.go
@@ -69,9 +69,9 @@
 		return
 	}
 	share := fairShare(tenants)
-	for _, s := range tenants {
-		if excess := t.excessOf(s.used, share*s.weight); excess > 1 {
-			p.excess[s.tenant] = excess
+	for _, total := range tenants {
+		if excess := t.excessOf(total.used, share*total.weight); excess > 1 {
+			p.excess[total.tenant] = excess
 		}
 	}
 }
@@ -87,8 +87,8 @@
 	refused := 0.0
 	for _, remote := range p.remote {
 		decay := t.decayFactor(now, remote.receivedAt)
-		for _, s := range remote.tenants {
-			refused += s.refused * decay
+		for _, reported := range remote.tenants {
+			refused += reported.refused * decay
 		}
 	}
 	return refused
@@ -128,8 +128,8 @@
 	others := map[string]usage{}
 	for _, remote := range p.remote {
 		decay := t.decayFactor(now, remote.receivedAt)
-		for tenant, s := range remote.tenants {
-			others[tenant] = others[tenant].plus(s.scaled(decay))
+		for tenant, reported := range remote.tenants {
+			others[tenant] = others[tenant].plus(reported.scaled(decay))
 		}
 	}
 	tenants := make([]tenantTotal, 0, len(p.local)+len(others))
@@ -142,8 +142,8 @@
 		}
 		tenants = append(tenants, tenantTotal{own, tenant, u.weight})
 	}
-	for tenant, s := range others {
-		tenants = append(tenants, tenantTotal{s, tenant, t.weight(tenant)})
+	for tenant, reported := range others {
+		tenants = append(tenants, tenantTotal{reported, tenant, t.weight(tenant)})
 	}
 	return tenants
 }
@@ -157,17 +157,17 @@
 // share.
 func fairShare(tenants []tenantTotal) float64 {
 	total := 0.0
-	for _, s := range tenants {
-		total += s.used
+	for _, tenant := range tenants {
+		total += tenant.used
 	}
 	share := 0.0
 	for {
 		remaining, remainingWeight := total, 0.0
-		for _, s := range tenants {
-			if demand := s.demand(); demand <= share*s.weight {
+		for _, tenant := range tenants {
+			if demand := tenant.demand(); demand <= share*tenant.weight {
 				remaining -= demand
 			} else {
-				remainingWeight += s.weight
+				remainingWeight += tenant.weight
 			}
 		}
 		if remainingWeight == 0 {
--- a/internal/fairshare/simulation_test.go
+++ b/internal/fairshare/simulation_test.go
@@ -80,13 +80,13 @@
 
 type simEventQueue []simEvent
 
-func (h simEventQueue) Len() int           { return len(h) }
-func (h simEventQueue) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h simEventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *simEventQueue) Push(x any)        { *h = append(*h, x.(simEvent)) }
-func (h *simEventQueue) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (q simEventQueue) Len() int           { return len(q) }
+func (q simEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q simEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *simEventQueue) Push(x any)        { *q = append(*q, x.(simEvent)) }
+func (q *simEventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
--- a/internal/fairshare/usage.go
+++ b/internal/fairshare/usage.go
@@ -86,16 +86,16 @@
 		if own.demand() < minUsage {
 			continue
 		}
-		s := tenantTotal{own, tenant, u.weight}
-		if len(top) == maxReportedTenants && byWeightedDemand(s, top[maxReportedTenants-1]) > 0 {
+		total := tenantTotal{own, tenant, u.weight}
+		if len(top) == maxReportedTenants && byWeightedDemand(total, top[maxReportedTenants-1]) > 0 {
 			continue
 		}
-		position, _ := slices.BinarySearchFunc(top, s, byWeightedDemand)
-		top = slices.Insert(top, position, s)
+		position, _ := slices.BinarySearchFunc(top, total, byWeightedDemand)
+		top = slices.Insert(top, position, total)
 		top = top[:min(len(top), maxReportedTenants)]
 	}
-	for _, s := range top {
-		report.Tenants = append(report.Tenants, TenantUsage{Tenant: s.tenant, Used: s.used, Refused: s.refused})
+	for _, total := range top {
+		report.Tenants = append(report.Tenants, TenantUsage{Tenant: total.tenant, Used: total.used, Refused: total.refused})
 	}
 	return report
 }
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -159,13 +159,16 @@
 
 // Body is the body of a response. It must be closed.
 type Body struct {
-	pool        *Pool
-	conn        *conn
-	response    *http.Response
+	pool     *Pool
+	conn     *conn
+	response *http.Response
+	// writeResult receives the result of writing the request.
 	writeResult chan error
-	stopCancel  func() bool
-	readToEnd   bool
-	closed      bool
+	// stopCancel detaches the connection from the context of the request. It returns false
+	// if the context has ended, which closes the connection.
+	stopCancel func() bool
+	readToEnd  bool
+	closed     bool
 }
 
 // Read implements io.Reader. An error other than io.EOF means that the body is
--- a/internal/placement/pending.go
+++ b/internal/placement/pending.go
@@ -8,9 +8,9 @@
 
 // pendingPlacement is one placement that the runner's load report does not include yet.
 type pendingPlacement struct {
-	placedAt time.Time
-	class    int
-	tokens   int
+	placedAt      time.Time
+	priorityClass int
+	tokens        int
 }
 
 // maxPendingAge bounds how long a placement is kept for a runner that sends no load reports.
@@ -21,7 +21,8 @@
 type PendingPlacements struct {
 	// transitTime is how long a placed request takes to reach the engine.
 	transitTime time.Duration
-	entries     map[string][]pendingPlacement
+	// entries holds the placements by runner, oldest first.
+	entries map[string][]pendingPlacement
 }
 
 // NewPendingPlacements returns an empty PendingPlacements. A load report is taken to include the
@@ -32,7 +33,7 @@
 
 // Add records that uncached prompt tokens were placed on a runner.
 func (p *PendingPlacements) Add(now time.Time, runner string, priority, tokens int) {
-	entry := pendingPlacement{placedAt: now, class: fleet.PriorityClass(priority), tokens: tokens}
+	entry := pendingPlacement{placedAt: now, priorityClass: fleet.PriorityClass(priority), tokens: tokens}
 	p.entries[runner] = append(p.entries[runner], entry)
 }
 
@@ -58,7 +59,7 @@
 	p.entries[runner] = unreported
 	class := fleet.PriorityClass(priority)
 	for _, entry := range unreported {
-		if entry.class <= class {
+		if entry.priorityClass <= class {
 			tokens += entry.tokens
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,7 +19,8 @@
 	Adapter       string
 	WeightVersion string
 	PromptTokens  int
-	MaxTokens     int
+	// MaxTokens is the maximum number of tokens that the request generates.
+	MaxTokens int
 	// Priority is the priority of the tenant's tier; 0 is the highest.
 	Priority int
 	// MaxWait is the longest expected queueing time at which the request is accepted.
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -25,7 +25,8 @@
 	// Family selects the index shard of the prompt.
 	Family uint64
 	// Anchors are the indexed blocks of the prompt in order of increasing depth.
-	Anchors     []prefix.Anchor
+	Anchors []prefix.Anchor
+	// BlockTokens is the number of prompt tokens in one cache block.
 	BlockTokens int
 	// Ticket identifies the request if it is refused and retried. It is the digest of the salt and
 	// the whole prompt.
--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -46,7 +46,7 @@
 }
 
 // freeCapacity returns how many more followers the relay can serve. It may be negative.
-func (a *relayState) freeCapacity() int { return a.capacity - a.followers - a.assigned }
+func (r *relayState) freeCapacity() int { return r.capacity - r.followers - r.assigned }
 
 // NewAssigner returns an assigner without relays.
 func NewAssigner() *Assigner { return &Assigner{relays: map[string]map[string]*relayState{}} }
