--- a/internal/admission/loadshedder.go
+++ b/internal/admission/loadshedder.go
@@ -24,7 +24,7 @@
 type Request struct {
 	Service string
 	Rank    Rank
-	// LatencyTarget is the longest time until the first event of an answer that counts as on time;
+	// LatencyTarget is the longest time until the first event of a response that counts as on time;
 	// 0 means no target.
 	LatencyTarget time.Duration
 	// MaxQueue is the request's own bound on its expected queueing time, as returned by
--- a/internal/admission/retryadvisor.go
+++ b/internal/admission/retryadvisor.go
@@ -11,7 +11,7 @@
 	// retry. A caller that is given a longer retry time retries then all the same.
 	retryWaitShare = 1.0 / 3
 	// maxReservationShare is the share of the latency target within which a reserved time must
-	// lie; the rest is needed for the answer. A caller that retries later is late in any case and
+	// lie; the rest is needed for the response. A caller that retries later is late in any case and
 	// would take capacity from one that is not.
 	maxReservationShare = 0.6
 	// maxRetryAfter is the longest retry time given to callers with much time left. After a few
--- a/internal/admission/shedding.go
+++ b/internal/admission/shedding.go
@@ -34,11 +34,11 @@
 }
 
 // DrawMaxQueue draws the longest expected queueing time at which a request is still sent to a
-// runner; a request that would queue for longer is refused at once. The target is the time within
-// which an answer counts as on time; 0 sets no bound.
+// runner; a request that would queue for longer is refused at once. The target is the route's
+// latency target; 0 sets no bound.
 //
-// If the load exceeds the runners' capacity, queues grow until all answers are late, while
-// refusing the surplus keeps the other answers in time. The bound is random so that the refused
+// If the load exceeds the runners' capacity, queues grow until all responses are late, while
+// refusing the surplus keeps the other responses in time. The bound is random so that the refused
 // share grows smoothly with the queue. A fixed bound would alternate between admitting everything
 // and nothing, and would starve the kind of request with the lowest bound.
 func DrawMaxQueue(target time.Duration, rank Rank, random *rand.Rand) time.Duration {
--- a/internal/backend/loads.go
+++ b/internal/backend/loads.go
@@ -4,7 +4,7 @@
 
 // Load is the open work that one router has placed on a runner.
 type Load struct {
-	// Tokens is the number of prompt tokens of requests without a first response, and
+	// Tokens is the number of prompt tokens of requests whose response has not begun, and
 	// Requests the number of all open requests.
 	Tokens   int
 	Requests int
--- a/internal/backend/placedsends.go
+++ b/internal/backend/placedsends.go
@@ -23,8 +23,8 @@
 const placedSweepInterval = time.Second
 
 // PlacedSends holds the open requests that this router has placed on behalf of other
-// routers, which report first responses and outcomes back to it. A request without a
-// reported end is dropped at its deadline, as its router may have died. The set counts
+// routers, which report back when responses begin and how requests end. A request without
+// a reported end is dropped at its deadline, as its router may have died. The set counts
 // these requests like the router's own. It is not safe for concurrent use.
 type PlacedSends struct {
 	set       *Set
--- a/internal/backend/prefill.go
+++ b/internal/backend/prefill.go
@@ -4,18 +4,18 @@
 
 // Parameters of the prefill model.
 const (
-	// prefillSampleWeight is the weight of one first response in the running means. A
-	// service with a hundred requests per second follows a change of its runners within a
+	// prefillSampleWeight is the weight of one sample in the running means. With a hundred
+	// requests per second, the model of a service follows a change of its runners within a
 	// few seconds.
 	prefillSampleWeight = 0.005
-	// minPrefillSamples is how many first responses are needed before the learned speed
-	// replaces the assumed one: the samples must cover short and long prompts.
+	// minPrefillSamples is how many samples are needed before the learned speed replaces
+	// the assumed one: they must cover short and long prompts.
 	minPrefillSamples = 100
 	// maxPrefillRateRatio bounds how many times faster or slower than the assumed speed the
 	// learned one may be, since a wrong speed would send all requests to a few runners.
 	maxPrefillRateRatio = 3.0
-	// prefillOutlierFactor is how many mean errors a first response may deviate from the
-	// expected time. A larger deviation is caused by a fetch, a wait or a fault, not by the
+	// prefillOutlierFactor is how many mean errors a sample may deviate from the expected
+	// time. A larger deviation is caused by a fetch, a wait or a fault, not by the
 	// prefill.
 	prefillOutlierFactor = 4.0
 	// minPromptDeviation is the minimum standard deviation of prompt lengths, in tokens, at
@@ -23,9 +23,10 @@
 	minPromptDeviation = 500.0
 )
 
-// prefillModel estimates the time from the send to the first response of requests that do
-// not queue at a service's runners. It is a linear regression with exponentially weighted
-// means: a constant overhead plus a time per prompt token. Times are in seconds.
+// prefillModel estimates the time from the send to the beginning of the response for
+// requests that do not queue at a service's runners. Each such request is one sample. The
+// model is a linear regression with exponentially weighted means: a constant overhead plus
+// a time per prompt token. Times are in seconds.
 type prefillModel struct {
 	samples int
 	// meanTokens and meanSeconds are running means, variance is that of the tokens,
@@ -34,7 +35,7 @@
 	meanTokens, meanSeconds, variance, covariance, meanError float64
 }
 
-// record adds the first response of a request that did not queue.
+// record adds the sample of a request that did not queue.
 func (m *prefillModel) record(tokens int, elapsed time.Duration) {
 	x, y := float64(tokens), elapsed.Seconds()
 	deviation := max(y-m.expectedSeconds(x), m.expectedSeconds(x)-y)
@@ -63,8 +64,8 @@
 	return min(max(m.covariance/m.variance, assumed/maxPrefillRateRatio), assumed*maxPrefillRateRatio)
 }
 
-// overheadSeconds returns the part of the time to the first response that does not depend
-// on the prompt.
+// overheadSeconds returns the part of the time until the response begins that does not
+// depend on the prompt.
 func (m *prefillModel) overheadSeconds() float64 {
 	if m == nil || m.samples < minPrefillSamples {
 		return 0
@@ -76,8 +77,8 @@
 	return m.overheadSeconds() + m.secondsPerToken()*tokens
 }
 
-// firstResponseTime returns the expected time to the first response of a request that does
-// not queue.
+// firstResponseTime returns the expected time from the send until the response begins, for
+// a request that does not queue.
 func (m *prefillModel) firstResponseTime(tokens int) time.Duration {
 	return time.Duration(m.expectedSeconds(float64(tokens)) * float64(time.Second))
 }
--- a/internal/backend/prefill_test.go
+++ b/internal/backend/prefill_test.go
@@ -9,7 +9,7 @@
 )
 
 // The simulated runners of different hardware prefill 30,000 to 70,000 tokens per second,
-// and a first response takes another 110 ms. A tenth of the responses is delayed by other
+// and a response begins another 110 ms later. A tenth of the responses is delayed by other
 // causes.
 const firstResponseOverhead = 110 * time.Millisecond
 
--- a/internal/backend/runner.go
+++ b/internal/backend/runner.go
@@ -81,8 +81,8 @@
 	Runner
 	// inFlight counts this router's open requests at the runner.
 	inFlight int
-	// pendingTokens is the number of prompt tokens of this router's requests without a
-	// first response.
+	// pendingTokens is the number of prompt tokens of this router's requests whose response
+	// has not begun.
 	pendingTokens int
 	// connectFailures counts consecutive failures to reach the runner.
 	connectFailures int
@@ -98,9 +98,9 @@
 	// learnedWait is the same with the learned prefill speed. It is used to choose runners.
 	learnedWait   time.Duration
 	learnedWaitAt time.Time
-	// awaitingResponse counts this router's requests without a first response. lastProgress
-	// is when one of them last got its first response or, if later, when the first of them
-	// was sent.
+	// awaitingResponse counts this router's requests whose response has not begun.
+	// lastProgress is when a response last began or, if later, when the first of these
+	// requests was sent.
 	awaitingResponse int
 	lastProgress     time.Time
 	// streams counts this router's requests that have begun to respond and have a bound on
--- a/internal/backend/sends.go
+++ b/internal/backend/sends.go
@@ -9,8 +9,8 @@
 	runner string
 	// entry is the runner incarnation that the request was sent to, nil if it was unknown.
 	entry *entry
-	// tokens is the number of prompt tokens that the runner has to prefill before its first
-	// response.
+	// tokens is the number of prompt tokens that the runner has to prefill before its
+	// response begins.
 	tokens    int
 	sentAt    time.Time
 	responded bool
@@ -44,7 +44,7 @@
 }
 
 // Tokens returns the number of prompt tokens that the runner had to prefill before its
-// first response.
+// response began.
 func (s *Send) Tokens() int { return s.tokens }
 
 // SentAt returns when the request was placed on the runner.
@@ -122,21 +122,21 @@
 	}
 }
 
-// isPrefillIdle reports whether the runner is known and has no request without a first
-// response, as far as this router and its peers know.
+// isPrefillIdle reports whether the runner is known and has begun to respond to all of its
+// requests, as far as this router and its peers know.
 func (s *Set) isPrefillIdle(now time.Time, id string) bool {
 	e := s.entries[id]
 	return e != nil && e.awaitingResponse == 0 && s.peerLoad(now, id).Tokens == 0
 }
 
-// markResponded records the first response of the request.
+// markResponded records that the runner has begun to respond to the request.
 func (e *entry) markResponded(now time.Time, send *Send) {
 	send.responded = true
 	e.removePending(send)
 	e.lastProgress = now
 }
 
-// removePending removes the send from the requests without a first response.
+// removePending removes the send from the requests whose response has not begun.
 func (e *entry) removePending(send *Send) {
 	e.pendingTokens = max(e.pendingTokens-send.tokens, 0)
 	e.awaitingResponse = max(e.awaitingResponse-1, 0)
--- a/internal/backend/waits.go
+++ b/internal/backend/waits.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// maxStall is how long a runner may go without a first response, beyond the prefill of its
-// pending tokens, before this counts as a wait.
+// maxStall is how long a runner may begin no response, beyond the prefill of its pending
+// tokens, before this counts as a wait.
 const maxStall = 100 * time.Millisecond
 
 // currentAssumedWait returns the wait of this router's requests at the runner, at the
 // assumed prefill speed. It is the larger of the decayed measured wait and the time for
-// which pending requests have gone without any first response.
+// which requests have been pending without the beginning of any response.
 //
 // Routers do not exchange their waits. This was tried: on a day on which a quarter of the
 // runners was lost, all routers left every runner with a wait, the shared parts of prompts
@@ -21,8 +21,8 @@
 	return max(measured, now.Sub(e.lastProgress)-assumedPrefillTime(e.pendingTokens)-maxStall)
 }
 
-// measuredAssumedWait returns the decayed wait of this router's requests before their first
-// responses.
+// measuredAssumedWait returns the decayed wait of this router's requests before their
+// responses began.
 func (e *entry) measuredAssumedWait(now time.Time) time.Duration {
 	return decayedTime(e.assumedWait, now.Sub(e.assumedWaitAt))
 }
--- a/internal/fairshare/simulation_test.go
+++ b/internal/fairshare/simulation_test.go
@@ -15,7 +15,7 @@
 	testPool  = Pool{Service: "s"}
 )
 
-// Parameters of the simulated load. Callers want an answer within half a second, wait up to 15 s
+// Parameters of the simulated load. Callers want a response within half a second, wait up to 15 s
 // and retry once after a refusal. Requests cost 4,000 prompt tokens on average, with a long tail.
 const (
 	target          = 500 * time.Millisecond
--- a/internal/lease/lease_property_test.go
+++ b/internal/lease/lease_property_test.go
@@ -31,7 +31,7 @@
 	lease       storedLease
 	backups     []storeBackup
 	candidates  []*Candidate
-	// pendingWrites are the writes whose nodes wait for the answer, by node, and
+	// pendingWrites are the writes whose nodes wait for the response, by node, and
 	// delayedWrites those that no node waits for any more. The store has applied
 	// none of them yet.
 	pendingWrites map[int]conditionalWrite
@@ -89,7 +89,7 @@
 	return Observation{Exists: s.lease.number > 0, Revision: s.revision(t, s.lease.number), Spec: s.lease.spec}
 }
 
-// observeLease makes a node read the lease, unless it waits for the answer to a write.
+// observeLease makes a node read the lease, unless it waits for the response to a write.
 func (s *simulation) observeLease(t *rapid.T) {
 	node := s.pickNode(t)
 	if _, pending := s.pendingWrites[node]; !pending {
@@ -119,7 +119,7 @@
 	s.pendingWrites[node] = conditionalWrite{sentAt: s.now, action: action, expected: candidate.LastObservation(), proposal: candidate.Proposal(action)}
 }
 
-// completeWrite makes the store apply and answer a pending write. The answer may be
+// completeWrite makes the store apply and answer a pending write. The response may be
 // lost, and the write may be applied later or never.
 func (s *simulation) completeWrite(t *rapid.T) {
 	node := s.pickNode(t)
--- a/internal/lease/restore_test.go
+++ b/internal/lease/restore_test.go
@@ -66,5 +66,5 @@
 
 	sameEra := c.Proposal(Acquire)
 	c.Observe(now, Observation{Exists: true, Revision: newRevision(t, 2, 10), Spec: sameEra})
-	g.Expect(c.Next(now)).To(Equal(Acquire), "the write was sent and applied in the same era, and only its answer was lost")
+	g.Expect(c.Next(now)).To(Equal(Acquire), "the write was sent and applied in the same era, and only the response was lost")
 }
--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -3,10 +3,10 @@
 import "time"
 
 // A seed with many followers assigns most of them to another router of their zone, a relay, which
-// pulls from the seed and answers them. A relay holds no lease and needs no agreement: it is a
-// relay as long as it pulls from the seed and the seed assigns others to it. Several relays in one
-// zone do no harm. A relay that stops pulling is dropped within relayTimeout. Its followers then
-// pull from the seeds again, and one of them becomes the next relay.
+// pulls from the seed and responds to their pulls. A relay holds no lease and needs no agreement:
+// it is a relay as long as it pulls from the seed and the seed assigns others to it. Several relays
+// in one zone do no harm. A relay that stops pulling is dropped within relayTimeout. Its followers
+// then pull from the seeds again, and one of them becomes the next relay.
 
 const (
 	// relayTimeout is how long a relay stays known after its last pull. Relays pull every 0.15 to
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -56,11 +56,11 @@
 	Kind       Kind
 	// Timeout is the longest time that a request may take; 0 means no limit.
 	Timeout time.Duration
-	// LatencyTarget is the longest time until the first event of an answer that
+	// LatencyTarget is the longest time until the first event of a response that
 	// counts as on time; 0 means no target.
 	LatencyTarget time.Duration
-	// MaxEventGap is the longest pause between two events of an answer that counts as
-	// on time; 0 means no target.
+	// MaxEventGap is the longest pause between two events of a response that counts
+	// as on time; 0 means no target.
 	MaxEventGap time.Duration
 	// Priority orders requests of tenants of the same priority; 0 is highest.
 	Priority int
