--- a/internal/backend/placedsends.go
+++ b/internal/backend/placedsends.go
@@ -23,8 +23,8 @@
 const placedSweepInterval = time.Second
 
 // PlacedSends holds the open requests that this router has placed on behalf of other
-// routers, which report first responses and outcomes back to it. A request without a
-// reported end is dropped at its deadline, as its router may have died. The set counts
+// routers, which report back when responses begin and how requests end. A request without
+// a reported end is dropped at its deadline, as its router may have died. The set counts
 // these requests like the router's own. It is not safe for concurrent use.
 type PlacedSends struct {
 	set       *Set
@@ -87,11 +87,11 @@
 	}
 }
 
-// AvoidRunner makes all requests avoid the request's runner for a while, after the runner
-// asked the sending router to send it none.
-func (p *PlacedSends) AvoidRunner(now time.Time, key SendKey, rest time.Duration) {
+// AvoidRunner makes all requests avoid the request's runner for the duration, after the
+// runner requested a backoff from the sending router.
+func (p *PlacedSends) AvoidRunner(now time.Time, key SendKey, duration time.Duration) {
 	if placed := p.sends[key]; placed != nil {
-		p.set.AvoidFor(now, placed.send, rest)
+		p.set.AvoidFor(now, placed.send, duration)
 	}
 }
 
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -29,7 +29,7 @@
 	holdTimes map[string]time.Duration
 	// peers are the loads reported by other routers, by router.
 	peers map[string]*peerLoads
-	// knownIncarnations contains the ids of runners whose entries have named an
+	// knownIncarnations contains the ids of runners whose entries have contained an
 	// incarnation, including runners that are not in use now.
 	knownIncarnations map[string]bool
 	// configuredServices are the services of the current configuration, nil before one is
@@ -44,7 +44,7 @@
 	signals *backpressure.Table
 	// permits is this router's part of the rate limits that runners set.
 	permits *backpressure.Permits
-	// rolloutTime is the time within which all runners of a service should reach a new
+	// rolloutTime is the time within which all runners of a service should have a new
 	// target version.
 	rolloutTime time.Duration
 }
@@ -103,12 +103,12 @@
 }
 
 // WrittenByOther reports whether the directory entry was not written by the runner itself:
-// a runner that has once named its incarnation always does.
+// a runner that once writes its incarnation into its entry always does.
 func (s *Set) WrittenByOther(runner Runner) bool {
 	return runner.Incarnation == 0 && s.knownIncarnations[runner.ID]
 }
 
-// ForgetIncarnation drops the record that the runner has named an incarnation, once it has
+// ForgetIncarnation drops the record that the runner reports its incarnation, once it has
 // no directory entry.
 func (s *Set) ForgetIncarnation(id string) { delete(s.knownIncarnations, id) }
 
@@ -163,7 +163,7 @@
 	Draining State = iota
 	// Updating runners load new weights on this router's order.
 	Updating
-	// Avoided runners recently failed, refused a request or asked for a rest, and are used
+	// Avoided runners recently failed, refused a request or requested a backoff, and are used
 	// last. Their state is reported as "set aside".
 	Avoided
 	// Limited runners get no more requests than the rate limit that they set.
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -1,5 +1,6 @@
 // Package cacheindex implements one shard of the index of cached prompt blocks. The index records
-// which runners hold which anchor blocks.
+// which runners hold which anchor blocks, that is, the first block and every stride-th block of a
+// prompt (see prefix.IsAnchor).
 //
 // The index is only a hint. Its entries name the runner's incarnation, and the engine checks
 // incarnation and weight version at dispatch, so a wrong entry can cause a cache miss but never a
@@ -37,6 +38,8 @@
 
 // Shard maps anchor hashes to holders. It is not safe for concurrent use.
 type Shard struct {
+	// holders contains only the current incarnation of each runner. Entries with any other ID
+	// are stale.
 	holders    map[holderID]Holder
 	idByRunner map[string]holderID
 	lastID     holderID
@@ -46,6 +49,7 @@
 	firstHolder  map[uint64]holderID
 	otherHolders map[uint64][]holderID
 
+	// unconfirmed holds the provisional entries with the times at which they expire.
 	unconfirmed map[provisionalEntry]time.Time
 	// confirmTimeout is how long a provisional entry is kept without an event of the engine.
 	confirmTimeout  time.Duration
