--- a/hack/mutants.sh
+++ b/hack/mutants.sh
@@ -61,8 +61,8 @@
 mutant "7 all runners load at once" internal/rollout/rollout.go 's/loading >= limits.MaxLoading \|\| \(!unloaded && serving-1 < minServing\)/loading > 999 || minServing < 0/' ./test/prove -ginkgo.focus "within the pool"
 mutant "8 contents are never quarantined" internal/gateway/suspects.go 's/return s.detector.Evaluate\(now, content\)/return quarantine.Status{}/' ./internal/gateway -run TestPoisonRequestIsQuarantined
 mutant "8 every lost connection counts as a crash" internal/gateway/runnerends.go 's/liveness := d.probe\(runner\)/liveness := max(d.probe(runner), RunnerEnded)/' ./internal/gateway -run TestCrashIsDistinguishedFromLostConnection
-mutant "8 quarantines are not stored" internal/gateway/keptquarantines.go 's/minStoredCrashes = 2/minStoredCrashes = 99/' ./internal/gateway -run 'TestQuarantineSurvivesLossOfAllRouters|TestStoredQuarantinesAreRead'
-mutant "8 routers do not report crashes to each other" internal/gateway/newsoutbox.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestQuarantineReachesAllRouters
+mutant "8 quarantines are not stored" internal/gateway/storedquarantines.go 's/minStoredCrashes = 2/minStoredCrashes = 99/' ./internal/gateway -run 'TestQuarantineSurvivesLossOfAllRouters|TestStoredQuarantinesAreRead'
+mutant "8 routers do not report crashes to each other" internal/gateway/broadcaster.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestQuarantineReachesAllRouters
 mutant "8 runners that crash together quarantine contents" internal/quarantine/record.go 's/crash.SentAt.After\(crashes\[0\].DetectedAt\)/true/' ./internal/quarantine
 mutant "9 the clock stops during suspensions" internal/clock/clock.go 's/return monotonic.Add\(time.Duration\(c.suspended.Load\(\)\)\)/return monotonic/' ./internal/clock
 mutant "10 a limited runner needs no permit" internal/backend/signals.go 's/\(!e.signalState.IsLimited\(\) \|\| permit.Valid\(now\)\)/true/' ./internal/backend -run 'SignalsAreRespected|PermitAllows'
@@ -71,14 +71,14 @@
 mutant "10 any response lifts a rate limit" internal/backpressure/record.go 's/r.LimitLiftedAt.Before\(r.LimitReportedAt.Add\(liftMargin\)\)/!r.LimitLiftedAt.After(r.LimitReportedAt)/' ./internal/backpressure
 mutant "10 only the directory tells which runners leave" internal/backend/signals.go 's/e.Draining \|\| e.signalState.IsLeaving\(\)/e.Draining/' ./internal/gateway -run 'Leaving'
 mutant "10 runners in backoff get requests" internal/backend/signals.go 's/!e.signalState.InBackoff\(now\) && //' ./internal/backend -run 'SignalsAreRespected'
-mutant "10 routers do not report runners' signals to each other" internal/gateway/newsoutbox.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestSignalsReachAllRouters
+mutant "10 routers do not report runners' signals to each other" internal/gateway/broadcaster.go 's/schedulers.otherSchedulers\(\), forSeeds/schedulers.otherSchedulers()[:0], forSeeds/' ./internal/gateway -run TestSignalsReachAllRouters
 mutant "11 revisions ignore the era" internal/storerev/storerev.go 's/\(era-FirstEra\)<<numberBits \| number/number/' ./internal/storerev
 mutant "11 watches of another era are accepted" internal/gateway/follow.go 's/response.revision.Era\(\) > revision.Era\(\)/false/' ./internal/gateway -run ChangesWithReusedRevisions
 mutant "11 a restored store overwrites newer states" internal/gateway/newera.go 's/kind != RunnerObjects \|\| newEra \{/false {/' ./internal/gateway -run CallersAreServedDuringStoreRestore
-mutant "11 runners that a restored store lacks are dropped" internal/gateway/newera.go 's/kept := c.missingObjects\(kind, delta\)/kept := c.missingObjects(kind, delta)[:0]/' ./internal/gateway -run RunnersMissingFromBackupStayInUse
+mutant "11 runners that a restored store lacks are dropped" internal/gateway/newera.go 's/missing := c.missingObjects\(kind, delta\)/missing := c.missingObjects(kind, delta)[:0]/' ./internal/gateway -run RunnersMissingFromBackupStayInUse
 mutant "11 a lost lease is acquired at once" internal/lease/lease.go 's/now.Before\(c.priorEraLeaseExpiry\)/false/' ./internal/lease
 mutant "11 lease writes count across eras" internal/lease/lease.go 's/if !sameEra \{/if false \&\& !sameEra {/' ./internal/lease
-mutant "11 lost quarantines are not stored again" internal/gateway/keptquarantines.go 's/\t\tq.queueAll\(\)\n//' ./internal/gateway -run QuarantinesLostByStore
+mutant "11 lost quarantines are not stored again" internal/gateway/storedquarantines.go 's/\t\tq.queueAll\(\)\n//' ./internal/gateway -run QuarantinesLostByStore
 mutant "11 starting routers trust a restored store" internal/gateway/statetransfer.go 's/if era == storerev.FirstEra \{/if era >= storerev.FirstEra {/' ./internal/gateway -run RouterStartedInNewEraLearnsNewerState
 mutant "11 routers transfer state that they have only from the store" internal/gateway/statetransfer.go 's/ \|\| answer.GetStoreOnly\(\)//; s/ \|\| answer.StoreOnly//' ./internal/gateway -run SeedsStartedTogetherInNewEra
 mutant "11 newer states at listed revisions are ignored" internal/gateway/statetransfer.go 's/case found \&\& /case false \&\& found \&\& /' ./internal/gateway -run LearnsFromLateSeeds
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -28,7 +28,7 @@
 // held.
 func (c *call) chooseBackup(now time.Time, runner backend.Runner) {
 	c.backup = backend.Runner{}
-	service := c.view.table.Service(c.service)
+	service := c.config.table.Service(c.service)
 	if !c.gateway.settings.CopyRuns || c.route.Kind != routing.Streaming || c.route.Resumable {
 		return
 	}
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -122,14 +122,14 @@
 			}
 			preferred.SetBehaviour(runnerstand.Pauses)
 			runs, arrivals := len(preferred.Runs()), backup.ArrivalCount()
-			answers := make(chan answer, 1)
-			go func() { answers <- r.call("/once/x", withLongPrompt) }()
+			responses := make(chan callResponse, 1)
+			go func() { responses <- r.call("/once/x", withLongPrompt) }()
 			f.g.Eventually(func() int { return len(preferred.Runs()) }, time.Second).Should(Equal(runs + 1))
 			// Give the router time to receive the first event.
 			time.Sleep(100 * time.Millisecond)
 			makeUnusable(r, backup)
 			preferred.Close()
-			got := <-answers
+			got := <-responses
 			f.g.Expect(backup.ContinuedRuns()).To(BeEmpty())
 			f.g.Expect(got.truncated).To(BeTrue())
 			f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"))
@@ -149,8 +149,8 @@
 	first.SetBehaviour(runnerstand.Pauses)
 	first.SetReportDelay(150 * time.Millisecond)
 	r := f.servingRouter("r1", nil)
-	answers := make(chan answer, 1)
-	go func() { answers <- r.call("/stream/x", nil) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- r.call("/stream/x", nil) }()
 	f.g.Eventually(first.ReportCount, 2*time.Second, 5*time.Millisecond).Should(Equal(1), "the silent stream's runner is probed")
 	second := f.engine("e2", 1)
 	second.SetBehaviour(runnerstand.Pauses)
@@ -159,5 +159,5 @@
 	f.g.Eventually(second.ArrivalCount, time.Second, 5*time.Millisecond).Should(Equal(1))
 	f.g.Consistently(second.ReportCount, 1200*time.Millisecond, 20*time.Millisecond).Should(BeZero(), "the stream cannot continue on another runner")
 	second.ResumeStreams()
-	f.g.Expect((<-answers).body).To(Equal(completeStream))
+	f.g.Expect((<-responses).body).To(Equal(completeStream))
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -108,8 +108,8 @@
 }
 
 // A seed that had its configuration but had not read the weights yet sent no proof of the weights.
-// A router that pulled from it took that for an answer of an earlier version, whose copies are as
-// old as its configuration.
+// A router that pulled from it took that for the answer of a router of an earlier software version,
+// whose copies are as old as its configuration.
 func TestSeedWithoutWeightsGivesNoProofOfThem(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -140,10 +140,10 @@
 // blockingStore returns the address of a proxy to the store that blocks calls for the kinds while
 // blocked is set, as it is at first.
 func blockingStore(f *fleet, kinds ...string) (blocked *atomic.Bool, address string) {
-	door, err := f.store.OpenEndpoint()
+	endpoint, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	f.t.Cleanup(door.Close)
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: door.Address})
+	f.t.Cleanup(endpoint.Close)
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: endpoint.Address})
 	blocked = &atomic.Bool{}
 	blocked.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/gateway/newsoutbox.go
+++ b/internal/gateway/broadcaster.go
@@ -41,7 +41,7 @@
 // add queues the records of the keys. local means that this router detected the changes, so that
 // they go to the seeds as well.
 func (b *broadcaster[K]) add(keys []K, local bool) {
-	if b.gateway.relays.transport == nil || len(keys) == 0 {
+	if b.gateway.peerRouters.transport == nil || len(keys) == 0 {
 		return
 	}
 	b.mutex.Lock()
@@ -82,7 +82,7 @@
 	// A router that misses a message gets the records with its next pull, and a seed from the next
 	// router that detects the same.
 	b.sendTo(b.gateway.schedulers.otherSchedulers(), forSeeds)
-	b.sendTo(b.gateway.relays.pushTargets(b.gateway.now()), forFollowers)
+	b.sendTo(b.gateway.peerRouters.pushTargets(b.gateway.now()), forFollowers)
 }
 
 func (b *broadcaster[K]) sendTo(addresses []string, changed map[K]bool) {
@@ -101,7 +101,7 @@
 			continue
 		}
 		for _, address := range addresses {
-			b.gateway.relays.Send(address, message)
+			b.gateway.peerRouters.Send(address, message)
 		}
 	}
 }
--- a/internal/gateway/cachefeed.go
+++ b/internal/gateway/cachefeed.go
@@ -9,9 +9,9 @@
 
 // Times of following the cache feed of another router.
 const (
-	// feedSnapshotInterval is the minimum interval between two requests for a snapshot of a
-	// feed. A snapshot has several hundred kilobytes, and a router that finds no recent proof
-	// asks one seed after another.
+	// feedSnapshotInterval is the minimum interval between two requests for a snapshot of a feed. A
+	// snapshot has several hundred kilobytes, and a router that finds no recent proof requests one
+	// from each seed in turn.
 	feedSnapshotInterval = 3 * time.Second
 	// feedTimeout is how long the contents of a followed feed are used after its last delta:
 	// runners replace what they cache within seconds.
@@ -99,7 +99,7 @@
 	}
 	if message == nil {
 		if r.followed.address != address {
-			// It has no feed yet, or will never have one. Asking again is cheap.
+			// It has no feed yet, or will never have one. Requesting it again is cheap.
 			r.followed.snapshotRequestedAt = time.Time{}
 		}
 		return
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -12,17 +12,16 @@
 
 // Times of reading which prompt parts runners hold.
 const (
-	// cacheReadDelay is the delay between two calls for the changes of one runner, so that
-	// several changes are fetched together. What routers know lags by this delay, by the 0.08 s
-	// of the events themselves and by the interval of pulls. A shorter delay improved the
+	// cacheReadDelay is the delay between two calls for the changes of one runner, so that several
+	// changes are fetched together. The knowledge of routers lags behind by this delay, by the
+	// 0.08 s that the events themselves take and by the interval of pulls. A shorter delay improved the
 	// result by only 0.008 (docs/POLICY.md).
 	cacheReadDelay = 80 * time.Millisecond
 	// maxCacheReadsPerSecond limits the calls of one router: the delay grows with the number of
 	// runners. It is the rate that 90 runners needed when all were read in rounds.
 	maxCacheReadsPerSecond = 200
-	// cacheLongPollWait is how long a call may wait for changes, the maximum that runners
-	// allow. Calls that wait less than 200 ms cost as much as health checks; longer ones are
-	// free.
+	// cacheLongPollWait is how long a call may wait for changes, the maximum that runners allow.
+	// Calls that wait less than 200 ms are priced like health checks; longer ones are free.
 	cacheLongPollWait = time.Second
 	// cacheReadTimeout bounds one call, including its wait and a slow response.
 	cacheReadTimeout = 1400 * time.Millisecond
@@ -75,8 +74,8 @@
 type holderState struct {
 	// source is the incarnation and address being read.
 	source backend.CacheHolder
-	// stop stops the task that reads the holder.
-	stop     context.CancelFunc
+	// cancel stops the goroutine that reads the holder.
+	cancel   context.CancelFunc
 	position CachePosition
 	// nextListAt is when the whole content is to be listed again.
 	nextListAt time.Time
@@ -94,7 +93,7 @@
 		return
 	}
 	for g.pause(g.jitter(cacheHolderCheckInterval)) {
-		r.setReadsHolders(g.relays.alwaysReadsStore())
+		r.setReadsHolders(g.peerRouters.alwaysReadsStore())
 		current := g.activeConfig.Load()
 		switch {
 		case !r.readsHolders:
@@ -116,7 +115,7 @@
 	}
 	r.readsHolders = reads
 	for holder, state := range r.holders {
-		state.stop()
+		state.cancel()
 		delete(r.holders, holder)
 	}
 	r.feed, r.feedComplete, r.appliedPosition, r.followed = nil, false, 0, followedFeed{}
@@ -154,7 +153,7 @@
 	isListed := func(holder string) bool { return listed[holder] || runners[holder].Address != "" }
 	for holder, state := range r.holders {
 		if !isListed(holder) {
-			state.stop()
+			state.cancel()
 			delete(r.holders, holder)
 		}
 	}
@@ -171,11 +170,11 @@
 		if current.source == source {
 			return
 		}
-		current.stop()
+		current.cancel()
 		r.feed.Replace(holder, nil)
 	}
 	ctx, cancel := context.WithCancel(r.gateway.ctx)
-	state := &holderState{stop: cancel, source: source}
+	state := &holderState{cancel: cancel, source: source}
 	r.holders[holder] = state
 	r.gateway.spawn(func() {
 		for {
--- a/internal/gateway/cachereader_test.go
+++ b/internal/gateway/cachereader_test.go
@@ -133,11 +133,11 @@
 	startedAt := time.Now()
 	const rounds = 3
 	for i := range rounds {
-		trunk := fmt.Sprint("t", i)
-		caches.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: trunk})
+		sharedPart := fmt.Sprint("t", i)
+		caches.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: sharedPart})
 		f.g.Eventually(func() string {
 			before := runCounts(runners)
-			r.call("/stream/x", withPrompt(fmt.Sprintf("%s:200000,f%d-%d:100,own:50", trunk, i, time.Now().UnixNano())))
+			r.call("/stream/x", withPrompt(fmt.Sprintf("%s:200000,f%d-%d:100,own:50", sharedPart, i, time.Now().UnixNano())))
 			runner, _ := newestRun(runners, before)
 			return runner
 		}, 5*time.Second, 10*time.Millisecond).Should(Equal("e1"))
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// receiveStatus records the status reported by another router if it belongs to the
-// configuration in force.
+// receiveStatus records the status reported by another router if it belongs to the active
+// configuration.
 func (m *cacheStoreMonitor) receiveStatus(status cacheStoreStatus, source string) {
 	current := m.gateway.activeConfig.Load()
 	if current == nil || current.table.Version != status.configVersion || m.gateway.directReads.isEnabled() {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -42,11 +42,11 @@
 	gateway    *Gateway
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// incoming is the caller's HTTP request, and metadata the contents of its headers.
+	// incoming is the caller's HTTP request, and metadata the information from its headers.
 	incoming  *http.Request
 	metadata  RequestInfo
 	arrivedAt time.Time
-	view      *activeConfig
+	config    *activeConfig
 	route     *routing.Route
 	tenant    *routing.Tenant
 	service   string
@@ -56,19 +56,19 @@
 	deadline time.Time
 	// attemptState decides after each attempt whether another one is allowed.
 	attemptState *attempt.Request
-	// quotaCharge is the amount charged to the tenant's limit. quotaKeeper is the router that
+	// quotaCharge is the amount charged to the tenant's limit. quotaServer is the router that
 	// granted it, empty if none did. quotaDecision delivers the decision and is nil if the tenant
 	// has no limit.
 	quotaCharge   limits.Spending
-	quotaKeeper   string
+	quotaServer   string
 	quotaDecision <-chan limits.Decision
 	// bodyArrived is closed when the body has been read and only the quota decision is
 	// outstanding.
 	bodyArrived chan struct{}
 	// maxQueueTime is the longest acceptable expected queueing time at a runner.
 	maxQueueTime time.Duration
-	// queueLimit is the bound that applied when a runner was last chosen, and expectedQueueTime
-	// the queueing time that was expected then.
+	// queueLimit is the limit that applied when a runner was last chosen, and expectedQueueTime the
+	// queueing time that was expected then.
 	queueLimit        admission.QueueLimit
 	expectedQueueTime time.Duration
 	// placementRequest is the pending request to a scheduler. schedulerChoice is the scheduler's
@@ -82,8 +82,8 @@
 	// refusedForShare is set if the call was refused only because its tenant exceeds its fair
 	// share.
 	refusedForShare bool
-	// hasUnusedRetry is set while the call has withdrawn a retry from the budget that has not
-	// been sent to any runner yet.
+	// hasUnusedRetry is set while a retry that the call has withdrawn from the budget has not been
+	// sent to a runner yet.
 	hasUnusedRetry bool
 	// lastFailure is the last failure returned by a runner. It is forwarded if no later attempt
 	// succeeds.
@@ -116,8 +116,7 @@
 	weightVersion uint64
 	// responseWeightVersion is the weight version in the runner's response, 0 for none.
 	responseWeightVersion uint64
-	// requestedBackoff is how long the runner asked in its response to get no further requests,
-	// 0 for none.
+	// requestedBackoff is the backoff that the runner requested in its response, 0 for none.
 	requestedBackoff time.Duration
 	// backup is the runner to which the run's state is copied. continueAt is set if the next
 	// attempt continues the run there, and continuing once that attempt has begun.
@@ -141,7 +140,7 @@
 	g.waitForStartup(request.Context(), now)
 	c := &call{
 		gateway: g, writer: writer, controller: http.NewResponseController(writer), incoming: request,
-		metadata: g.ports.Protocol.ParseRequest(request.Header), arrivedAt: now, view: g.activeConfig.Load(),
+		metadata: g.ports.Protocol.ParseRequest(request.Header), arrivedAt: now, config: g.activeConfig.Load(),
 	}
 	// Replace the write deadline of an earlier request on this connection.
 	_ = c.controller.SetWriteDeadline(time.Now().Add(maxCallDuration))
@@ -179,7 +178,7 @@
 		return
 	}
 	if c.suspected {
-		// The first placement request was sent before the content was known to be suspected.
+		// The first placement request was sent before the content was known to be suspect.
 		c.placementRequest.discard()
 		c.startPlacement()
 	}
@@ -214,11 +213,11 @@
 // is refused. With a configuration that may be stale, the call is refused temporarily (503)
 // rather than denied.
 func (c *call) admit() *refusal {
-	if c.view == nil {
+	if c.config == nil {
 		return unavailable("no configuration is known yet", startupRetryAfter)
 	}
-	fresh := c.view.isFresh(c.gateway.now(), c.gateway.settings.ConfigLease)
-	c.route = c.view.table.Match(c.incoming.Host, requestPath(c.incoming))
+	fresh := c.config.isFresh(c.gateway.now(), c.gateway.settings.ConfigLease)
+	c.route = c.config.table.Match(c.incoming.Host, requestPath(c.incoming))
 	if c.route == nil {
 		if !fresh {
 			return unavailable("the configuration is not proved", staleConfigRetryAfter)
@@ -240,13 +239,13 @@
 // authenticate sets the call's tenant from its key, unless the route is public or the
 // configuration has no keys.
 func (c *call) authenticate(fresh bool) *refusal {
-	if c.route.Public || !c.view.table.NeedsKeys() {
+	if c.route.Public || !c.config.table.NeedsKeys() {
 		return nil
 	}
 	if !fresh {
 		return unavailable("the configuration is not proved", staleConfigRetryAfter)
 	}
-	c.tenant = c.view.table.Tenant(c.metadata.Key)
+	c.tenant = c.config.table.Tenant(c.metadata.Key)
 	if c.tenant == nil {
 		return &refusal{status: http.StatusUnauthorized, reason: "the key is not known"}
 	}
@@ -269,7 +268,7 @@
 // readBody reads the whole body into memory, so that it can be sent more than once. It sets
 // disconnected if the caller disconnected before the end of the body.
 func (c *call) readBody() (refused *refusal, disconnected bool) {
-	maxBytes := c.view.table.Limits.MaxBodyBytes
+	maxBytes := c.config.table.Limits.MaxBodyBytes
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBodyBytes
 	}
--- a/internal/gateway/callcache.go
+++ b/internal/gateway/callcache.go
@@ -14,7 +14,7 @@
 	if len(c.metadata.Prompt) < 2 {
 		return
 	}
-	now, store := c.gateway.now(), c.gateway.cacheStores.storeForFamily(c.view.table, c.query.Family)
+	now, store := c.gateway.now(), c.gateway.cacheStoreMonitor.storeForFamily(c.config.table, c.query.Family)
 	c.gateway.mutex.Lock()
 	defer c.gateway.mutex.Unlock()
 	source := c.gateway.runners.ChooseFetchSource(now, c.runner.ID, c.query, c.weightVersion, store)
@@ -52,4 +52,4 @@
 // tier. A runner that is short of memory preempts requests of lower priority and computes
 // their prompts again, so giving every request a different priority would worsen the shortage.
 // Route ranks apply only before the send, when requests are refused (admission.DrawMaxQueue).
-func (c *call) priority() int { return min(c.view.table.TenantTier(c.tenant), lowestPriority) }
+func (c *call) priority() int { return min(c.config.table.TenantTier(c.tenant), lowestPriority) }
--- a/internal/gateway/callcontent.go
+++ b/internal/gateway/callcontent.go
@@ -31,7 +31,7 @@
 	switch {
 	case status.State == quarantine.Quarantined:
 		return unavailable(reasonQuarantined, status.Until.Sub(now))
-	case status.State == quarantine.OnTrial && c.gateway.endedRunners.hasOpenRun(c.content):
+	case status.State == quarantine.OnTrial && c.gateway.crashDetector.hasOpenRun(c.content):
 		return unavailable(reasonQuarantined, trialRetryAfter)
 	}
 	return nil
@@ -74,11 +74,11 @@
 // recordRunOutcome records the outcome of the current attempt's run for crash detection.
 func (c *call) recordRunOutcome(outcome quarantine.RunOutcome) {
 	g, now := c.gateway, c.gateway.now()
-	g.endedRunners.end(now, c.run, outcome)
+	g.crashDetector.end(now, c.run, outcome)
 	switch outcome {
 	case quarantine.Survived:
 		g.suspects.runnerSurvived(now, c.content)
 	case quarantine.ConnectionLost:
-		c.lostConnection, c.crashChecked = true, g.endedRunners.check(c.runner)
+		c.lostConnection, c.crashChecked = true, g.crashDetector.check(c.runner)
 	}
 }
--- a/internal/gateway/callquery.go
+++ b/internal/gateway/callquery.go
@@ -8,7 +8,7 @@
 
 // rank returns the call's priority among the calls that compete for the same runners.
 func (c *call) rank() admission.Rank {
-	return admission.Rank{Tier: c.view.table.TenantTier(c.tenant), Route: c.view.table.RouteRank(c.service, c.route)}
+	return admission.Rank{Tier: c.config.table.TenantTier(c.tenant), Route: c.config.table.RouteRank(c.service, c.route)}
 }
 
 // newQuery returns the query by which a runner is chosen for the next attempt.
@@ -16,7 +16,7 @@
 	query := backend.Query{
 		Service: c.service, Excluded: c.attemptState.Excluded(), Zone: c.gateway.settings.Zone, MaxQueueTime: c.maxQueueTime,
 		TargetLatency: c.route.LatencyTarget, MaxEventGap: c.route.MaxEventGap, Rank: c.rank(), Tenant: c.tenantName(), MaxTokens: c.metadata.MaxTokens,
-		SuspectContent: c.suspectHash(), Resting: c.gateway.restingRunners(),
+		SuspectContent: c.suspectHash(), Resting: c.gateway.runnerBackoffs(),
 	}
 	if c.attemptState.Attempt() > 0 {
 		// A call whose first attempt was admitted is not refused for its queueing time later.
--- a/internal/gateway/collectors.go
+++ b/internal/gateway/collectors.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// contentStateCollector counts the contents that may end runners, by state, when metrics are
+// contentStateCollector counts the contents that may crash runners, by state, when metrics are
 // collected.
 type contentStateCollector struct{ gateway *Gateway }
 
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -20,8 +20,8 @@
 
 // The tests in this file check that a request is not sent to a runner that its router has learned
 // to be leaving. The runner was chosen, and nothing was checked again until the first byte was
-// sent. In between, the router may dial a connection (at most 450 ms, up to six times in a row)
-// and wait for CPU time. The tests block the dial until the router has received the news.
+// sent. In between, the router may dial a connection (at most 450 ms, up to six times in a row) and
+// wait for CPU time. The tests block the dial until the router has learned of the change.
 
 // dialBlocker dials connections and blocks selected dials until released is closed.
 type dialBlocker struct {
@@ -77,17 +77,17 @@
 }
 
 // callWithLongTimeout starts a call and returns the channel that receives its response.
-func (r *router) callWithLongTimeout(path string, change func(*http.Request)) <-chan answer {
-	answers := make(chan answer, 1)
+func (r *router) callWithLongTimeout(path string, change func(*http.Request)) <-chan callResponse {
+	responses := make(chan callResponse, 1)
 	go func() {
-		answers <- r.call(path, func(request *http.Request) {
+		responses <- r.call(path, func(request *http.Request) {
 			if change != nil {
 				change(request)
 			}
 			request.Header.Set(platform.HeaderDeadlineMillis, "20000")
 		})
 	}()
-	return answers
+	return responses
 }
 
 // The call may run only once, so if another runner gets it, nothing was sent to the first one.
@@ -107,13 +107,13 @@
 	f.configure(1, routesWithLongTimeout(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 0.5 })
-	answers := r.callWithLongTimeout("/unsafe/x", nil)
+	responses := r.callWithLongTimeout("/unsafe/x", nil)
 	leaving := f.awaitBlockedDial()
 	leave(f, leaving)
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring(wantLog))
 	close(f.dials.released)
-	var got answer
-	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
+	var got callResponse
+	f.g.Eventually(responses, longTimeout).Should(Receive(&got))
 	f.g.Expect(leaving.ArrivalCount()).To(BeZero())
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(totalRuns(runners)).To(Equal(1), "the second attempt must not need a retry budget")
@@ -130,13 +130,13 @@
 	f.configure(1, routesWithLongTimeout(), goodKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", nil)
-	answers := r.callWithLongTimeout("/once/x", nil)
+	responses := r.callWithLongTimeout("/once/x", nil)
 	f.awaitBlockedDial()
 	nameWeights(f, 2)
 	f.g.Eventually(r.log.String, 10*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner's weights changed"))
 	close(f.dials.released)
-	var got answer
-	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
+	var got callResponse
+	f.g.Eventually(responses, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(runner.ArrivalCount()).To(Equal(1))
 	f.g.Expect(runner.Runs()[0].Header.Get(platform.HeaderExpectWeightVersion)).To(Equal("2"))
@@ -152,7 +152,7 @@
 	f.configure(1, routesWithLongTimeout(), goodKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
-	var got answer
+	var got callResponse
 	f.g.Eventually(r.callWithLongTimeout("/once/x", withLongPrompt), longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	preferred, backup := runners[0], runners[1]
@@ -161,12 +161,12 @@
 	}
 	backupAddress.Store(backup.Address)
 	preferred.SetBehaviourOnce(runnerstand.Terminates)
-	answers := r.callWithLongTimeout("/once/x", withLongPrompt)
+	responses := r.callWithLongTimeout("/once/x", withLongPrompt)
 	f.g.Expect(f.awaitBlockedDial()).To(BeIdenticalTo(backup))
 	f.putEntry(backup, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
-	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
+	f.g.Eventually(responses, longTimeout).Should(Receive(&got))
 	f.g.Expect(backup.ArrivalCount()).To(BeZero())
 	f.g.Expect(got.truncated).To(BeTrue(), "no other runner may run it")
 }
@@ -202,12 +202,12 @@
 	f.runner("p2", "plain")
 	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
-	answers := r.callWithLongTimeout("/unsafe/x", nil)
+	responses := r.callWithLongTimeout("/unsafe/x", nil)
 	leaving := f.awaitBlockedDial()
 	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
-	f.g.Eventually(answers, longTimeout).Should(Receive())
+	f.g.Eventually(responses, longTimeout).Should(Receive())
 	f.g.Expect(r.log.String()).To(ContainSubstring("request not sent: its runner may not begin it any more"))
 	state := func() string { return f.fetchRunnerSummary(metricsAddress, leaving.ID).State }
 	f.putEntry(leaving, "ready")
@@ -231,7 +231,7 @@
 	for _, runner := range runners {
 		runner.SetBehaviour(runnerstand.Drops)
 	}
-	answers := r.callWithLongTimeout("/safe/x", nil)
+	responses := r.callWithLongTimeout("/safe/x", nil)
 	leaving := f.awaitBlockedDial()
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
 	for _, runner := range runners {
@@ -240,8 +240,8 @@
 	f.putEntry(leaving, "draining")
 	f.g.Eventually(r.log.String, 5*time.Second, 5*time.Millisecond).Should(ContainSubstring("runner changed state"))
 	close(f.dials.released)
-	var got answer
-	f.g.Eventually(answers, longTimeout).Should(Receive(&got))
+	var got callResponse
+	f.g.Eventually(responses, longTimeout).Should(Receive(&got))
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(leaving.ArrivalCount()).To(BeZero())
 	f.g.Expect(totalRuns(runners)).To(Equal(2))
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -115,10 +115,10 @@
 	return c.stores[kind].Since(revision)
 }
 
-// apply applies changes to the copy and brings them into effect. A delta of an earlier era of the
-// store than the copy's proves nothing, because it lacks everything written since.
+// apply applies changes to the copy and to the state derived from it. A delta of an earlier era of
+// the store than the copy's proves nothing, because it lacks everything written since.
 func (c *copies) apply(kind ObjectKind, delta config.Delta, freshness proof) config.Outcome {
-	c.gateway.era.observe(delta.Through.Era())
+	c.gateway.eraTracker.observe(delta.Through.Era())
 	c.mutex.Lock()
 	previous := c.stores[kind].Revision()
 	delta = c.reconcile(kind, delta)
@@ -135,15 +135,15 @@
 	}
 	c.mutex.Unlock()
 	if outcome == config.Applied && len(delta.Objects) > 0 && previous > 0 {
-		c.gateway.relays.push(kind, previous)
+		c.gateway.peerRouters.push(kind, previous)
 	}
 	return outcome
 }
 
-// effectiveChanges returns what to bring into effect after a delta was applied to a copy that was
-// at the previous revision. For a full delta that is the whole copy, because a full delta of
-// another router may include objects that this router knows to be deleted. Otherwise objects that
-// were already in effect are left out: two watches may return the same changes, and an older one
+// effectiveChanges returns the changes to pass to applyObjects after a delta was applied to a copy
+// that was at the previous revision. For a full delta that is the whole copy, because a full delta
+// of another router may include objects that this router knows to be deleted. Otherwise objects
+// that were already applied are left out: two watches may return the same changes, and an older one
 // must not take effect even briefly. The mutex must be held.
 func (c *copies) effectiveChanges(kind ObjectKind, previous storerev.Revision, delta config.Delta) config.Delta {
 	changed := delta
@@ -160,7 +160,7 @@
 	return changed
 }
 
-// applyObjects brings changed objects into effect, in order.
+// applyObjects applies changed objects in order.
 func (g *Gateway) applyObjects(kind ObjectKind, delta config.Delta) {
 	if kind == RunnerObjects {
 		g.directoryRevision.Store(uint64(delta.Through))
@@ -187,7 +187,7 @@
 	}
 }
 
-// applyConfig brings a configuration into effect unless a newer one already is.
+// applyConfig makes a configuration the active one unless the active one is newer.
 func (g *Gateway) applyConfig(object Object) {
 	current := g.activeConfig.Load()
 	if current != nil && !current.isSupersededBy(object) {
@@ -219,8 +219,8 @@
 	return names
 }
 
-// recordConfigProof records that the configuration in effect was current at the given time. The
-// mutex of the copies must be held, so the view does not change meanwhile.
+// recordConfigProof records that the active configuration was current at the given time. The mutex
+// of the copies must be held, so that the active configuration does not change meanwhile.
 func (g *Gateway) recordConfigProof(at time.Time) {
 	current := g.activeConfig.Load()
 	if current == nil {
@@ -240,7 +240,7 @@
 	}
 }
 
-// logStaleConfig logs once that the proof of the configuration in effect is too old.
+// logStaleConfig logs once that the proof of the active configuration is too old.
 func (g *Gateway) logStaleConfig(now time.Time) {
 	current := g.activeConfig.Load()
 	if current == nil || current.provenAt.IsZero() || current.isFresh(now, g.settings.ConfigLease) {
@@ -254,9 +254,9 @@
 func (g *Gateway) applyWeights(object Object) {
 	now := g.now()
 	model, version := object.Weights.Model, object.Weights.Version
-	observation := g.weightNews(now, object.Revision)
+	observation := g.namingObservation(now, object.Revision)
 	g.mutex.Lock()
-	history := g.weightBounds.ForModel(model)
+	history := g.namingHistories.ForModel(model)
 	if version <= history.NamedVersion() {
 		g.mutex.Unlock()
 		return
--- a/internal/gateway/copyproofs_test.go
+++ b/internal/gateway/copyproofs_test.go
@@ -24,8 +24,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			copies := &copies{reachedRevisions: []checkpoint{{revision: test.newest, at: test.newestAt}}}
-			answer := storeResponse{revision: test.revision, knownRevision: test.known}
-			NewWithT(t).Expect(copies.isCurrent(answer, now)).To(Equal(test.want))
+			response := storeResponse{revision: test.revision, knownRevision: test.known}
+			NewWithT(t).Expect(copies.isCurrent(response, now)).To(Equal(test.want))
 		})
 	}
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -102,10 +102,10 @@
 
 // list reads all objects of the kind. A router that has just started and found no router to pull
 // from may be one of many. It accepts a list that is some seconds old, which costs the store
-// little. The watch that follows brings the copy up to date and proves it.
+// little. The next watch brings the copy up to date and proves it.
 func (w *storeWatcher) list() error {
 	g := w.gateway
-	stale := w.listed && !g.relays.alwaysReadsStore()
+	stale := w.listed && !g.peerRouters.alwaysReadsStore()
 	response := w.callWithTimeout(g.ctx, listTimeout, func(ctx context.Context) storeResponse {
 		return w.recordedCall(ctx, callList, func() ([]v1.Object, storerev.Revision, error) { return g.ports.Store.List(ctx, w.kind, stale) })
 	})
@@ -162,7 +162,7 @@
 // first one of a series.
 func (w *storeWatcher) recordStaleResponse(call string, response storeResponse) {
 	g := w.gateway
-	g.metrics.staleStoreAnswers.WithLabelValues(w.kind.String()).Inc()
+	g.metrics.staleStoreResponses.WithLabelValues(w.kind.String()).Inc()
 	if w.stale.Swap(true) {
 		return
 	}
@@ -232,7 +232,7 @@
 
 // delayAfterChange returns the pause after a change.
 func (w *storeWatcher) delayAfterChange() time.Duration {
-	if w.gateway.relays.alwaysReadsStore() {
+	if w.gateway.peerRouters.alwaysReadsStore() {
 		return batchDelay
 	}
 	return fallbackBatchDelay
@@ -282,11 +282,11 @@
 	w.listed = false
 	revision := g.copies.revision(w.kind)
 	g.log.Log(events.StoreHistoryGone, events.Fields{"kind": w.kind.String(), "revision": revision.Number(), "era": revision.Era()})
-	if g.relays.alwaysReadsStore() || g.era.newest() == revision.Era() {
+	if g.peerRouters.alwaysReadsStore() || g.eraTracker.newest() == revision.Era() {
 		return
 	}
 	g.delayNewEraList()
-	w.listed = g.copies.revision(w.kind).Era() == g.era.newest()
+	w.listed = g.copies.revision(w.kind).Era() == g.eraTracker.newest()
 }
 
 func (w *storeWatcher) handleSuccess() {
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -211,8 +211,8 @@
 	for _, runner := range runners {
 		runner.SetBehaviour(runnerstand.Delays)
 	}
-	answers := make(chan answer, 1)
-	go func() { answers <- r.call("/unsafe/x", nil) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- r.call("/unsafe/x", nil) }()
 	f.g.Eventually(func() int { return totalRuns(runners) }).Should(Equal(1))
 	stopped := make(chan struct{})
 	go func() { r.Stop(); close(stopped) }()
@@ -220,8 +220,8 @@
 	late := r.call("/safe/x", nil)
 	f.g.Expect(late.status).To(Equal(http.StatusOK), "requests during the stop are served")
 	f.g.Expect(late.connectionClosed).To(BeTrue(), "callers are told to close the connection")
-	var first answer
-	f.g.Eventually(answers).Should(Receive(&first))
+	var first callResponse
+	f.g.Eventually(responses).Should(Receive(&first))
 	f.g.Expect(first.status).To(Equal(http.StatusOK))
 	f.g.Eventually(stopped, 3*time.Second).Should(BeClosed())
 }
--- a/internal/gateway/forgedheaders_test.go
+++ b/internal/gateway/forgedheaders_test.go
@@ -29,8 +29,8 @@
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	r.fleet.g.Expect(connection.SetReadDeadline(time.Now().Add(200 * time.Millisecond))).To(Succeed())
 	// A read timeout is not an error here, because all responses have arrived by then.
-	answers, _ := io.ReadAll(bufio.NewReader(connection))
-	return string(answers)
+	responses, _ := io.ReadAll(bufio.NewReader(connection))
+	return string(responses)
 }
 
 // rawRequest returns the bytes of a POST request. Each line of headers ends with CRLF.
@@ -57,8 +57,8 @@
 			"in a trailer":   rawRequest("", "/safe/x", "Transfer-Encoding: chunked\r\nTrailer: "+name+"\r\n", "1\r\nb\r\n0\r\n"+name+": 1\r\n\r\n"),
 		} {
 			id := newRequestID()
-			answers := r.sendRaw(strings.Replace(text, platform.HeaderRequestID+": ", platform.HeaderRequestID+": "+id, 1))
-			f.g.Expect(answers).To(HavePrefix("HTTP/1.1 200"), "%s %s", name, variant)
+			responses := r.sendRaw(strings.Replace(text, platform.HeaderRequestID+": ", platform.HeaderRequestID+": "+id, 1))
+			f.g.Expect(responses).To(HavePrefix("HTTP/1.1 200"), "%s %s", name, variant)
 		}
 	}
 	runs := runner.Runs()
@@ -91,8 +91,8 @@
 		if variant == "length and chunks" {
 			body = "0\r\n\r\n" + smuggled
 		}
-		answers := r.sendRaw(rawRequest(newRequestID(), "/safe/x", headers, body))
-		f.g.Expect(strings.Count(answers, "HTTP/1.1 200")).To(BeNumerically("<=", 1), variant)
+		responses := r.sendRaw(rawRequest(newRequestID(), "/safe/x", headers, body))
+		f.g.Expect(strings.Count(responses, "HTTP/1.1 200")).To(BeNumerically("<=", 1), variant)
 	}
 	for _, run := range runner.Runs() {
 		f.g.Expect(run.RequestID).NotTo(Equal("smuggled"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -3,8 +3,8 @@
 // runners and updates the runners to the target weights.
 //
 // The package does the I/O. Decisions are made by the packages routing, backend, placement,
-// attempt, admission, lease and rollout, which have none. The platform's formats and protocols
-// are behind the interfaces in ports.go and runnerports.go.
+// attempt, admission, lease and rollout, which have none. The platform's formats and protocols are
+// implemented behind the interfaces in ports.go and runnerports.go.
 package gateway
 
 import (
@@ -48,9 +48,9 @@
 	Clock Clock
 }
 
-// activeConfig is the configuration in force and the time at which it was last proven, that is,
-// confirmed by the store as current. Both are replaced together, so that a request never
-// combines an old configuration with a newer proof.
+// activeConfig is the configuration that the router applies and the time at which it was last
+// proven, that is, confirmed by the store as current. Both are replaced together, so that a request
+// never combines an old configuration with a newer proof.
 type activeConfig struct {
 	table *routing.Table
 	// revision is the store's revision of the configuration object.
@@ -87,17 +87,17 @@
 	// mutex guards the fields below. It is never held during I/O.
 	mutex   sync.Mutex
 	runners *backend.Set
-	// pendingSends holds the streams that their runners have not yet been seen to start. They
-	// are withdrawn if they do not start before their weights expire.
-	pendingSends map[*unstartedSend]struct{}
-	// weightBounds holds what is known about when each model's weights were named.
-	weightBounds namings.Table
-	splitter     *routing.Splitter
-	saveThrottle *backend.SaveThrottle
+	// unstartedSends holds the streaming requests that their runners are not known to have started.
+	// They are withdrawn if they do not start before their weights expire.
+	unstartedSends map[*unstartedSend]struct{}
+	// namingHistories holds, for each model, what is known about when its weights were named.
+	namingHistories namings.Table
+	splitter        *routing.Splitter
+	saveThrottle    *backend.SaveThrottle
 	// retryBudgets holds the budget for further attempts of each service.
 	retryBudgets map[string]*admission.RetryBudget
 	random       *rand.Rand
-	// loadShedder decides which of the requests for the same runners are refused.
+	// loadShedder decides which requests are refused when runners are overloaded.
 	loadShedder *admission.LoadShedder
 	// knownRouters is the estimated number of routers, 0 if unknown.
 	knownRouters atomic.Int64
@@ -106,15 +106,15 @@
 	leaseToken atomic.Uint64
 	// directoryRevision is the revision of the directory in use.
 	directoryRevision atomic.Uint64
-	// copies holds this router's copies of the store's objects, directReads tells whether it
-	// reads the store itself, and relays exchanges changes with other routers.
+	// copies holds this router's copies of the store's objects, directReads tells whether it reads
+	// the store itself, and peerRouters exchanges changes with other routers.
 	copies      *copies
 	directReads *directMode
-	relays      *peerRouters
-	// followers read the store, one for each kind of object, while directReads is on.
-	followers []*storeWatcher
-	// era is the newest known era of the store, which rises with each restore from a backup.
-	era *eraTracker
+	peerRouters *peerRouters
+	// storeWatchers read the store, one for each kind of object, while directReads is enabled.
+	storeWatchers []*storeWatcher
+	// eraTracker tracks the store's era, which increases by one with each restore from a backup.
+	eraTracker *eraTracker
 	// transfer requests from other routers the changes that a restored store had lost before
 	// this router started.
 	transfer *stateTransfer
@@ -122,20 +122,20 @@
 	storeFailures storeFailures
 	// schedulers places requests, either on behalf of other routers or by asking them.
 	schedulers *schedulers
-	// limits enforces the tenants' quotas, and shares their fair shares of overloaded services.
-	limits *limits.Client
-	shares *fairShares
-	// endedRunners detects which runners have ended, and which requests they were running.
-	endedRunners *crashDetector
+	// limits enforces the tenants' quotas, and fairShares their fair shares of overloaded services.
+	limits     *limits.Client
+	fairShares *fairShares
+	// crashDetector detects which runners have crashed, and which requests they were running.
+	crashDetector *crashDetector
 	// signals holds what runners report about themselves in their responses.
 	signals *signals
-	// suspects holds the request contents during which runners have ended.
+	// suspects holds the request contents that were running when runners crashed.
 	suspects *suspects
-	// cacheStores monitors which cache stores are available.
-	cacheStores *cacheStoreMonitor
-	// caches reads which prompt parts runners and cache stores hold, and passes this on to
+	// cacheStoreMonitor checks which cache stores are available.
+	cacheStoreMonitor *cacheStoreMonitor
+	// cacheReader reads which prompt parts runners and cache stores hold, and sends the result to
 	// other routers.
-	caches *cacheReader
+	cacheReader *cacheReader
 	// weightsNamed receives a value when a new version of a model's weights is named.
 	weightsNamed chan struct{}
 
@@ -156,43 +156,43 @@
 	started := ports.Clock.Now()
 	g := &Gateway{
 		settings: settings, ports: ports, log: logger, ctx: ctx, cancel: cancel, startedAt: started, startup: newStartup(),
-		runners:      backend.NewSet(settings.Zone),
-		pendingSends: map[*unstartedSend]struct{}{},
-		weightBounds: namings.Table{},
-		splitter:     routing.NewSplitter(),
-		saveThrottle: backend.NewSaveThrottle(),
-		retryBudgets: map[string]*admission.RetryBudget{},
-		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		weightsNamed: make(chan struct{}, 1),
+		runners:         backend.NewSet(settings.Zone),
+		unstartedSends:  map[*unstartedSend]struct{}{},
+		namingHistories: namings.Table{},
+		splitter:        routing.NewSplitter(),
+		saveThrottle:    backend.NewSaveThrottle(),
+		retryBudgets:    map[string]*admission.RetryBudget{},
+		random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		weightsNamed:    make(chan struct{}, 1),
 	}
 	g.loadShedder = admission.NewLoadShedder(g.random)
 	g.runners.SetRolloutTime(time.Duration(rolloutDeadlineShare * float64(settings.WeightDeadline)))
 	g.metrics = newMetrics(g)
 	ports.RunnerPool.OnOpen, ports.RunnerPool.OnSilentClosed = g.metrics.runnerConnections.Inc, g.metrics.silentRunnerConnections.Inc
 	ports.RunnerPool.SilenceTimeout = runnerSilenceTimeout
-	g.schedulers, g.shares = newSchedulers(g), newFairShares(g)
-	g.endedRunners, g.suspects, g.signals = newCrashDetector(g), newSuspects(g), newSignals(g)
-	g.cacheStores = newCacheStoreMonitor(g)
-	g.caches = newCacheReader(g)
-	g.copies, g.directReads, g.relays = newCopies(g), newDirectMode(), newPeerRouters(g)
-	g.era, g.transfer = newEraTracker(g), newStateTransfer(g)
-	ports.Store.OnEra(g.era.observe)
+	g.schedulers, g.fairShares = newSchedulers(g), newFairShares(g)
+	g.crashDetector, g.suspects, g.signals = newCrashDetector(g), newSuspects(g), newSignals(g)
+	g.cacheStoreMonitor = newCacheStoreMonitor(g)
+	g.cacheReader = newCacheReader(g)
+	g.copies, g.directReads, g.peerRouters = newCopies(g), newDirectMode(), newPeerRouters(g)
+	g.eraTracker, g.transfer = newEraTracker(g), newStateTransfer(g)
+	ports.Store.OnEra(g.eraTracker.observe)
 	g.limits = limits.New(g.limitsConfig())
 	for _, kind := range objectKinds {
-		g.followers = append(g.followers, newStoreWatcher(g, kind))
+		g.storeWatchers = append(g.storeWatchers, newStoreWatcher(g, kind))
 	}
 	if err := g.listen(); err != nil {
 		cancel()
 		return nil, err
 	}
 	g.log.Log(events.GatewayStarted, events.Fields{"zone": settings.Zone, "callers": settings.CallerAddress, "store": settings.StoreAddress})
-	for _, f := range g.followers {
+	for _, f := range g.storeWatchers {
 		g.spawn(f.run)
 	}
-	g.spawn(g.relays.run)
+	g.spawn(g.peerRouters.run)
 	g.spawn(func() { newLeader(g).run() })
-	g.spawn(g.cacheStores.run)
-	g.spawn(g.caches.run)
+	g.spawn(g.cacheStoreMonitor.run)
+	g.spawn(g.cacheReader.run)
 	g.spawn(g.schedulers.loadReportLoop)
 	g.spawn(g.suspects.broadcasts.run)
 	g.spawn(g.signals.broadcasts.run)
@@ -218,17 +218,17 @@
 const sweepInterval = time.Second
 
 func (g *Gateway) sweepLoop() {
-	reported, suspended := uint64(0), time.Duration(0)
+	reportedLines, suspendedTotal := uint64(0), time.Duration(0)
 	for g.pause(sweepInterval) {
 		g.ports.RunnerPool.CloseExpired(time.Now())
-		suspended = g.recordSuspension(suspended)
+		suspendedTotal = g.recordSuspension(suspendedTotal)
 		g.logStaleConfig(g.now())
-		g.endedRunners.sweep(g.now())
+		g.crashDetector.sweep(g.now())
 		g.signals.sweep(g.now())
 		g.suspects.sweep(g.now())
-		if dropped := g.droppedLogLines(); dropped > reported {
-			g.log.Log(events.LogLinesDropped, events.Fields{"lines": dropped - reported, "total": dropped})
-			reported = dropped
+		if dropped := g.droppedLogLines(); dropped > reportedLines {
+			g.log.Log(events.LogLinesDropped, events.Fields{"lines": dropped - reportedLines, "total": dropped})
+			reportedLines = dropped
 		}
 	}
 }
@@ -262,20 +262,20 @@
 // recordSuspension records that the machine was suspended and returns the total time of all
 // suspensions, given the previous total. Sends whose withdrawal timers should have fired during
 // the suspension are withdrawn now.
-func (g *Gateway) recordSuspension(previous time.Duration) time.Duration {
-	suspended := g.ports.Clock.Suspended()
-	if suspended == previous {
-		return previous
+func (g *Gateway) recordSuspension(previousTotal time.Duration) time.Duration {
+	total := g.ports.Clock.Suspended()
+	if total == previousTotal {
+		return previousTotal
 	}
-	g.metrics.suspendedSeconds.Add((suspended - previous).Seconds())
-	g.log.Log(events.MachineSuspended, events.Fields{"suspended_ms": (suspended - previous).Milliseconds()})
+	g.metrics.suspendedSeconds.Add((total - previousTotal).Seconds())
+	g.log.Log(events.MachineSuspended, events.Fields{"suspended_ms": (total - previousTotal).Milliseconds()})
 	g.mutex.Lock()
-	models := slices.Collect(maps.Keys(g.weightBounds))
+	models := slices.Collect(maps.Keys(g.namingHistories))
 	g.mutex.Unlock()
 	for _, model := range models {
 		g.withdrawExpiredSends(g.now(), model)
 	}
-	return suspended
+	return total
 }
 
 // configIsProven reports whether the configuration was proven recently enough to serve requests
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -237,7 +237,7 @@
 }
 
 // answer is the response that a caller received.
-type answer struct {
+type callResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -262,11 +262,11 @@
 }
 
 // call sends one request with a valid API key over a new connection.
-func (r *router) call(path string, change func(*http.Request)) answer {
+func (r *router) call(path string, change func(*http.Request)) callResponse {
 	return r.callWithContext(context.Background(), path, change)
 }
 
-func (r *router) callWithContext(ctx context.Context, path string, change func(*http.Request)) answer {
+func (r *router) callWithContext(ctx context.Context, path string, change func(*http.Request)) callResponse {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, strings.NewReader("the body"))
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
@@ -284,11 +284,11 @@
 	startedAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{truncated: true, duration: time.Since(startedAt)}
+		return callResponse{truncated: true, duration: time.Since(startedAt)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil, connectionClosed: response.Close, duration: time.Since(startedAt)}
+	return callResponse{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil, connectionClosed: response.Close, duration: time.Since(startedAt)}
 }
 
 // waitForConfig waits until the gateway has applied the configuration with the version.
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -110,7 +110,7 @@
 // whether the lease is held.
 func (l *leader) acquireOrRenew() (storerev.Revision, bool) {
 	now := l.gateway.now()
-	if era, since := l.gateway.era.known(); era > 0 {
+	if era, since := l.gateway.eraTracker.known(); era > 0 {
 		l.candidate.EnterEra(since, era)
 	}
 	if token, held := l.candidate.Token(now); held {
@@ -148,7 +148,7 @@
 // sources read it when it may become available, so that they do not all poll it.
 func (l *leader) nextReadTime() time.Time {
 	availableAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetryDelay))
-	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.relays.alwaysReadsStore() && nextPoll.Before(availableAt) {
+	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.peerRouters.alwaysReadsStore() && nextPoll.Before(availableAt) {
 		return nextPoll
 	}
 	return availableAt
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -11,17 +11,17 @@
 )
 
 func (g *Gateway) listen() error {
-	if err := g.relays.listen(); err != nil {
+	if err := g.peerRouters.listen(); err != nil {
 		return err
 	}
 	callerListener, err := net.Listen("tcp", g.settings.CallerAddress)
 	if err != nil {
-		g.relays.close()
+		g.peerRouters.close()
 		return trace.ConvertSystemError(err)
 	}
 	readinessListener, err := net.Listen("tcp", g.settings.ReadyAddress)
 	if err != nil {
-		g.relays.close()
+		g.peerRouters.close()
 		callerListener.Close()
 		return trace.ConvertSystemError(err)
 	}
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -17,7 +17,7 @@
 	// schedulers that missed some changes: twice in the time for which they keep reported loads.
 	fullReportRounds = 50
 	// roleCheckInterval is how often a router checks whether it has become a scheduler. The
-	// settings that make it one arrive seconds after a change, so it need not be shorter.
+	// settings that make it one arrive seconds after a change, so a shorter interval gains nothing.
 	roleCheckInterval = 500 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 			Streams: int(load.GetStreams()), TotalMaxGap: time.Duration(load.GetGapsMillis()) * time.Millisecond, Suspects: load.GetSuspects(),
 		}
 	}
-	s.gateway.relays.recordSeedCount(router, int(share.GetRouters()))
+	s.gateway.peerRouters.recordSeedCount(router, int(share.GetRouters()))
 	s.gateway.mutex.Lock()
 	defer s.gateway.mutex.Unlock()
 	now := s.gateway.now()
@@ -38,7 +38,7 @@
 	for _, reservation := range share.GetPromises() {
 		s.gateway.loadShedder.AddReservation(now, decodeReservation(reservation))
 	}
-	s.gateway.shares.merge(router, share)
+	s.gateway.fairShares.merge(router, share)
 }
 
 // loadReportLoop sends what this router has placed to the other schedulers while it is a scheduler
@@ -60,7 +60,7 @@
 		loads, usage := s.gateway.runners.ChangedLoads(), []*wire.PoolUse(nil)
 		if full {
 			loads = s.gateway.runners.Loads()
-			usage = s.gateway.shares.localUsage(s.gateway.now())
+			usage = s.gateway.fairShares.localUsage(s.gateway.now())
 		}
 		reservations := s.gateway.loadShedder.TakeReservations()
 		s.gateway.mutex.Unlock()
@@ -71,7 +71,7 @@
 		message.Promises = encodeReservations(reservations)
 		if full {
 			message.Uses = usage
-			message.Routers = uint32(s.gateway.relays.countRouters())
+			message.Routers = uint32(s.gateway.peerRouters.countRouters())
 		}
 		s.broadcastLoadShare(message)
 	}
@@ -94,7 +94,7 @@
 func (s *schedulers) broadcastLoadShare(share *wire.LoadShare) {
 	for _, address := range s.otherSchedulers() {
 		// Lost reports are repaired by the next one with all loads.
-		_ = s.gateway.relays.transport.Send("", address, &wire.Envelope{Body: &wire.Envelope_LoadShare{LoadShare: share}})
+		_ = s.gateway.peerRouters.transport.Send("", address, &wire.Envelope{Body: &wire.Envelope_LoadShare{LoadShare: share}})
 	}
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -20,12 +20,12 @@
 // quotaBuckets are in seconds, around the times of one and two round trips.
 var quotaBuckets = []float64{.0002, .0005, .001, .002, .003, .005, .01, .02, .05, .1}
 
-// requestCountBuckets are numbers of requests at one runner, up to the slots of the largest one
-// seen.
+// requestCountBuckets are numbers of requests at one runner, up to the number of slots of the
+// largest runner observed.
 var requestCountBuckets = []float64{0, 1, 2, 4, 8, 16, 32, 64}
 
 // quarantineBuckets are in seconds. The three sends until a quarantine take about one second if
-// callers retry at once, and otherwise as long as the callers wait.
+// callers retry at once, and otherwise as long as the callers wait between retries.
 var quarantineBuckets = []float64{.2, .5, 1, 2, 5, 10, 30, 60, 300, 3600}
 
 // metrics holds the Prometheus collectors of the gateway. No label contains a tenant or a
@@ -71,9 +71,9 @@
 	storeCalls    *prometheus.HistogramVec
 	storeFailures *prometheus.CounterVec
 	// storeRestores counts the restores of the store from a backup while this router ran, and
-	// staleStoreAnswers the answers that were older than the known state.
-	storeRestores     prometheus.Counter
-	staleStoreAnswers *prometheus.CounterVec
+	// staleStoreResponses the responses that were older than the known state.
+	storeRestores       prometheus.Counter
+	staleStoreResponses *prometheus.CounterVec
 	// storeLostObjects counts the objects that a restored store had lost or reverted.
 	storeLostObjects *prometheus.CounterVec
 	watchRenewals    *prometheus.CounterVec
@@ -89,8 +89,8 @@
 	placementCalls *prometheus.HistogramVec
 
 	// priorityFactors observes the factors by which more urgent requests reduced the calls'
-	// queueing limits, and callerReturns counts the calls that were retried at the time that
-	// they were told.
+	// queueing limits, and callerReturns counts the calls that were retried at the time named in
+	// their refusal.
 	priorityFactors *prometheus.HistogramVec
 	callerReturns   *prometheus.CounterVec
 	// shareRefusals counts refusals for a tenant's fair share, on the router that decided them.
@@ -147,14 +147,14 @@
 		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_restores_total", Help: "Times that the store came back from a copy, without what it had acknowledged since.",
 		}),
-		staleStoreAnswers: newCounterVec("store_answers_behind_total", "Answers of the store that were older than what was known.", "kind"),
-		storeLostObjects:  newCounterVec("store_lost_objects_total", "Objects that the store came back with in an earlier state, without, or with again though they were gone.", "kind", "state"),
-		watchRenewals:     newCounterVec("watch_renewals_total", "Watches that were behind and made anew, by whether the next one brought changes.", "kind", "outcome"),
-		peerCalls:         newLatencyVec("peer_call_seconds", "Pulls of changes from other routers.", "outcome"),
-		orders:            newCounterVec("orders_total", "Orders given to runners, by outcome.", "outcome"),
-		weightUpdates:     newLatencyVec("weight_update_seconds", "Time to bring one runner to named weights.", "outcome"),
-		cacheReads:        newCounterVec("cache_reads_total", "Calls for what runners and stores of kept cache keep, by what was read.", "read"),
-		fetchSources:      newCounterVec("fetch_sources_total", "Prompts sent with a source of cached parts, or without one.", "source"),
+		staleStoreResponses: newCounterVec("store_answers_behind_total", "Answers of the store that were older than what was known.", "kind"),
+		storeLostObjects:    newCounterVec("store_lost_objects_total", "Objects that the store came back with in an earlier state, without, or with again though they were gone.", "kind", "state"),
+		watchRenewals:       newCounterVec("watch_renewals_total", "Watches that were behind and made anew, by whether the next one brought changes.", "kind", "outcome"),
+		peerCalls:           newLatencyVec("peer_call_seconds", "Pulls of changes from other routers.", "outcome"),
+		orders:              newCounterVec("orders_total", "Orders given to runners, by outcome.", "outcome"),
+		weightUpdates:       newLatencyVec("weight_update_seconds", "Time to bring one runner to named weights.", "outcome"),
+		cacheReads:          newCounterVec("cache_reads_total", "Calls for what runners and stores of kept cache keep, by what was read.", "read"),
+		fetchSources:        newCounterVec("fetch_sources_total", "Prompts sent with a source of cached parts, or without one.", "source"),
 
 		runnerChoices:  newCounterVec("choices_total", "Choices of a runner, by who made them.", "by"),
 		placementCalls: newLatencyVec("placement_call_seconds", "Questions to routers that place requests for others.", "outcome"),
@@ -176,16 +176,16 @@
 	}
 	m.registry.MustRegister(
 		m.calls, m.callLatencies, m.firstEventLatencies, m.refusals, m.attempts, m.retries, m.runnerFailures, m.placements, m.promptTokens, m.runnerChecks, m.requestsAtRunnerEnd, m.quarantines, m.quarantineDelays, m.runnerSignals, m.limitedSends, m.permitAges, m.permitsGranted, m.suspendedSeconds, m.runnerConnections, m.silentRunnerConnections,
-		m.storeCalls, m.storeFailures, m.storeRestores, m.staleStoreAnswers, m.storeLostObjects, m.watchRenewals, m.peerCalls, m.orders, m.weightUpdates, m.cacheReads, m.fetchSources, m.runnerChoices, m.placementCalls, m.priorityFactors, m.callerReturns, m.shareRefusals,
+		m.storeCalls, m.storeFailures, m.storeRestores, m.staleStoreResponses, m.storeLostObjects, m.watchRenewals, m.peerCalls, m.orders, m.weightUpdates, m.cacheReads, m.fetchSources, m.runnerChoices, m.placementCalls, m.priorityFactors, m.callerReturns, m.shareRefusals,
 		m.quotaDecisions, m.quotaFalseRefusals, m.quotaCalls, m.quotaWaits, &runnerStateCollector{gateway: g}, &copyAgeCollector{gateway: g}, &contentStateCollector{gateway: g}, &serviceStatsCollector{gateway: g},
 		newGauge("placed_requests", "Open requests that this router has placed for others.", func() float64 { return g.schedulers.placedCount() }),
 		newGauge("routers", "Routers that there seem to be, by which budgets and limits are shared out; 0 when unknown.", func() float64 { return float64(g.knownRouters.Load()) }),
 		newGauge("quota_tenants", "Tenants whose limits this router keeps a part of.", func() float64 { return g.limits.TenantCount() }),
-		newGauge("share_tenants", "Tenants of whose recent use of services this router keeps a sum.", func() float64 { return g.shares.tenantCount() }),
-		newGauge("store_era", "Era of the store: how often it came back from a copy, counted by itself; 0 when unknown.", func() float64 { return float64(g.era.newest()) }),
+		newGauge("share_tenants", "Tenants of whose recent use of services this router keeps a sum.", func() float64 { return g.fairShares.tenantCount() }),
+		newGauge("store_era", "Era of the store: how often it came back from a copy, counted by itself; 0 when unknown.", func() float64 { return float64(g.eraTracker.newest()) }),
 		newGauge("config_version", "Version of the configuration in force.", g.activeConfigVersion),
 		newGauge("config_proof_age_seconds", "Time since the configuration in force was proved; -1 without one.", g.configProofAge),
-		newGauge("peer_connections_silent", "Connections to other routers closed since they answered nothing.", func() float64 { return g.relays.silentConnectionCount() }),
+		newGauge("peer_connections_silent", "Connections to other routers closed since they answered nothing.", func() float64 { return g.peerRouters.silentConnectionCount() }),
 		newGauge("log_lines_dropped", "Log lines dropped because the output did not take them.", func() float64 { return float64(g.droppedLogLines()) }),
 	)
 	return m
@@ -243,7 +243,7 @@
 	m.permitAges.WithLabelValues(service).Observe(age.Seconds())
 }
 
-// Labels of placements and prompt tokens.
+// Values of the label that tells whether prompt parts are cached.
 const (
 	labelCached    = "yes"
 	labelNotCached = "no"
@@ -264,7 +264,7 @@
 	m.promptTokens.WithLabelValues(query.Service, labelNotCached).Add(float64(max(query.PromptTokens-cached, 0)))
 }
 
-// Labels of calls to the store and of outcomes.
+// Values of metric labels for calls to the store, kinds of objects and outcomes.
 const (
 	callList       = "list"
 	callWatch      = "watch"
@@ -297,10 +297,10 @@
 	return "none"
 }
 
-// Who chose a runner, in metrics and logs.
+// Values that tell who chose a runner, in metrics and logs.
 const (
-	schedulerChoices = "scheduler"
-	chosenLocally    = "itself"
+	chosenByScheduler = "scheduler"
+	chosenLocally     = "itself"
 )
 
 // priorityFactorBuckets are factors between 0 and 1, with more buckets at low values.
--- a/internal/gateway/newera.go
+++ b/internal/gateway/newera.go
@@ -13,7 +13,7 @@
 // A store that was restored from a backup lacks changes that it had acknowledged and that routers
 // have acted on. Their authors write them again. Until then a router keeps using the newest state
 // that it knows of each object. It can compare states because configurations, weights and runner
-// entries have an order of their own besides the store's revisions.
+// entries contain versions of their own, besides the store's revisions.
 
 const (
 	// missingGrace is how long runners that the first list of an era lacks are kept. Every live
@@ -31,7 +31,7 @@
 // of a new era. All routers detect a new era at once, and those that receive the objects from
 // another router meanwhile need no list of their own. It returns false if the router stops.
 func (g *Gateway) delayNewEraList() bool {
-	return g.relays.alwaysReadsStore() || g.pause(g.jitter(maxNewEraListDelay))
+	return g.peerRouters.alwaysReadsStore() || g.pause(g.jitter(maxNewEraListDelay))
 }
 
 // losses counts the objects known from the previous era that a full list does not reflect.
@@ -61,8 +61,8 @@
 		counts.older = c.keepNewer(kind, reconciled.Objects)
 	}
 	if delta.Full {
-		kept := c.missingObjects(kind, delta)
-		reconciled.Objects, counts.missing = append(reconciled.Objects, kept...), len(kept)
+		missing := c.missingObjects(kind, delta)
+		reconciled.Objects, counts.missing = append(reconciled.Objects, missing...), len(missing)
 	}
 	if kind == RunnerObjects && newEra {
 		counts.reappeared = c.recordReappeared(reconciled)
@@ -87,8 +87,8 @@
 	return count
 }
 
-// precedes reports whether the object is an earlier state than the known one, judging by the
-// contents.
+// precedes reports whether the object is an earlier state than the known one, according to the
+// versions in their specs.
 func (c *copies) precedes(kind ObjectKind, object, known v1.Object) bool {
 	if string(object.Spec) == string(known.Spec) {
 		return false
@@ -112,13 +112,13 @@
 	for _, object := range list.Objects {
 		listed[object.Key()] = true
 	}
-	var kept []v1.Object
+	var missing []v1.Object
 	for _, known := range c.stores[kind].Objects() {
 		if !listed[known.Key()] && isFromEarlierEra(known, list.Through) {
-			kept = append(kept, known)
+			missing = append(missing, known)
 		}
 	}
-	return kept
+	return missing
 }
 
 func isFromEarlierEra(object v1.Object, revision storerev.Revision) bool {
@@ -197,8 +197,8 @@
 	}
 }
 
-// admitReappeared brings the runners into use that were deleted before the restore and whose
-// entries have not changed since.
+// admitReappeared starts to use the runners that were deleted before the restore and whose
+// reappeared entries have not changed since.
 func (c *copies) admitReappeared(runners *config.Store) {
 	for name, revision := range c.reappeared {
 		object, found := runners.Object(v1.Key{Kind: v1.Kind(RunnerObjects.String()), Name: name})
--- a/internal/gateway/order.go
+++ b/internal/gateway/order.go
@@ -14,13 +14,13 @@
 // percent converts fractions to the percentages used in messages and logs.
 const percent = 100
 
-// placeRequest chooses a runner for a request whose caller waits for at most timeLeft, or
-// refuses the request. Schedulers call it for the requests of other routers, and routers that
-// choose runners themselves for their own calls. It also returns the queue bound that applied,
-// and whether the request was refused only because its tenant exceeds its fair share. The
-// gateway's mutex must be held.
+// placeRequest chooses a runner for a request whose caller waits for at most timeLeft, or refuses
+// the request. Schedulers call it for the requests of other routers, and routers that choose
+// runners themselves for their own calls. It also returns the queue limit that applied, and whether
+// the request was refused only because its tenant exceeds its fair share. The gateway's mutex must
+// be held.
 func (g *Gateway) placeRequest(now time.Time, query backend.Query, timeLeft time.Duration) (chosen placement.Pick, queueLimit admission.QueueLimit, refusedForShare bool) {
-	return g.placeRequestWithExcess(now, query, timeLeft, g.shares.excess(now, query))
+	return g.placeRequestWithExcess(now, query, timeLeft, g.fairShares.excess(now, query))
 }
 
 // placeRequestWithExcess is placeRequest for a tenant with the given excess over its fair share.
@@ -41,13 +41,13 @@
 	}
 	refused := chosen.Status == placement.Overloaded
 	refusedForShare = refused && chosen.QueueWait <= queueLimit.MaxQueueAtFairShare
-	g.shares.recordChoice(now, query, chosen, refusedForShare)
+	g.fairShares.recordChoice(now, query, chosen, refusedForShare)
 	reservedRetryAfter := g.loadShedder.RecordDecision(now, admissionRequest, chosen.QueueWait, refused, max(chosen.RetryAfter, busyRetryAfter))
 	switch {
 	case refusedForShare:
 		// A caller that retries before its tenant's recorded usage has decayed to its share is
 		// refused again.
-		chosen.RetryAfter = max(chosen.RetryAfter, g.shares.recoveryTime(queueLimit.Excess))
+		chosen.RetryAfter = max(chosen.RetryAfter, g.fairShares.recoveryTime(queueLimit.Excess))
 	case refused:
 		chosen.RetryAfter = reservedRetryAfter
 	}
@@ -66,7 +66,7 @@
 	return load
 }
 
-// decodeQueueLimit returns the queue bound from a scheduler's answer.
+// decodeQueueLimit returns the queue limit from a scheduler's answer.
 func decodeQueueLimit(answer *wire.RunnerAnswer) admission.QueueLimit {
 	return admission.QueueLimit{
 		MaxQueue:       time.Duration(answer.GetMaxQueueMillis()) * time.Millisecond,
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordQueueLimit records the expected queueing time of the call, and counts the applied bound
-// in the metrics if the call has one.
+// recordQueueLimit records the expected queueing time of the call, and counts the applied queue
+// limit in the metrics if the call has one.
 func (c *call) recordQueueLimit(chosen placement.Pick) {
 	c.expectedQueueTime = chosen.QueueWait
 	if c.query.MaxQueueTime > 0 {
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -38,8 +38,8 @@
 	return func() { close(done); running.Wait() }
 }
 
-// bulkRefusalPattern matches the log line of a bulk call that was refused below its own queue bound
-// in favour of urgent calls. With a target of 2.5 s, its own bound is at least 0.85 s.
+// bulkRefusalPattern matches the log line of a bulk call that was refused below its own queue limit
+// in favour of urgent calls. With a target of 2.5 s, its own limit is at least 0.85 s.
 const bulkRefusalPattern = `"queue_ms":[1-7]?\d?\d,.*"route":"bulk".*"yield_percent":\d\d?[,}]`
 
 // Each call occupies one of eight slots for 0.4 s. Bulk calls, with a target of 2.5 s, may queue as
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -21,10 +21,10 @@
 
 // Routers of two versions run side by side during an upgrade.
 
-// newGatewayWithSuspect returns a gateway that knows one content during which two runners have
-// ended.
+// newGatewayWithSuspect returns a gateway that knows one content that was running when two runners
+// crashed.
 func newGatewayWithSuspect() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &peerRouters{}, directReads: newDirectMode()}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, peerRouters: &peerRouters{}, directReads: newDirectMode()}
 	g.suspects = newSuspects(g)
 	g.suspects.merge(suspectRecords(g.now()))
 	return g
@@ -79,17 +79,17 @@
 func TestUnknownMessagesAreIgnored(t *testing.T) {
 	t.Parallel()
 	e, g := NewWithT(t), newGatewayWithSuspect()
-	g.relays.gateway = g
+	g.peerRouters.gateway = g
 	unknown := protowire.AppendBytes(protowire.AppendTag(nil, 900, protowire.BytesType), []byte{8, 1})
 	var envelope wire.Envelope
 	e.Expect(proto.Unmarshal(unknown, &envelope)).To(Succeed())
-	e.Expect(g.relays.handle(t.Context(), &envelope)).To(BeNil())
+	e.Expect(g.peerRouters.handle(t.Context(), &envelope)).To(BeNil())
 }
 
 // newGatewayWithSignal returns a gateway that knows one runner that is leaving and has reported
 // a request limit.
 func newGatewayWithSignal() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &peerRouters{}, directReads: newDirectMode(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, peerRouters: &peerRouters{}, directReads: newDirectMode(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	g.signals = newSignals(g)
 	g.signals.merge(encodeSignals(g.now(), signalRecords(g.now())))
 	return g
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -37,10 +37,10 @@
 	proxy.SetMode(faultproxy.MuteExisting) // existing connections stay silent, new ones work
 	for version := 2; version <= 4; version++ {
 		f.configure(version, defaultRoutes(), goodKey)
-		changed := time.Now()
+		changedAt := time.Now()
 		seed.waitForConfig(version)
 		follower.waitForConfig(version)
-		f.g.Expect(time.Since(changed)).To(BeNumerically("<", maxDelay), "version %d", version)
+		f.g.Expect(time.Since(changedAt)).To(BeNumerically("<", maxDelay), "version %d", version)
 		time.Sleep(500 * time.Millisecond)
 	}
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -47,7 +47,7 @@
 	scheduler  string
 	choices    chan *placementChoice
 	// cancelled is closed when nobody waits for the choice any more.
-	cancelled chan struct{}
+	canceled chan struct{}
 }
 
 // requestPlacement asks the nearest scheduler to choose a runner. It returns nil if this router has
@@ -57,21 +57,21 @@
 	if scheduler == "" {
 		return nil
 	}
-	r := &placementRequest{schedulers: s, scheduler: scheduler, choices: make(chan *placementChoice), cancelled: make(chan struct{})}
+	r := &placementRequest{schedulers: s, scheduler: scheduler, choices: make(chan *placementChoice), canceled: make(chan struct{})}
 	message := encodePlacementQuery(query, s.lastSendNumber.Add(1), timeLeft)
 	go func() {
 		choice := s.callScheduler(scheduler, message)
 		select {
 		case r.choices <- choice:
-		case <-r.cancelled:
+		case <-r.canceled:
 			s.release(choice)
 		}
 	}()
 	return r
 }
 
-// encodePlacementQuery returns the message that asks a scheduler for a runner. Resting times are at
-// least 1 ms, so that they remain non-zero on the wire.
+// encodePlacementQuery returns the message that asks a scheduler for a runner. Remaining backoffs
+// are at least 1 ms, so that they are not rounded to zero on the wire.
 func encodePlacementQuery(query backend.Query, sendNumber uint64, timeLeft time.Duration) *wire.RunnerAsk {
 	message := &wire.RunnerAsk{
 		Send: sendNumber, Service: query.Service, Model: query.Model, Owner: query.Owner, PromptTokens: uint32(max(query.PromptTokens, 0)),
@@ -81,9 +81,9 @@
 		Tier: uint32(query.Rank.Tier), RouteRank: uint32(query.Rank.Route), Tenant: query.Tenant,
 		MaxTokens: uint32(max(query.MaxTokens, 0)), Ticket: query.Ticket, Suspect: query.SuspectContent,
 	}
-	for _, resting := range query.Resting {
-		message.Resting = append(message.Resting, resting.Runner)
-		message.RestingMillis = append(message.RestingMillis, uint32(max(resting.Remaining.Milliseconds(), 1)))
+	for _, backoff := range query.Resting {
+		message.Resting = append(message.Resting, backoff.Runner)
+		message.RestingMillis = append(message.RestingMillis, uint32(max(backoff.Remaining.Milliseconds(), 1)))
 	}
 	for _, part := range query.Shared {
 		message.Parts = append(message.Parts, part.ID)
@@ -96,7 +96,7 @@
 // declined, failed to answer or has no runner.
 func (s *schedulers) callScheduler(scheduler string, message *wire.RunnerAsk) *placementChoice {
 	requestedAt := s.gateway.now()
-	reply, roundTrip := s.gateway.relays.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: message}})
+	reply, roundTrip := s.gateway.peerRouters.Call(scheduler, &wire.Envelope{Body: &wire.Envelope_RunnerAsk{RunnerAsk: message}})
 	answer := reply.GetRunnerAnswer()
 	answered := answer != nil && !answer.GetDeclined()
 	s.gateway.metrics.placementCalls.WithLabelValues(outcomeLabel(answered)).Observe(roundTrip.Seconds())
@@ -158,14 +158,14 @@
 		r.schedulers.markUnresponsive(r.scheduler)
 	case <-ctx.Done():
 	}
-	close(r.cancelled)
+	close(r.canceled)
 	return nil
 }
 
 // discard ends the request when the call does not send anything.
 func (r *placementRequest) discard() {
 	if r != nil {
-		close(r.cancelled)
+		close(r.canceled)
 	}
 }
 
@@ -181,7 +181,7 @@
 	if p == nil || p.overloaded || p.heldBack {
 		return
 	}
-	_ = s.gateway.relays.transport.Send("", p.scheduler, &wire.Envelope{Body: &wire.Envelope_SendNotice{
+	_ = s.gateway.peerRouters.transport.Send("", p.scheduler, &wire.Envelope{Body: &wire.Envelope_SendNotice{
 		SendNotice: &wire.SendNotice{Send: p.sendNumber, Ended: ended, Outcome: uint32(outcome), Weights: weightVersion, RestMillis: uint32(backoff.Milliseconds())},
 	}})
 }
@@ -209,7 +209,7 @@
 	if choice == nil {
 		return placement.Pick{}, false
 	}
-	g.shares.recordReportedExcess(now, c.query, choice.queueLimit.Excess)
+	g.fairShares.recordReportedExcess(now, c.query, choice.queueLimit.Excess)
 	c.queueLimit, c.refusedForShare = choice.queueLimit, choice.forShare
 	if choice.overloaded {
 		return placement.Pick{Status: placement.Overloaded, RetryAfter: choice.retryAfter, QueueWait: choice.queueWait}, true
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -268,8 +268,8 @@
 	queueing := p.runners[0]
 	queueing.SetQueueTime(3 * time.Second)
 	queueing.SetBehaviour(runnerstand.Queues)
-	answers := make(chan answer, 1)
-	go func() { answers <- p.routers[1].call("/once/x", withBody(poisonBody)) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- p.routers[1].call("/once/x", withBody(poisonBody)) }()
 	p.g.Eventually(queueing.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.putEntry(queueing, "draining")
 	for range 6 {
@@ -280,7 +280,7 @@
 		r.waitForLog(`"runner":"e6"`)
 	}
 	p.crashRunners(3)
-	got := <-answers
+	got := <-responses
 	p.g.Expect(got.status).To(Equal(http.StatusBadGateway), "the runner may have begun to process it")
 	p.g.Expect(got.duration).To(BeNumerically("<", 2*time.Second))
 	p.g.Expect(queueing.Runs()).To(BeEmpty())
--- a/internal/gateway/proxystream.go
+++ b/internal/gateway/proxystream.go
@@ -28,7 +28,7 @@
 // eventStream is the state of an event stream to a caller. Only complete events are written, so
 // that the stream can continue from another runner.
 type eventStream struct {
-	// lastEvent is the id of the last event written, empty before the first.
+	// lastEvent is the ID of the last event written, empty before the first.
 	lastEvent string
 	// lastWriteAt is when events were last written, and maxPause the longest time between two
 	// writes.
@@ -57,7 +57,7 @@
 	idPrefix       = []byte("id:")
 )
 
-// lastEventID returns the id of the last event in a sequence of complete events, or the previous id
+// lastEventID returns the ID of the last event in a sequence of complete events, or the previous ID
 // if none of them has one.
 func lastEventID(data []byte, previous string) string {
 	at := bytes.LastIndex(data, []byte("\nid:"))
@@ -73,13 +73,13 @@
 
 // streamResponse copies a runner's events to the caller until the stream ends.
 func (c *call) streamResponse(response *httpconn.Response) attempt.Action {
-	watch := c.startWatchdog(response.Body)
-	defer watch.stop()
+	watchdog := c.startWatchdog(response.Body)
+	defer watchdog.stop()
 	var pending []byte
 	buffer := make([]byte, streamBufferBytes)
 	for {
 		n, err := response.Body.Read(buffer)
-		watch.reset()
+		watchdog.reset()
 		pending = append(pending, buffer[:n]...)
 		if complete := bytes.LastIndex(pending, eventSeparator); complete >= 0 {
 			complete += len(eventSeparator)
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -165,8 +165,8 @@
 	var found atomic.Bool
 	for i, address := range addresses {
 		g.spawn(func() {
-			slept := g.pause(time.Duration(i) * firstPullStagger)
-			if !slept || found.Load() || !r.pullFrom(address) {
+			running := g.pause(time.Duration(i) * firstPullStagger)
+			if !running || found.Load() || !r.pullFrom(address) {
 				address = ""
 			}
 			found.Store(found.Load() || address != "")
@@ -224,8 +224,8 @@
 	if !r.alwaysReadsStore() {
 		r.gateway.knownRouters.Store(int64(answer.GetRouters()))
 	}
-	r.gateway.caches.receiveDelta(address, answer.GetCache())
-	r.gateway.cacheStores.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
+	r.gateway.cacheReader.receiveDelta(address, answer.GetCache())
+	r.gateway.cacheStoreMonitor.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
 	return usable && isRecent(answer, maxAge)
 }
 
@@ -268,7 +268,7 @@
 	request := r.newPull(address)
 	if g.knowsConfigState() {
 		// The first answer should be small, and a full feed is not requested again soon.
-		g.caches.addToPull(address, request)
+		g.cacheReader.addToPull(address, request)
 	}
 	g.suspects.addPullPosition(address, request)
 	g.signals.addPullPosition(address, request)
@@ -303,7 +303,8 @@
 	return reply, elapsed
 }
 
-// Send sends a message to a router. It may be lost. Callers state what a loss costs.
+// Send sends a message to a router. It may be lost. The comments where Send is used state the
+// effect of a loss.
 func (r *peerRouters) Send(address string, message *wire.Envelope) {
 	_ = r.transport.Send("", address, message)
 }
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against changes that arrive after the 2 s within which they must be known. Followers of a
-// relay that received no changes trusted its copies for 2.08 s.
+// relay that received no changes relied on its copies for 2.08 s.
 func TestChangesAreKnownInTimeThroughAnySource(t *testing.T) {
 	const deadline, storeCallTime = 2 * time.Second, 50 * time.Millisecond
 	for name, maxAge := range map[string]time.Duration{"seed": maxProofAge, "relay": maxRelayedProofAge} {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -154,8 +154,8 @@
 		p.putEntry(runner, "draining")
 	}
 	p.g.Eventually(func() int { return strings.Count(p.routers[0].log.String(), `"draining":true`) }, time.Second).Should(Equal(8))
-	answers := make(chan answer, 1)
-	go func() { answers <- p.routers[0].call("/once/x", withBody(poisonBody)) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- p.routers[0].call("/once/x", withBody(poisonBody)) }()
 	p.g.Eventually(survivor.ArrivalCount, time.Second, time.Millisecond).Should(Equal(1))
 	p.putEntry(survivor, "draining")
 	for _, runner := range p.runners {
@@ -165,7 +165,7 @@
 	p.crashRunners(3)
 	p.expectStoredCrashes(3)
 	survivor.ResumeStreams()
-	p.g.Expect((<-answers).status).To(Equal(http.StatusOK))
+	p.g.Expect((<-responses).status).To(Equal(http.StatusOK))
 	p.routers[0].waitForLog("content is sent again")
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, time.Second, 5*time.Millisecond).Should(BeEmpty())
 }
@@ -179,10 +179,10 @@
 		detectedAt := time.Now().Add(time.Duration(i)*time.Second - 48*time.Hour)
 		record.Crashes = append(record.Crashes, quarantine.Crash{Runner: quarantine.Runner{ID: id}, SentAt: detectedAt.Add(-time.Millisecond), DetectedAt: detectedAt})
 	}
-	door, err := p.store.OpenEndpoint()
+	endpoint, err := p.store.OpenEndpoint()
 	p.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(door.Close)
-	client := &platform.StoreClient{Address: door.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
+	t.Cleanup(endpoint.Close)
+	client := &platform.StoreClient{Address: endpoint.Address, Pool: httpconn.NewPool(httpconn.DefaultDialTimeout)}
 	p.g.Expect(client.SaveQuarantine(t.Context(), record)).To(Succeed())
 	p.servingRouter("r1", nil)
 	p.g.Eventually(func() []string { return p.store.Specs(platform.KindQuarantines) }, 2*time.Second, 5*time.Millisecond).Should(BeEmpty())
--- a/internal/gateway/quotacall.go
+++ b/internal/gateway/quotacall.go
@@ -16,7 +16,7 @@
 func (g *Gateway) limitsConfig() limits.Config {
 	return limits.Config{
 		PeerAddress: g.settings.PeerAddress, Zone: g.settings.Zone, Seeds: g.settings.Seeds, StartTime: g.startedAt,
-		Peers: g.relays, RouterCount: g.routerCount,
+		Peers: g.peerRouters, RouterCount: g.routerCount,
 		ObserveCall: func(answered bool, roundTrip time.Duration) {
 			g.metrics.quotaCalls.WithLabelValues(outcomeLabel(answered)).Observe(roundTrip.Seconds())
 		},
@@ -31,7 +31,7 @@
 	limit := c.tenant.Quota
 	c.quotaCharge = limits.Spending{
 		Tenant: c.tenant.Name, Amount: limit.Amount(c.metadata.PromptTokens, c.metadata.MaxTokens, c.metadata.Counted),
-		Limit: quota.Limit{Rate: limit.Rate, Burst: limit.Burst, Window: c.gateway.settings.QuotaWindow, Revision: uint64(c.view.revision)},
+		Limit: quota.Limit{Rate: limit.Rate, Burst: limit.Burst, Window: c.gateway.settings.QuotaWindow, Revision: uint64(c.config.revision)},
 	}
 	decisions, arrived, ctx, spendingCopy := make(chan limits.Decision, 1), make(chan struct{}), c.incoming.Context(), c.quotaCharge
 	go func() { decisions <- c.gateway.limits.Decide(ctx, spendingCopy, arrived) }()
@@ -48,7 +48,7 @@
 	close(c.bodyArrived)
 	decision := <-c.quotaDecision
 	waited := time.Since(waitStart)
-	c.quotaKeeper = decision.Server
+	c.quotaServer = decision.Server
 	c.gateway.metrics.observeQuotaDecision(decision, waited)
 	c.bufferLog(events.QuotaDecided, events.Fields{
 		"tenant": c.quotaCharge.Tenant, "amount": c.quotaCharge.Amount, "rate": c.quotaCharge.Limit.Rate, "burst": c.quotaCharge.Limit.Burst, "granted": decision.Granted,
@@ -86,9 +86,9 @@
 
 // refundQuota returns what was granted to a call that was not executed.
 func (c *call) refundQuota() {
-	if c.quotaKeeper == "" {
+	if c.quotaServer == "" {
 		return
 	}
-	c.gateway.limits.RefundGrant(c.quotaCharge, c.quotaKeeper)
-	c.quotaKeeper = ""
+	c.gateway.limits.RefundGrant(c.quotaCharge, c.quotaServer)
+	c.quotaServer = ""
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -32,7 +32,8 @@
 	return func(request *http.Request) { request.Header.Set(platform.HeaderTokenCounts, counts) }
 }
 
-// newLimitedFleet returns a fleet with three keepers of the limit and followers that ask them.
+// newLimitedFleet returns a fleet with three quota servers, which are the seeds, and followers that
+// query them.
 func newLimitedFleet(t *testing.T, followers int, limit map[string]any) (f *fleet, routers []*router) {
 	f = newFleet(t)
 	f.store.Put(configKind, configName, limitedConfig(1, limit))
@@ -51,7 +52,7 @@
 
 // sendFor calls the routers in turn for the duration, and returns the number of served tokens and
 // the refusals.
-func sendFor(routers []*router, tokens int, duration time.Duration) (served int, refused []answer) {
+func sendFor(routers []*router, tokens int, duration time.Duration) (served int, refused []callResponse) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		for _, r := range routers {
 			switch got := r.call("/safe/x", withTokenCounts(strconv.Itoa(tokens)+",0")); got.status {
@@ -72,7 +73,7 @@
 	start := time.Now()
 	served, refused := sendFor(routers, tokens, 2*time.Second)
 	elapsed := time.Since(start).Seconds()
-	f.g.Expect(served).To(BeNumerically("<=", rate*elapsed+burst+3*tokens), "each of the three keepers overspends by at most one request")
+	f.g.Expect(served).To(BeNumerically("<=", rate*elapsed+burst+3*tokens), "each of the three quota servers overspends by at most one request")
 	f.g.Expect(served).To(BeNumerically(">=", 0.8*rate*elapsed))
 	f.g.Expect(refused).NotTo(BeEmpty())
 	retryAfter, err := strconv.ParseFloat(refused[0].header.Get("Retry-After"), 64)
@@ -81,7 +82,7 @@
 	f.g.Expect(routers[4].log.String()).To(And(ContainSubstring(`"by":"keeper"`), ContainSubstring("the tenant's limit is reached")))
 }
 
-func TestLostKeeperRemovesOnlyItsShare(t *testing.T) {
+func TestLostQuotaServerRemovesOnlyItsShare(t *testing.T) {
 	t.Parallel()
 	const rate, tokens = 6000, 300
 	f, routers := newLimitedFleet(t, 2, tokenLimit(rate, 300))
@@ -91,16 +92,16 @@
 	served, _ := sendFor(routers[3:], tokens, 2*time.Second)
 	elapsed := time.Since(start).Seconds()
 	f.g.Expect(served).To(BeNumerically("<=", rate*elapsed*2/3+300+3*tokens))
-	f.g.Expect(served).To(BeNumerically(">=", 0.5*rate*elapsed), "the shares of the other two keepers are used")
+	f.g.Expect(served).To(BeNumerically(">=", 0.5*rate*elapsed), "the shares of the other two quota servers are used")
 }
 
-func TestRoutersWithoutKeepersGrantAShare(t *testing.T) {
+func TestRoutersWithoutQuotaServersGrantAShare(t *testing.T) {
 	t.Parallel()
 	const rate, tokens = 6000, 300
 	f, routers := newLimitedFleet(t, 2, tokenLimit(rate, 3000))
 	sendFor(routers, tokens, time.Second)
-	for _, keeper := range routers[:3] {
-		keeper.Kill()
+	for _, server := range routers[:3] {
+		server.Kill()
 	}
 	start := time.Now()
 	served, refused := sendFor(routers[3:], tokens, time.Second)
@@ -108,14 +109,14 @@
 	f.g.Expect(served).To(BeNumerically(">", 0), "some requests are served")
 	f.g.Expect(served).To(BeNumerically("<=", 0.6*rate*elapsed), "the shares of two of five routers")
 	f.g.Expect(refused).NotTo(BeEmpty())
-	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "without keepers it is unknown whether the limit is reached")
+	f.g.Expect(refused[len(refused)-1].status).To(Equal(http.StatusServiceUnavailable), "without quota servers it is unknown whether the limit is reached")
 	var slow int
 	for _, refusal := range refused {
 		if refusal.duration >= 100*time.Millisecond {
 			slow++
 		}
 	}
-	f.g.Expect(slow).To(BeNumerically("<=", len(refused)/10), "calls do not wait for lost keepers, except one per 0.3 s that checks whether they are back")
+	f.g.Expect(slow).To(BeNumerically("<=", len(refused)/10), "calls do not wait for lost quota servers, except one per 0.3 s that checks whether they are back")
 }
 
 func TestChangedLimitsTakeEffect(t *testing.T) {
@@ -145,7 +146,7 @@
 		name, counts string
 		amount       int
 	}{
-		{"sum of prompt and answer", "60,40", 100},
+		{"sum of prompt and response tokens", "60,40", 100},
 		{"empty header", "", 10},
 		{"negative", "-5,10", 10},
 		{"not numbers", "many,few", 10},
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -47,7 +47,7 @@
 		"request": c.metadata.ID, "route": c.route.Name, "service": c.service, "runner": c.runner.ID,
 		"tenant": c.tenantName(), "outcome": outcome, "late": reason != "", "late_by": reason, "attempts": c.attemptState.Attempt(), "first_ms": firstResponseTime.Milliseconds(), "pause_ms": maxPause.Milliseconds(), "ms": now.Sub(c.arrivedAt).Milliseconds(),
 		"prompt_tokens": c.query.PromptTokens, "fetched": c.fetchSource, "content": c.content.String(),
-		"config": c.view.table.Version, "config_age_ms": c.arrivedAt.Sub(c.view.provenAt).Milliseconds(),
+		"config": c.config.table.Version, "config_age_ms": c.arrivedAt.Sub(c.config.provenAt).Milliseconds(),
 	})
 }
 
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -29,7 +29,7 @@
 	reason string
 	// retryAfter is the delay after which the caller may retry; 0 omits the header.
 	retryAfter time.Duration
-	// queueTooLong is set if the request would have queued for longer than its bound.
+	// queueTooLong is set if the request would have queued for longer than its queue limit.
 	queueTooLong bool
 }
 
@@ -45,9 +45,9 @@
 		route = c.route.Name
 	}
 	fields := events.Fields{"request": c.metadata.ID, "route": route, "tenant": c.tenantName(), "status": r.status, "reason": r.reason, "ms": c.gateway.since(c.arrivedAt).Milliseconds()}
-	if c.view != nil {
-		fields["config"] = c.view.table.Version
-		fields["config_age_ms"] = c.arrivedAt.Sub(c.view.provenAt).Milliseconds()
+	if c.config != nil {
+		fields["config"] = c.config.table.Version
+		fields["config_age_ms"] = c.arrivedAt.Sub(c.config.provenAt).Milliseconds()
 	}
 	if c.content != (quarantine.ContentID{}) {
 		fields["content"] = c.content.String()
--- a/internal/gateway/relays.go
+++ b/internal/gateway/relays.go
@@ -127,12 +127,12 @@
 func (r *peerRouters) run() {
 	g := r.gateway
 	// A seed reads the store from the start, without pulling first.
-	r.setDirect(r.shouldReadStore(true))
+	r.setDirectReads(r.shouldReadStore(true))
 	timer := time.AfterFunc(r.gateway.until(r.seedWaitUntil), r.handleSeedWaitExpired)
 	defer timer.Stop()
 	for g.ctx.Err() == nil {
 		pulled := r.shouldPull() && r.pull()
-		r.setDirect(r.shouldReadStore(pulled))
+		r.setDirectReads(r.shouldReadStore(pulled))
 		r.waitForNextPull()
 	}
 }
@@ -141,7 +141,7 @@
 // the seeds continue.
 func (r *peerRouters) handleSeedWaitExpired() {
 	if !r.gateway.knowsConfigState() {
-		r.setDirect(r.shouldReadStore(false))
+		r.setDirectReads(r.shouldReadStore(false))
 	}
 }
 
@@ -182,7 +182,7 @@
 	return r.transport == nil || !r.selector.HasOtherSeeds()
 }
 
-func (r *peerRouters) setDirect(enabled bool) {
+func (r *peerRouters) setDirectReads(enabled bool) {
 	if r.gateway.directReads.setEnabled(enabled) != enabled {
 		r.gateway.log.Log(events.SourceChanged, events.Fields{"store": enabled, "router": r.lastSource()})
 	}
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -33,8 +33,8 @@
 	return f, seeds, follower
 }
 
-// The unearned retries of all routers together are bounded by one sum, independent of the number of
-// routers.
+// The retries beyond the share of requests that may be retried have one common limit for all
+// routers, independent of the number of routers.
 func TestRetryReserveIsSharedByAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -80,10 +80,10 @@
 	f, _, follower := newSeededFleet(t)
 	f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	f.g.Consistently(follower.storeEndpoint.CallCount, 600*time.Millisecond).Should(Equal(0), "only seeds read the store")
-	changed := time.Now()
+	changedAt := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	f.g.Eventually(func() int { return follower.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 300*time.Millisecond), "changes are pushed")
+	f.g.Expect(time.Since(changedAt)).To(BeNumerically("<", 300*time.Millisecond), "changes are pushed")
 }
 
 // Only routers that read the store anyway compete for the lease immediately. Otherwise each named
--- a/internal/gateway/relayserve.go
+++ b/internal/gateway/relayserve.go
@@ -74,14 +74,14 @@
 		return g.transfer.answer(pull)
 	}
 	referTo, interval := r.recordFollower(pull)
-	stores := g.cacheStores.status.Load()
+	stores := g.cacheStoreMonitor.status.Load()
 	answer := &wire.CopyAnswer{
 		Zone: g.settings.Zone, CacheStores: stores.availableBits, CacheStoresConfig: stores.configVersion, Routers: uint32(g.routerCount()),
 		ReferTo: referTo, PullAfterMillis: uint32(interval.Milliseconds()),
 		StoreOnly: g.transfer.running.Load(),
 	}
 	if pull.GetWantsCache() {
-		answer.Cache = g.caches.deltaSince(pull.GetCacheFeed(), pull.GetCacheThrough())
+		answer.Cache = g.cacheReader.deltaSince(pull.GetCacheFeed(), pull.GetCacheThrough())
 	}
 	// The proof is read before the copies, so the copies are at least as new as the proof.
 	if current := g.activeConfig.Load(); current != nil && !current.provenAt.IsZero() {
@@ -92,7 +92,7 @@
 		answer.ProofAgeMillis = wire.AgeToMillis(r.gateway.since(*empty))
 	}
 	answer.Suspects, answer.Signals = g.suspects.answerPull(pull), g.signals.answerPull(pull)
-	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.boundsToShare()
+	answer.TellsProofs, answer.Proofs, answer.WeightBounds = true, g.copies.proofs(), g.boundsToReport()
 	if newest, known := g.copies.checkpoints.newest(); known {
 		answer.StoreRevision, answer.StoreAgeMillis = uint64(newest.revision), wire.AgeToMillis(r.gateway.since(newest.at))
 	}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -14,9 +14,9 @@
 		return
 	}
 	settings.SetDefaults()
-	g.relays.mutex.Lock()
-	g.relays.selector.SetSeeds(settings.Seeds)
-	g.relays.mutex.Unlock()
+	g.peerRouters.mutex.Lock()
+	g.peerRouters.selector.SetSeeds(settings.Seeds)
+	g.peerRouters.mutex.Unlock()
 	g.limits.SetServers(settings.Seeds)
 	g.schedulers.setSchedulers(settings.Seeds)
 	g.log.Log(events.SettingsReloaded, events.Fields{"seeds": len(settings.Seeds), "need_restart": g.settings.changedNeedingRestart(settings)})
--- a/internal/gateway/renew.go
+++ b/internal/gateway/renew.go
@@ -15,8 +15,9 @@
 // through that revision is proven without a call of its own. For a copy that is behind, a second,
 // short watch is sent, and if that returns changes, the pending watch is canceled. A draining
 // runner or newly named weights are thus known at most 1.2 s after the change while the watch of
-// the configuration works, instead of 12.7 s, and after 2.1 s if that one is silent as well. This
-// costs no call while nothing in the store changes, and otherwise one per kind each 0.9 s.
+// the configuration works, instead of 12.7 s, and at most 2.1 s after it if the watch of the
+// configuration is silent as well. This costs no call while nothing in the store changes, and
+// otherwise one per kind each 0.9 s.
 
 // watchLatencyMargin is how much later than the batch delay a working watch may report the next
 // change. 2 to 95 ms were measured.
@@ -28,7 +29,7 @@
 // verifyCopies proves the copies of the other kinds by a response on the configuration, or probes
 // for missed changes. It probes at once if the response is not current.
 func (g *Gateway) verifyCopies(observed checkpoint, current bool) {
-	for _, w := range g.followers {
+	for _, w := range g.storeWatchers {
 		if w.kind != ConfigObjects {
 			w.verify(observed, current)
 		}
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -14,11 +14,11 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Runners that refused requests and asked for a backoff of 3 s got up to 8 more requests from the
-// same router in that time. A refusal made routers avoid the runner for 0.15 s whatever it asked
-// for, and only as a preference, and the schedulers that choose for others did not learn of it, so
-// that the second attempt of a request also went to a runner in backoff. A single router sent as
-// many, so the cause was the duration, whatever the number of routers.
+// Runners that refused requests and requested a backoff of 3 s got up to 8 more requests from the
+// same router in that time. A refusal made routers avoid the runner for 0.15 s regardless of the
+// requested backoff, and only as a preference, and the schedulers that choose for others did not
+// learn of it, so that the second attempt of a request also went to a runner in backoff. A single
+// router sent as many, so the cause was the duration, whatever the number of routers.
 
 const (
 	// backoffTime is the backoff that runners request, and backoffSeconds the same as a header
@@ -31,7 +31,7 @@
 	maxSendsInBackoff = 2
 )
 
-// refuseWithBackoff makes the runners refuse all requests and ask for a backoff.
+// refuseWithBackoff makes the runners refuse all requests and request a backoff.
 func refuseWithBackoff(runners []*runnerstand.Runner) {
 	announce(runners, platform.HeaderRetryAfter, backoffSeconds)
 	for _, runner := range runners {
@@ -81,17 +81,17 @@
 	for name, test := range map[string]struct{ seeds, followers, resting int }{
 		"a router alone":            {0, 0, 2},
 		"three seeds and followers": {3, 3, 2},
-		"all runners rest":          {1, 2, 6},
+		"all runners in backoff":    {1, 2, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
 			f.sendLoadByRouter(time.Second)
-			resting, since := f.busiest(test.resting), time.Now()
-			refuseWithBackoff(resting)
+			backingOff, since := f.busiest(test.resting), time.Now()
+			refuseWithBackoff(backingOff)
 			got := f.sendLoadByRouter(2*backoffTime + time.Second)
 			t.Logf("calls %d, served %d, refused %d", got.sent, got.succeeded, got.refused)
-			for _, runner := range resting {
+			for _, runner := range backingOff {
 				t.Logf("%s: at most %d requests in a backoff, %d in total", runner.ID, maxArrivalsInBackoff(runner, since), arrivalsAfter(runner, since))
 				f.g.Expect(maxArrivalsInBackoff(runner, since)).To(BeNumerically("<=", maxSendsInBackoff))
 			}
@@ -99,7 +99,7 @@
 			if test.resting < len(f.engines) {
 				f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 			}
-			for _, runner := range resting {
+			for _, runner := range backingOff {
 				runner.SetBehaviour(runnerstand.Normal)
 			}
 			time.Sleep(backoffTime)
--- a/internal/gateway/restoredrunners_test.go
+++ b/internal/gateway/restoredrunners_test.go
@@ -113,7 +113,7 @@
 	f.writeUnrelated(lostWrites)
 	time.Sleep(revisionPropagationTime)
 	orders := f.orderCount()
-	streams := make(chan answer, len(f.routers))
+	streams := make(chan callResponse, len(f.routers))
 	f.setStoreFault(storestand.Reset)
 	for _, r := range f.routers {
 		go func() { streams <- r.call("/stream/x", nil) }()
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -178,10 +178,10 @@
 				f.restore(backup, storeDowntime, func() { afterRestore(f, lostRevision) })
 				f.awaitServing()
 
-				changed := time.Now()
+				changedAt := time.Now()
 				f.configure(2, routesWith("fresh"), goodKey)
 				nameWeights(f.fleet, 3)
-				f.awaitConfiguration(changed, "/fresh/x", "key-two")
+				f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 				f.awaitWeights(3)
 			})
 		}
@@ -198,17 +198,17 @@
 			backup := f.store.Backup()
 			f.writeUnrelated(lostWrites)
 			time.Sleep(revisionPropagationTime)
-			var changed time.Time
+			var changedAt time.Time
 			var joined *runnerstand.Runner
 			f.restore(backup, storeDowntime, func() {
 				f.rewriteEntries(1)
-				changed = time.Now()
+				changedAt = time.Now()
 				f.configure(2, routesWith("fresh"), goodKey)
 				nameWeights(f.fleet, 2)
 				joined = f.runner("p2", "plain")
 				f.writeUnrelated(lostWrites)
 			})
-			f.awaitConfiguration(changed, "/fresh/x", "key-two")
+			f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 			f.awaitWeights(2)
 			f.plain.Close()
 			f.store.Delete(platform.KindRunners, f.plain.ID)
@@ -282,9 +282,9 @@
 		time.Sleep(storeDowntime / 2)
 	}
 	f.awaitServing()
-	changed := time.Now()
+	changedAt := time.Now()
 	f.configure(2, routesWith("fresh"), goodKey)
 	nameWeights(f.fleet, 2)
-	f.awaitConfiguration(changed, "/fresh/x", "key-two")
+	f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 	f.awaitWeights(2)
 }
--- a/internal/gateway/routercount_test.go
+++ b/internal/gateway/routercount_test.go
@@ -11,11 +11,11 @@
 	"github.com/clovertiller/clovertiller/internal/lab/loopback"
 )
 
-// Guards against wrong estimates of the number of routers. A seed assumed that each other seed
-// had as many followers as itself, counted seeds that pulled from it as followers, and ignored
-// seeds without followers. When all keepers of a quota were lost, each of five routers
-// therefore used only 1/18 of the quota and refused every request of the tenant for a second: a
-// debt of 296 tokens was paid off at 167 tokens per second instead of 600.
+// Guards against wrong estimates of the number of routers. A seed assumed that each other seed had
+// as many followers as itself, counted seeds that pulled from it as followers, and ignored seeds
+// without followers. When all servers of a quota were lost, each of five routers therefore used
+// only 1/18 of the quota and refused every request of the tenant for a second: a debt of 296 tokens
+// was paid off at 167 tokens per second instead of 600.
 func TestRoutersCountEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -58,7 +58,7 @@
 	}
 	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
-	done := make(chan answer)
+	done := make(chan callResponse)
 	go func() { done <- r.call("/once/x", nil) }()
 	f.g.Eventually(runner.ArrivalCount).Should(Equal(1))
 	if inResponse {
--- a/internal/gateway/runnerports.go
+++ b/internal/gateway/runnerports.go
@@ -65,7 +65,8 @@
 
 // The results of a liveness check.
 const (
-	// RunnerUnknown means that there was no answer, or none that settles it.
+	// RunnerUnknown means that there was no answer, or that the answer does not tell whether the
+	// runner is running.
 	RunnerUnknown RunnerLiveness = iota
 	// RunnerRunning means that the runner itself answered.
 	RunnerRunning
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -54,7 +54,7 @@
 // nearest returns the address of the scheduler to ask, or "" if this router has to choose runners
 // itself.
 func (s *schedulers) nearest(now time.Time) string {
-	if s.gateway.relays.transport == nil {
+	if s.gateway.peerRouters.transport == nil {
 		return ""
 	}
 	s.mutex.Lock()
@@ -105,7 +105,7 @@
 
 // isScheduler reports whether this router places requests for others.
 func (s *schedulers) isScheduler() bool {
-	if s.gateway.relays.transport == nil {
+	if s.gateway.peerRouters.transport == nil {
 		return false
 	}
 	s.mutex.Lock()
@@ -149,7 +149,7 @@
 	s.placedSends.LearnVersion(key, notice.GetWeights())
 	if notice.GetEnded() {
 		if query, send, found := s.placedSends.Get(key); found {
-			s.gateway.shares.refund(s.gateway.now(), query, send, outcome)
+			s.gateway.fairShares.refund(s.gateway.now(), query, send, outcome)
 		}
 		s.placedSends.AvoidRunner(s.gateway.now(), key, time.Duration(notice.GetRestMillis())*time.Millisecond)
 		s.placedSends.End(s.gateway.now(), key, outcome)
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -23,17 +23,17 @@
 
 // newScheduledFleet returns a fleet with schedulers, which are the seeds, and followers that wait
 // for them for longPlacePatience. Each router serves metrics at one of the returned addresses.
-func newScheduledFleet(t *testing.T, schedulers, followers int, runners ...string) (f *fleet, routers []*router, runnerStands []*runnerstand.Runner, metricsAddresses []string) {
-	return newScheduledFleetWithPatience(t, longPlacePatience, schedulers, followers, runners...)
+func newScheduledFleet(t *testing.T, schedulers, followers int, runnerIDs ...string) (f *fleet, routers []*router, runners []*runnerstand.Runner, metricsAddresses []string) {
+	return newScheduledFleetWithPatience(t, longPlacePatience, schedulers, followers, runnerIDs...)
 }
 
 // newScheduledFleetWithPatience is newScheduledFleet with the given time that calls wait for a
 // scheduler.
-func newScheduledFleetWithPatience(t *testing.T, patience time.Duration, schedulers, followers int, runners ...string) (f *fleet, routers []*router, runnerStands []*runnerstand.Runner, metricsAddresses []string) {
+func newScheduledFleetWithPatience(t *testing.T, patience time.Duration, schedulers, followers int, runnerIDs ...string) (f *fleet, routers []*router, runners []*runnerstand.Runner, metricsAddresses []string) {
 	f = newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
-	for _, id := range runners {
-		runnerStands = append(runnerStands, f.runner(id, "plain"))
+	for _, id := range runnerIDs {
+		runners = append(runners, f.runner(id, "plain"))
 	}
 	var seeds []string
 	for range schedulers {
@@ -49,10 +49,10 @@
 			}
 		}))
 	}
-	return f, routers, runnerStands, metricsAddresses
+	return f, routers, runners, metricsAddresses
 }
 
-const schedulerChoices = `clovertiller_choices_total{by="scheduler"}`
+const schedulerChoicesSeries = `clovertiller_choices_total{by="scheduler"}`
 
 const (
 	// evenPlacementTime is for how long a scheduler distributes calls evenly although no runner
@@ -87,7 +87,7 @@
 	t.Parallel()
 	f, routers, runners, metricsAddresses := newScheduledFleet(t, 1, 4, "p1", "p2")
 	placed := func() float64 { return scrapeMetrics(f.g, metricsAddresses[0])["clovertiller_placed_requests"] }
-	chosen := func() float64 { return scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices] }
+	chosen := func() float64 { return scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries] }
 	for _, runner := range runners {
 		runner.SetBehaviour(runnerstand.Delays)
 	}
@@ -127,13 +127,13 @@
 	t.Parallel()
 	f, routers, _, metricsAddresses := newScheduledFleet(t, 1, 1, "p1")
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries]).To(BeNumerically("==", 1))
 	for _, r := range routers {
 		r.storeEndpoint.SetFault(storestand.Hangs)
 	}
 	time.Sleep(4 * time.Second) // until its proof has expired
 	f.g.Expect(routers[1].call("/public/x", nil).status).To(Equal(http.StatusOK), "public routes are still served")
-	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries]).To(BeNumerically("==", 1))
 }
 
 // A scheduler that cannot reach the store gets its proof from a router that can, and continues.
@@ -143,9 +143,9 @@
 	routers[0].storeEndpoint.SetFault(storestand.Hangs)
 	f.putEntry(f.runnerByID("p1"), "draining")
 	time.Sleep(4 * time.Second)
-	before := scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]
+	before := scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries]
 	f.g.Expect(routers[1].call("/safe/x", nil).status).To(Equal(http.StatusOK))
-	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(Equal(before + 1))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries]).To(Equal(before + 1))
 	f.g.Expect(routers[0].log.String()).To(ContainSubstring(lineDraining))
 	f.g.Expect(f.runnerByID("p1").Runs()).To(BeEmpty())
 }
@@ -172,7 +172,7 @@
 	routers[1].call("/safe/x", nil)
 	f.g.Expect(len(runners[0].Runs())).To(Equal(1))
 	f.g.Expect(len(runners[1].Runs())).To(Equal(1))
-	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoices]).To(BeNumerically("==", 2))
+	f.g.Expect(scrapeMetrics(f.g, metricsAddresses[1])[schedulerChoicesSeries]).To(BeNumerically("==", 2))
 }
 
 // Each call occupies one of eight slots for 0.4 s and has a target latency of 0.3 s. Most of forty
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -22,8 +22,8 @@
 	// PeerBindAddress is the IP:port to listen on for other routers if it differs from
 	// PeerAddress, for example behind a port forward. Empty means PeerAddress.
 	PeerBindAddress string
-	// Seeds are the peer addresses of the routers that read the store on behalf of others. They
-	// may be down or outdated.
+	// Seeds are the peer addresses of the routers that read the store on behalf of others. These
+	// routers may be down, and the list may be outdated.
 	Seeds []string
 	// FirstStart is set if the whole system is started for the first time.
 	FirstStart bool
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -20,8 +20,8 @@
 type fairShares struct {
 	gateway *Gateway
 	tracker *fairshare.Tracker
-	// weightsView is the configuration whose tenant weights are applied.
-	weightsView *activeConfig
+	// weightsConfig is the configuration whose tenant weights are applied.
+	weightsConfig *activeConfig
 	// reportedExcesses holds the excesses that schedulers reported, by service and tenant name. It
 	// is cleared when the configuration changes, so it holds only entries of the current one.
 	reportedExcesses map[string]reportedExcess
@@ -49,12 +49,12 @@
 	if current == nil || len(current.table.TenantWeights()) < 2 {
 		return false
 	}
-	if current != s.weightsView {
-		if s.weightsView == nil || s.weightsView.table != current.table {
+	if current != s.weightsConfig {
+		if s.weightsConfig == nil || s.weightsConfig.table != current.table {
 			s.tracker.SetWeights(current.table.TenantWeights())
 			clear(s.reportedExcesses)
 		}
-		s.weightsView = current
+		s.weightsConfig = current
 	}
 	return true
 }
@@ -109,7 +109,7 @@
 // tracksUsage reports whether this router sees enough of all requests to compute shares: it is a
 // scheduler, or there are no other routers.
 func (s *fairShares) tracksUsage() bool {
-	return s.syncWeights() && (s.gateway.relays.transport == nil || s.gateway.schedulers.isScheduler())
+	return s.syncWeights() && (s.gateway.peerRouters.transport == nil || s.gateway.schedulers.isScheduler())
 }
 
 // refund cancels the charge for a request that no runner executed.
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -25,10 +25,10 @@
 // newSharingGateway returns a router without peers that knows the runners and the tenants.
 func newSharingGateway(tenants ...string) *Gateway {
 	g := &Gateway{ports: Ports{Clock: clock.New()}, runners: backend.NewSet("z"), random: rand.New(rand.NewPCG(1, 2))}
-	g.relays = &peerRouters{gateway: g}
+	g.peerRouters = &peerRouters{gateway: g}
 	g.settings.Zone = "z"
 	g.metrics = newMetrics(g)
-	g.schedulers, g.shares = newSchedulers(g), newFairShares(g)
+	g.schedulers, g.fairShares = newSchedulers(g), newFairShares(g)
 	g.loadShedder = admission.NewLoadShedder(g.random)
 	config := &routing.Config{Version: 1}
 	for _, tenant := range tenants {
@@ -69,9 +69,9 @@
 		e.Expect(forShare).To(BeFalse(), "only refused because of the queue")
 	}
 	now = now.Add(time.Second)
-	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
-	e.Expect(g.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
-	e.Expect(g.shares.summary(now)).To(HaveLen(1))
+	e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
+	e.Expect(g.fairShares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
+	e.Expect(g.fairShares.summary(now)).To(HaveLen(1))
 }
 
 func TestShareRefusalAffectsOnlyTenantAboveShare(t *testing.T) {
@@ -88,7 +88,7 @@
 	chosen, _, forShare := g.placeRequestWithExcess(now, tenantQuery("hot"), time.Minute, excess)
 	e.Expect(chosen.Status).To(Equal(placement.Overloaded))
 	e.Expect(forShare).To(BeTrue())
-	e.Expect(chosen.RetryAfter).To(Equal(g.shares.tracker.RecoveryTime(excess)), "not before its usage has decayed to its share")
+	e.Expect(chosen.RetryAfter).To(Equal(g.fairShares.tracker.RecoveryTime(excess)), "not before its usage has decayed to its share")
 	chosen, _, forShare = g.placeRequestWithExcess(now, tenantQuery("calm"), time.Minute, 1)
 	e.Expect(chosen.Status).To(Equal(placement.Picked))
 	e.Expect(forShare).To(BeFalse())
@@ -108,8 +108,8 @@
 	for range 20 {
 		g.decideFor(now, "hot")
 	}
-	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
-	e.Expect(g.shares.tracker.TenantCount()).To(BeZero())
+	e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
+	e.Expect(g.fairShares.tracker.TenantCount()).To(BeZero())
 }
 
 func TestUnexecutedRequestsAreRefunded(t *testing.T) {
@@ -128,17 +128,17 @@
 				if chosen, _ := g.decideFor(now, "hot"); chosen.Status == placement.Picked {
 					q := tenantQuery("hot")
 					send := backend.NewSet("z").Begin(now, chosen.Candidate.Name, q.PromptTokens-chosen.Candidate.CachedTokens)
-					g.shares.refund(now.Add(100*time.Millisecond), q, send, test.outcome)
+					g.fairShares.refund(now.Add(100*time.Millisecond), q, send, test.outcome)
 				}
 			}
 			now = now.Add(time.Second)
 			calm := tenantQuery("calm")
-			g.shares.tracker.Charge(now, poolOf(calm), "calm", 4000)
-			g.shares.tracker.RecordRefusal(now, poolOf(calm), "calm", 1e6)
+			g.fairShares.tracker.Charge(now, poolOf(calm), "calm", 4000)
+			g.fairShares.tracker.RecordRefusal(now, poolOf(calm), "calm", 1e6)
 			if test.excess {
-				e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
+				e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
 			} else {
-				e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
+				e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 			}
 		})
 	}
@@ -159,27 +159,27 @@
 		for _, tenant := range tenants {
 			q := tenantQuery(tenant)
 			q.Service = service
-			g.shares.tracker.Charge(now, poolOf(q), tenant, 1e6)
-			g.shares.tracker.RecordRefusal(now, poolOf(q), tenant, 1e6)
+			g.fairShares.tracker.Charge(now, poolOf(q), tenant, 1e6)
+			g.fairShares.tracker.RecordRefusal(now, poolOf(q), tenant, 1e6)
 		}
 	}
-	share := &wire.LoadShare{Uses: g.shares.localUsage(now)}
+	share := &wire.LoadShare{Uses: g.fairShares.localUsage(now)}
 	e.Expect(proto.Size(share)).To(BeNumerically("<", maxBytes))
 	other := newSharingGateway(tenants...)
-	other.shares.merge("r", share)
-	e.Expect(other.shares.localUsage(now)).To(BeEmpty(), "usage reported by others is not reported again")
+	other.fairShares.merge("r", share)
+	e.Expect(other.fairShares.localUsage(now)).To(BeEmpty(), "usage reported by others is not reported again")
 }
 
 func TestReportedExcessExpires(t *testing.T) {
 	t.Parallel()
 	g, now := newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
-	g.shares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{ExcessPercent: encodeExcess(2.5)}))
-	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(2.5))
-	e.Expect(g.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
-	e.Expect(g.shares.excess(now.Add(reportedExcessExpiry), tenantQuery("hot"))).To(Equal(1.0))
-	g.shares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{}))
-	e.Expect(g.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
+	g.fairShares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{ExcessPercent: encodeExcess(2.5)}))
+	e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(Equal(2.5))
+	e.Expect(g.fairShares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
+	e.Expect(g.fairShares.excess(now.Add(reportedExcessExpiry), tenantQuery("hot"))).To(Equal(1.0))
+	g.fairShares.recordReportedExcess(now, tenantQuery("hot"), decodeExcess(&wire.RunnerAnswer{}))
+	e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 }
 
 // A tenant that sends only to routers of one scheduler also exceeds its share at the others.
@@ -190,17 +190,17 @@
 	for range 50 {
 		first.decideFor(now, "hot")
 	}
-	second.shares.tracker.Charge(now, poolOf(tenantQuery("calm")), "calm", 1e5)
-	second.shares.tracker.RecordRefusal(now, poolOf(tenantQuery("calm")), "calm", 1e5)
-	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
-	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.shares.localUsage(now)})
+	second.fairShares.tracker.Charge(now, poolOf(tenantQuery("calm")), "calm", 1e5)
+	second.fairShares.tracker.RecordRefusal(now, poolOf(tenantQuery("calm")), "calm", 1e5)
+	e.Expect(second.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
+	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.fairShares.localUsage(now)})
 	now = now.Add(time.Second)
-	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(Equal(1.0), "both have about the same usage")
-	first.shares.tracker.Charge(now, poolOf(tenantQuery("hot")), "hot", 1e6)
-	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.shares.localUsage(now)})
+	e.Expect(second.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0), "both have about the same usage")
+	first.fairShares.tracker.Charge(now, poolOf(tenantQuery("hot")), "hot", 1e6)
+	second.schedulers.handleLoadShare("first", &wire.LoadShare{Full: true, Uses: first.fairShares.localUsage(now)})
 	now = now.Add(time.Second)
-	e.Expect(second.shares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
-	e.Expect(second.shares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
+	e.Expect(second.fairShares.excess(now, tenantQuery("hot"))).To(BeNumerically(">", 1))
+	e.Expect(second.fairShares.excess(now, tenantQuery("calm"))).To(Equal(1.0))
 }
 
 // A caller refused because of its tenant's share is told the reason and when to retry.
--- a/internal/gateway/shareuses.go
+++ b/internal/gateway/shareuses.go
@@ -11,8 +11,8 @@
 // maxStatusExcesses is the maximum number of tenants in the status.
 const maxStatusExcesses = 10
 
-// BeyondShare is a tenant that uses more than its fair share of an overloaded service.
-type BeyondShare struct {
+// TenantExcess is a tenant that uses more than its fair share of an overloaded service.
+type TenantExcess struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
 	// Excess is the factor by which the tenant's longest accepted queueing time is divided.
@@ -20,10 +20,10 @@
 }
 
 // summary returns the tenants that exceed their shares, for the status.
-func (s *fairShares) summary(now time.Time) []BeyondShare {
-	var summary []BeyondShare
+func (s *fairShares) summary(now time.Time) []TenantExcess {
+	var summary []TenantExcess
 	for _, tenant := range s.tracker.TopExcesses(now, maxStatusExcesses) {
-		summary = append(summary, BeyondShare{Tenant: tenant.Tenant, Service: tenant.Service, Excess: tenant.Excess})
+		summary = append(summary, TenantExcess{Tenant: tenant.Tenant, Service: tenant.Service, Excess: tenant.Excess})
 	}
 	return summary
 }
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -46,24 +46,24 @@
 }
 
 // receiveSignals applies the signals in the headers of a runner's response.
-func (c *call) receiveSignals(answer ResponseInfo, status int) {
+func (c *call) receiveSignals(info ResponseInfo, status int) {
 	g, now := c.gateway, c.gateway.now()
-	success := answer.Stamped && !answer.Encoded && isSuccess(status)
+	success := info.Stamped && !info.Encoded && isSuccess(status)
 	g.mutex.Lock()
-	changes := g.runners.RecordSignals(now, c.sentAt, c.runner, answer.Signals, success)
-	shouldLog := len(answer.Signals.Malformed) > 0 && now.Sub(g.signals.malformedLoggedAt) >= malformedLogInterval
+	changes := g.runners.RecordSignals(now, c.sentAt, c.runner, info.Signals, success)
+	shouldLog := len(info.Signals.Malformed) > 0 && now.Sub(g.signals.malformedLoggedAt) >= malformedLogInterval
 	if shouldLog {
 		g.signals.malformedLoggedAt = now
 	}
 	g.mutex.Unlock()
-	for range answer.Signals.Malformed {
+	for range info.Signals.Malformed {
 		g.metrics.runnerSignals.WithLabelValues(c.service, signalMalformed).Inc()
 	}
 	if shouldLog {
-		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": answer.Signals.Malformed, "status": status, "request": c.metadata.ID})
+		g.log.Log(events.SignalUnreadable, events.Fields{"runner": c.runner.ID, "address": c.runner.Address, "headers": info.Signals.Malformed, "status": status, "request": c.metadata.ID})
 	}
 	if changes.Any() {
-		g.signals.recordChanges(c.runner, c.service, changes, answer.Signals, c.metadata.ID)
+		g.signals.recordChanges(c.runner, c.service, changes, info.Signals, c.metadata.ID)
 	}
 }
 
@@ -95,7 +95,7 @@
 }
 
 // merge applies signals from another router. It logs and broadcasts those that changed here and
-// those of which the sender had an outdated version.
+// those of which the other router had an outdated version.
 func (s *signals) merge(messages []*wire.RunnerSignal) {
 	g, now := s.gateway, s.gateway.now()
 	g.mutex.Lock()
@@ -165,8 +165,9 @@
 	s.pullPositions[address] = feedPosition{feed: delta.GetFeed(), through: delta.GetThrough()}
 }
 
-// restingRunners returns the runners that asked this router to back off.
-func (g *Gateway) restingRunners() []backend.RestingRunner {
+// runnerBackoffs returns the runners that requested a backoff from this router, with the remaining
+// times.
+func (g *Gateway) runnerBackoffs() []backend.RestingRunner {
 	now := g.now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -12,10 +12,10 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Guards against older weights that are used too long. Two versions are named while a router
-// receives no changes. Lists and other routers contain only the newest version, so the router
-// never learns of the first one. It used to count the deadline of the weights before both from
-// the naming of the second version. It must count from the naming of the first one.
+// Guards against older weights that are used for too long. Two versions are named while a router
+// receives no changes. Lists and other routers contain only the newest version, so the router never
+// learns of the first one. It used to count the deadline of the weights before both from the naming
+// of the second version. It must count from the naming of the first one.
 
 const (
 	// namingInterval is the time between the two namings.
--- a/internal/gateway/latenews_test.go
+++ b/internal/gateway/stalledwatches_test.go
@@ -20,7 +20,7 @@
 
 // Requests began on weights that had been replaced too long ago, and reached runners that had
 // reported that they were leaving. Routers knew of neither change: the watches of runners and
-// weights wait for 12 s, and a watch that had lost its connection or its answer was waited for to
+// weights wait for 12 s, and a watch that had lost its connection or its response was waited for to
 // the end, although the store answered new calls. Only the configuration was proved to be current.
 // In the tests below, the changes arrived 12 s late, or not at all within the duration of the test.
 
@@ -46,10 +46,10 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), goodKey)
 	f.runner("p1", "plain")
-	door, err := f.store.OpenEndpoint()
+	endpoint, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(door.Close)
-	proxy, err := faultproxy.Start(door.Address)
+	t.Cleanup(endpoint.Close)
+	proxy, err := faultproxy.Start(endpoint.Address)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(proxy.Close)
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.StoreAddress = proxy.Address })
@@ -61,7 +61,7 @@
 	f.g.Eventually(r.log.String, maxChangeDelay, 10*time.Millisecond).Should(And(ContainSubstring(lineDraining), ContainSubstring(lineWeightsNamed)))
 }
 
-// The watch of the configuration continues, and the store revision in its answers shows that
+// The watch of the configuration continues, and the store revision in its responses shows that
 // another watch is behind. Routers that pull from this one learn of the changes too.
 func TestChangesArriveWhenOneWatchIsSilent(t *testing.T) {
 	for _, kind := range []string{platform.KindRunners, platform.KindWeightVersions} {
@@ -122,10 +122,10 @@
 	})
 }
 
-// A store may answer with outdated data, as a lagging replica does. Answers with a revision lower
-// than the one that the router knew before its call counted as a proof of its copies and as a bound
-// for when weights were named, so that the time limit of older weights was counted from the last
-// such answer.
+// A store may respond with outdated data, as a lagging replica does. Responses with a revision
+// lower than the one that the router knew before its call counted as a proof of its copies and as a
+// bound for when weights were named, so that the time limit of older weights was counted from the
+// last such response.
 func TestOutdatedStoreAnswersProveNothing(t *testing.T) {
 	t.Parallel()
 	const deadline, staleTime = 6 * time.Second, 2500 * time.Millisecond
@@ -153,7 +153,7 @@
 }
 
 // Seeds whose store calls for runners got no answer, while those for the configuration did, proved
-// the configuration of routers that could read the store themselves. These routers trusted copies
+// the configuration of routers that could read the store themselves. These routers relied on copies
 // of the runners that were 2.2 s old, and sent requests to runners that had left 2 s before. Where
 // many routers pull from a seed, each does so every 0.45 s, and another seed may not answer.
 func TestRoutersDoNotWaitForSeedsWithoutRunnerUpdates(t *testing.T) {
@@ -174,7 +174,7 @@
 		settings.PeerAddress, settings.Seeds, settings.StoreAddress = seedAddress, []string{seedAddress}, storeAddress
 		settings.MetricsAddress, settings.DirectFollowers = metricsAddress, 1000
 	})
-	pullAsManyRouters(f, seedAddress, extraRouters)
+	simulateFollowers(f, seedAddress, extraRouters)
 	follower := f.servingRouter("follower", f.followerSettings([]string{seedAddress, silentSeed}))
 	time.Sleep(1500 * time.Millisecond)
 	blocked.Store(true)
@@ -200,8 +200,9 @@
 	return listener.Addr().String()
 }
 
-// pullAsManyRouters pulls from the seed like the given number of routers until the test ends.
-func pullAsManyRouters(f *fleet, seed string, count int) {
+// simulateFollowers pulls from the seed like the given number of followers, once per second each,
+// until the test ends.
+func simulateFollowers(f *fleet, seed string, count int) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	f.g.Expect(err).NotTo(HaveOccurred())
 	transport := wire.NewTransport(wire.Identity{Node: "crowd", Incarnation: 1}, listener, func(context.Context, *wire.Envelope) *wire.Envelope { return nil })
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -22,8 +22,8 @@
 func (s *startup) markReady() { s.once.Do(func() { close(s.ready) }) }
 
 // waitForStartup makes a call wait while the router has just started and does not yet know
-// configuration and runners. After the loss of all routers, callers return at once, and many
-// may retry only once, so a refusal would be their final response.
+// configuration and runners. After the loss of all routers, callers retry at once, and many may
+// retry only once, so a refusal would be their final response.
 func (g *Gateway) waitForStartup(ctx context.Context, arrived time.Time) {
 	remaining := min(g.settings.StartWait, g.startedAt.Add(startupPeriod).Sub(arrived))
 	if remaining <= 0 {
--- a/internal/gateway/statetransfer.go
+++ b/internal/gateway/statetransfer.go
@@ -44,7 +44,7 @@
 // start starts a transfer unless this router already has copies of all kinds.
 func (t *stateTransfer) start() {
 	t.once.Do(func() {
-		if t.gateway.relays.transport == nil || t.gateway.copies.hasAllKinds() {
+		if t.gateway.peerRouters.transport == nil || t.gateway.copies.hasAllKinds() {
 			close(t.done)
 			return
 		}
@@ -76,7 +76,7 @@
 	}()
 	startedAt := g.now()
 	for attempt := 0; g.since(startedAt) < transferTimeout; attempt++ {
-		if t.pullFromAny(g.relays.transferSources(), attempt > 0) || !g.backoff(attempt, minTransferRetryDelay, maxTransferRetryDelay) {
+		if t.pullFromAny(g.peerRouters.transferSources(), attempt > 0) || !g.backoff(attempt, minTransferRetryDelay, maxTransferRetryDelay) {
 			return
 		}
 	}
@@ -112,12 +112,12 @@
 	if !canTransfer(answer) {
 		return false
 	}
-	deltas, ok := g.relays.unpackDeltas(answer.GetDeltas())
+	deltas, ok := g.peerRouters.unpackDeltas(answer.GetDeltas())
 	merged := 0
 	for _, d := range deltas {
 		merged += g.copies.mergeTransferred(d.kind, d.delta)
 	}
-	g.log.Log(events.StateTransferred, events.Fields{"router": address, "era": g.era.newest(), "objects": merged})
+	g.log.Log(events.StateTransferred, events.Fields{"router": address, "era": g.eraTracker.newest(), "objects": merged})
 	return ok
 }
 
@@ -126,7 +126,7 @@
 
 // sendPull requests full copies of the kinds from a router and returns its answer, or nil.
 func (t *stateTransfer) sendPull(address string, timeout time.Duration, kinds []ObjectKind) *wire.CopyAnswer {
-	peers := t.gateway.relays
+	peers := t.gateway.peerRouters
 	ctx, cancel := context.WithTimeout(t.gateway.ctx, timeout)
 	defer cancel()
 	request := peers.newPull(address)
@@ -153,7 +153,7 @@
 	answer.ProofAgeMillis = wire.AgeToMillis(g.since(current.provenAt))
 	for _, have := range pull.GetHave() {
 		if kind := ObjectKind(have.GetKind()); int(kind) < len(objectKinds) {
-			answer.Deltas = append(answer.Deltas, g.relays.packedChanges(kind, 0))
+			answer.Deltas = append(answer.Deltas, g.peerRouters.packedChanges(kind, 0))
 		}
 	}
 	return answer
@@ -171,7 +171,7 @@
 	}
 	store := c.stores[kind]
 	store.Replace(newer)
-	c.gateway.relays.clearPackedDeltas()
+	c.gateway.peerRouters.clearPackedDeltas()
 	for _, object := range newer {
 		c.gateway.applyObject(kind, object)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -16,12 +16,12 @@
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
 	Draining bool   `json:"draining"`
-	// ConfigVersion and ConfigRevision are those of the configuration in force, 0 without one.
+	// ConfigVersion and ConfigRevision are those of the active configuration, 0 without one.
 	ConfigVersion  uint64 `json:"configVersion"`
 	ConfigRevision uint64 `json:"configRevision"`
 	// StoreEra is the newest known era of the store, 0 if none is known.
 	StoreEra uint64 `json:"storeEra"`
-	// ProofAgeMillis is the age of the configuration's proof, -1 without one.
+	// ProofAgeMillis is the time since the configuration was last proven, -1 without one.
 	ProofAgeMillis int64 `json:"proofAgeMillis"`
 	// Proven is set if the proof is recent enough to serve requests with an API key.
 	Proven bool `json:"proven"`
@@ -36,9 +36,9 @@
 	LeaseToken uint64                  `json:"leaseToken"`
 	Weights    map[string]uint64       `json:"weights"`
 	Runners    []backend.RunnerSummary `json:"runners"`
-	// BeyondShare lists the known tenants that exceed their fair shares of overloaded services
+	// TenantExcesses lists the known tenants that exceed their fair shares of overloaded services
 	// the most. It is empty on routers that place no requests.
-	BeyondShare []BeyondShare `json:"beyondShare,omitempty"`
+	TenantExcesses []TenantExcess `json:"beyondShare,omitempty"`
 	// Quarantined lists up to maxQuarantinedInStatus quarantined contents.
 	Quarantined []QuarantinedContent `json:"quarantined,omitempty"`
 }
@@ -61,7 +61,7 @@
 	now := g.now()
 	status := Status{
 		Node: g.settings.Node, Zone: g.settings.Zone, Draining: g.draining.Load(), ProofAgeMillis: -1,
-		Proven: g.configIsProven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.era.newest(), ReadsStore: g.directReads.isEnabled(),
+		Proven: g.configIsProven(now), DirectoryRevision: storerev.Revision(g.directoryRevision.Load()).Number(), StoreEra: g.eraTracker.newest(), ReadsStore: g.directReads.isEnabled(),
 		LeaseToken: g.leaseToken.Load(),
 	}
 	if current := g.activeConfig.Load(); current != nil {
@@ -71,14 +71,14 @@
 		}
 	}
 	if !status.ReadsStore {
-		status.Source = g.relays.lastSource()
+		status.Source = g.peerRouters.lastSource()
 	}
 	status.Quarantined = g.suspects.summary(now)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	status.Weights = g.runners.WeightTargets().Targets()
 	status.Runners = g.runners.Summaries(now)
-	status.BeyondShare = g.shares.summary(now)
+	status.TenantExcesses = g.fairShares.summary(now)
 	return status
 }
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -41,7 +41,7 @@
 	g.cancel()
 	g.callerServer.Close()
 	g.readinessServer.Close()
-	g.relays.close()
+	g.peerRouters.close()
 	if g.metricsServer != nil {
 		g.metricsServer.Close()
 	}
--- a/internal/gateway/keptquarantines.go
+++ b/internal/gateway/storedquarantines.go
@@ -39,7 +39,7 @@
 	// stored holds the records that the store is known to have.
 	stored map[quarantine.ContentID]quarantine.Record
 	// pending holds the contents whose record must be written to the store or, once it is cleared
-	// or has expired, removed from it. It has at most as many entries as there are records.
+	// or has expired, removed from it. It has at most one entry per record.
 	pending map[quarantine.ContentID]bool
 	// wakeup receives a value when there is something to write.
 	wakeup chan struct{}
@@ -59,7 +59,7 @@
 		q.pending[content] = true
 	} else {
 		// There is nothing to write any more. A router that does not read the store would otherwise
-		// keep the entry forever.
+		// never remove the entry.
 		delete(q.pending, content)
 	}
 	q.mutex.Unlock()
@@ -80,7 +80,7 @@
 	// Where there is no seed, many routers read at once, and a possibly stale list costs the store
 	// little. Once the history since a stale list has been compacted, stale lists are of no use and
 	// are not requested again.
-	stale := !g.relays.alwaysReadsStore()
+	stale := !g.peerRouters.alwaysReadsStore()
 	for g.directReads.waitEnabled(g.ctx) {
 		next, err := q.read(revision, stale)
 		if err == nil && next > 0 {
@@ -262,11 +262,11 @@
 // put writes the record to the store.
 func (q *storedQuarantines) put(record quarantine.Record) error {
 	g := q.gateway
-	written, era := toWallClock(g.now(), time.Now().Round(0), record), g.era.newest()
+	written, era := toWallClock(g.now(), time.Now().Round(0), record), g.eraTracker.newest()
 	if err := q.callStore(func(ctx context.Context) error { return g.ports.Store.SaveQuarantine(ctx, written) }); err != nil {
 		return err
 	}
-	if g.era.newest() != era {
+	if g.eraTracker.newest() != era {
 		// The store may have been restored from a backup without the record.
 		q.recordChanged(record.Content, minStoredCrashes)
 		return nil
--- a/internal/gateway/keptquarantines_internal_test.go
+++ b/internal/gateway/storedquarantines_internal_test.go
@@ -52,17 +52,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	gateway := &Gateway{ports: Ports{Clock: clock.New(), Store: store}, ctx: ctx, cancel: cancel, directReads: newDirectMode(), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	gateway.settings.FirstStart, gateway.settings.PeerAddress = true, "127.0.0.1:1"
-	gateway.relays = newPeerRouters(gateway)
+	gateway.peerRouters = newPeerRouters(gateway)
 	// Any transport will do, since nothing is sent.
-	gateway.relays.transport = &wire.Transport{}
+	gateway.peerRouters.transport = &wire.Transport{}
 	gateway.metrics, gateway.random = newMetrics(gateway), rand.New(rand.NewPCG(1, 2))
-	gateway.suspects, gateway.era = newSuspects(gateway), newEraTracker(gateway)
+	gateway.suspects, gateway.eraTracker = newSuspects(gateway), newEraTracker(gateway)
 	return gateway
 }
 
 // A router that read the store because it had no seeds requested a stale list, was told that the
-// history since was gone, listed again, and so on, with one call per answer of the store. Found in
-// a code review, beside a soak run in which the store answered no more calls.
+// history since was gone, listed again, and so on, with one call per response of the store. Found
+// in a code review, next to a soak run in which the store stopped responding to calls.
 func TestCompactedStoreIsNotListedInALoop(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -184,7 +184,7 @@
 	g.withdrawQuarantinedSends(record.Content)
 }
 
-// crashedRunners returns the ids of the runners that crashed while they processed the content.
+// crashedRunners returns the IDs of the runners that crashed while they processed the content.
 func crashedRunners(record quarantine.Record) []string {
 	names := make([]string, 0, len(record.Crashes))
 	for _, crash := range record.Crashes {
--- a/internal/gateway/weightbounds.go
+++ b/internal/gateway/weightbounds.go
@@ -8,17 +8,17 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// boundLifetimeDeadlines is the number of weight deadlines for which a bound is shared. After
+// boundLifetimeDeadlines is the number of weight deadlines for which a bound is reported. After
 // that, no older weights are in use.
 const boundLifetimeDeadlines = 2
 
-// boundsToShare returns the bounds that this router reports to others.
-func (g *Gateway) boundsToShare() []*wire.WeightBound {
+// boundsToReport returns the bounds on naming times that this router reports to others.
+func (g *Gateway) boundsToReport() []*wire.WeightBound {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
 	var shared []*wire.WeightBound
-	for _, bound := range g.weightBounds.ReportableBounds(g.settings.namingConfig(), now, boundLifetimeDeadlines*g.settings.WeightDeadline) {
+	for _, bound := range g.namingHistories.ReportableBounds(g.settings.namingConfig(), now, boundLifetimeDeadlines*g.settings.WeightDeadline) {
 		shared = append(shared, &wire.WeightBound{Model: bound.Model, Version: bound.Version, AgeMillis: wire.AgeToMillis(now.Sub(bound.NotNamedAt()))})
 	}
 	return shared
@@ -37,25 +37,25 @@
 func (g *Gateway) receiveBound(model string, version uint64, notNamedBefore time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	bounds := g.weightBounds.ForModel(model)
-	if !bounds.RecordReport(g.settings.namingConfig(), version, notNamedBefore) {
+	history := g.namingHistories.ForModel(model)
+	if !history.RecordReport(g.settings.namingConfig(), version, notNamedBefore) {
 		return
 	}
-	g.updateOlderDeadlines(model, bounds)
-	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": bounds.NamedVersion(), "told": version, "older_until_ms": g.until(bounds.OldestExpiry(g.settings.namingConfig())).Milliseconds()})
+	g.updateOlderDeadlines(model, history)
+	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": history.NamedVersion(), "told": version, "older_until_ms": g.until(history.OldestExpiry(g.settings.namingConfig())).Milliseconds()})
 }
 
 // updateOlderDeadlines sets the deadlines of the model's older weights. The mutex is held.
-func (g *Gateway) updateOlderDeadlines(model string, bounds *namings.History) {
-	deadlines := bounds.Deadlines(g.settings.namingConfig())
+func (g *Gateway) updateOlderDeadlines(model string, history *namings.History) {
+	deadlines := history.Deadlines(g.settings.namingConfig())
 	g.runners.WeightTargets().SetDeadlines(model, deadlines)
 	for _, deadline := range deadlines {
 		g.scheduleWithdrawal(deadline.WithdrawAt, model)
 	}
 }
 
-// scheduleWithdrawal withdraws, at the given time, the model's sends that have not begun and no
-// longer may.
+// scheduleWithdrawal withdraws, at the given time, the model's unstarted sends on weights that have
+// expired by then.
 func (g *Gateway) scheduleWithdrawal(at time.Time, model string) {
 	time.AfterFunc(g.until(at), func() { g.withdrawExpiredSends(g.now(), model) })
 }
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -10,7 +10,7 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Delays with which changes reach a router.
+// Maximum delays with which changes reach a router.
 const (
 	// stalledWatchDetectionTime is the maximum time until a router whose watch went silent has
 	// the answer of the next one: a watch is given up after its wait and slack, and the next
@@ -27,12 +27,12 @@
 	return namings.Config{Deadline: s.WeightDeadline, GracePeriod: s.WeightGrace, SettlePeriod: s.SettleTime, MaxLossDelay: maxLostWatchDelay}
 }
 
-// weightNews returns what is known about when the weights at the revision were named. It must
+// namingObservation returns what is known about when the weights at the revision were named. It must
 // be called before they are applied to the copy.
-func (g *Gateway) weightNews(now time.Time, revision storerev.Revision) namings.Observation {
+func (g *Gateway) namingObservation(now time.Time, revision storerev.Revision) namings.Observation {
 	proven := g.copies.provenAt(WeightObjects)
 	return namings.Observation{
-		LearnedAt: now, StartedAt: g.startedAt, StoreFailures: g.storeFailures.latestSpan(), SingleRouter: g.relays.hasNoPeers(),
+		LearnedAt: now, StartedAt: g.startedAt, StoreFailures: g.storeFailures.latestSpan(), SingleRouter: g.peerRouters.hasNoPeers(),
 		CopyCurrentAt: proven, NotNamedAt: namings.Later(proven, g.copies.checkpoints.latestBefore(revision)),
 	}
 }
@@ -50,9 +50,9 @@
 	return f.span
 }
 
-// record records the error of a call that was sent at the given time, as evidence that the
-// store or the path to it did not work then. Cancelled calls, throttled calls and a history
-// that is gone are no such evidence.
+// record records the error of a call that was sent at the given time, as evidence that the store or
+// the path to it did not work then. Canceled calls, throttled calls and a history that is gone are
+// no such evidence.
 func (f *storeFailures) record(sentAt time.Time, err, contextErr error) {
 	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(contextErr, context.Canceled) {
 		return
--- a/internal/gateway/weightdeadline_test.go
+++ b/internal/gateway/weightdeadline_test.go
@@ -29,15 +29,15 @@
 
 func TestStoreFailuresAfterGapStartNewSpan(t *testing.T) {
 	g := NewWithT(t)
-	var d storeFailures
+	var failures storeFailures
 	at := time.Unix(1_000, 0)
 	failed := errors.New("no answer")
 	for _, second := range []int{0, 2, 4, 8, 9} {
-		d.record(at.Add(time.Duration(second)*time.Second), failed, nil)
+		failures.record(at.Add(time.Duration(second)*time.Second), failed, nil)
 	}
-	d.record(at.Add(20*time.Second), nil, nil)
-	d.record(at.Add(20*time.Second), ErrHistoryGone, nil)
-	d.record(at.Add(20*time.Second), ErrThrottled, nil)
-	d.record(at.Add(20*time.Second), failed, context.Canceled)
-	g.Expect(d.latestSpan()).To(Equal(namings.Span{First: at.Add(8 * time.Second), Last: at.Add(9 * time.Second)}))
+	failures.record(at.Add(20*time.Second), nil, nil)
+	failures.record(at.Add(20*time.Second), ErrHistoryGone, nil)
+	failures.record(at.Add(20*time.Second), ErrThrottled, nil)
+	failures.record(at.Add(20*time.Second), failed, context.Canceled)
+	g.Expect(failures.latestSpan()).To(Equal(namings.Span{First: at.Add(8 * time.Second), Last: at.Add(9 * time.Second)}))
 }
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -11,8 +11,7 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// The causes with which sends are withdrawn that are not known to have started: the runner's
-// weights expire, or the content was quarantined.
+// Causes for withdrawing a send that is not known to have started.
 var (
 	errWeightsExpired     = errors.New("weights expire before the request starts")
 	errContentQuarantined = errors.New("content was quarantined before the request started")
@@ -34,7 +33,7 @@
 func (c *call) beginSend(now time.Time, runner backend.Runner, prefillTokens int) {
 	g := c.gateway
 	c.currentSend = g.runners.BeginQuery(now, runner.ID, prefillTokens, c.query)
-	c.run = g.endedRunners.begin(now, runner, c.content)
+	c.run = g.crashDetector.begin(now, runner, c.content)
 	c.sendCtx, c.unstarted = c.ctx, nil
 	if !c.isStartObservable() {
 		return
@@ -42,7 +41,7 @@
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.sendCtx = ctx
 	c.unstarted = &unstartedSend{runner: runner.ID, model: c.query.Model, weightVersion: c.weightVersion, content: c.content, cancel: cancel}
-	g.pendingSends[c.unstarted] = struct{}{}
+	g.unstartedSends[c.unstarted] = struct{}{}
 }
 
 // isStartObservable reports whether the send starts a run on a model's weights and its response
@@ -56,7 +55,7 @@
 // ended. The gateway's mutex must be held.
 func (c *call) preventWithdrawal() {
 	if c.unstarted != nil {
-		delete(c.gateway.pendingSends, c.unstarted)
+		delete(c.gateway.unstartedSends, c.unstarted)
 	}
 }
 
@@ -69,15 +68,15 @@
 }
 
 // withdrawExpiredSends closes the connections of the model's streaming requests that wait on
-// runners whose weights may not start them any more. The start of a request is only estimated
-// when it is sent, so only this withdrawal enforces the deadline of the weights. One timer per
-// announced version covers requests sent before and after the announcement.
+// runners whose weights have expired for new runs. The start of a request is only estimated when it
+// is sent, so only this withdrawal enforces the deadline of the weights. One timer per named
+// version covers requests sent before and after the naming.
 func (g *Gateway) withdrawExpiredSends(now time.Time, model string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.pendingSends {
+	for send := range g.unstartedSends {
 		if send.model == model && !g.runners.MayBegin(now, send.runner, model, send.weightVersion) {
-			delete(g.pendingSends, send)
+			delete(g.unstartedSends, send)
 			send.cancel(errWeightsExpired)
 		}
 	}
@@ -89,9 +88,9 @@
 func (g *Gateway) withdrawQuarantinedSends(content quarantine.ContentID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for send := range g.pendingSends {
+	for send := range g.unstartedSends {
 		if send.content == content {
-			delete(g.pendingSends, send)
+			delete(g.unstartedSends, send)
 			send.cancel(errContentQuarantined)
 		}
 	}
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -17,8 +17,8 @@
 // only estimates the start when it sends a request, and did not act when the estimate was wrong.
 
 const (
-	// shortWeightDeadline is the time after an announcement until which older weights may start
-	// requests.
+	// shortWeightDeadline is how long requests may start on older weights after newer ones were
+	// announced.
 	shortWeightDeadline = 1200 * time.Millisecond
 	// longQueueTime is longer than shortWeightDeadline, so a queued request would start too late
 	// whenever it was sent.
@@ -54,11 +54,11 @@
 }
 
 // startQueuedCall starts a call and waits until it has arrived at the runner.
-func (r *router) startQueuedCall(path string, runner *runnerstand.Runner) <-chan answer {
-	answers := make(chan answer, 1)
-	go func() { answers <- r.call(path, nil) }()
+func (r *router) startQueuedCall(path string, runner *runnerstand.Runner) <-chan callResponse {
+	responses := make(chan callResponse, 1)
+	go func() { responses <- r.call(path, nil) }()
 	r.fleet.g.Eventually(runner.ArrivalCount, time.Second, 5*time.Millisecond).Should(Equal(1), r.log.String)
-	return answers
+	return responses
 }
 
 // expectNoLateStarts checks that no request started on the runner after the deadline of its weights.
@@ -84,16 +84,16 @@
 			oldRunner.SetBehaviour(test.behaviour)
 			sentAt := time.Now()
 			var announcedAt time.Time
-			var answers <-chan answer
+			var responses <-chan callResponse
 			if test.sendBeforeAnnouncement {
-				answers = r.startQueuedCall("/stream/x", oldRunner)
+				responses = r.startQueuedCall("/stream/x", oldRunner)
 				announcedAt = r.announceNewWeights()
 			} else {
 				announcedAt = r.announceNewWeights()
-				answers = r.startQueuedCall("/stream/x", oldRunner)
+				responses = r.startQueuedCall("/stream/x", oldRunner)
 			}
 			updatedRunner := f.engine("e2", 2)
-			got := <-answers
+			got := <-responses
 			time.Sleep(time.Until(sentAt.Add(longQueueTime + 200*time.Millisecond)))
 			f.expectNoLateStarts(oldRunner, announcedAt)
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
@@ -119,12 +119,12 @@
 			f, r, oldRunner := newFleetWithOldWeights(t)
 			oldRunner.SetBehaviour(runnerstand.Queues)
 			announcedAt := r.announceNewWeights()
-			answers := r.startQueuedCall(test.path, oldRunner)
+			responses := r.startQueuedCall(test.path, oldRunner)
 			runners := []*runnerstand.Runner{oldRunner}
 			if test.hasOtherRunner {
 				runners = append(runners, f.engine("e2", 2))
 			}
-			got := <-answers
+			got := <-responses
 			f.expectNoLateStarts(oldRunner, announcedAt)
 			f.g.Expect(got.status).To(Equal(http.StatusBadGateway), "neither 408, 421, 429 nor 503")
 			f.g.Expect(totalRuns(runners)).To(BeZero())
@@ -136,12 +136,12 @@
 	t.Parallel()
 	f, r, oldRunner := newFleetWithOldWeights(t)
 	oldRunner.SetBehaviour(runnerstand.Pauses)
-	answers := r.startQueuedCall("/stream/x", oldRunner)
+	responses := r.startQueuedCall("/stream/x", oldRunner)
 	announcedAt := r.announceNewWeights()
 	updatedRunner := f.engine("e2", 2)
 	time.Sleep(time.Until(announcedAt.Add(shortWeightDeadline + 200*time.Millisecond)))
 	oldRunner.ResumeStreams()
-	got := <-answers
+	got := <-responses
 	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeStream))
 	f.g.Expect(updatedRunner.ArrivalCount()).To(BeZero())
@@ -156,10 +156,10 @@
 			f, r, runner := newFleetWithOldWeights(t)
 			runner.SetBehaviour(behaviour)
 			r.announceNewWeights()
-			answers := r.startQueuedCall("/once/x", runner)
+			responses := r.startQueuedCall("/once/x", runner)
 			runner.SetWeightVersion(2)
 			f.putEntry(runner, "ready")
-			got := <-answers
+			got := <-responses
 			f.g.Expect(got.status).To(Equal(http.StatusOK))
 			f.g.Expect(got.body).To(Equal(completeStream))
 			f.g.Expect(runner.ArrivalCount()).To(Equal(1))
@@ -188,14 +188,14 @@
 	preferred.SetBehaviour(runnerstand.Terminates)
 	backup.SetBehaviour(runnerstand.Queues)
 	backup.SetQueueTime(longQueueTime)
-	answers := make(chan answer, 1)
-	go func() { answers <- r.call("/once/x", withLongPrompt) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- r.call("/once/x", withLongPrompt) }()
 	f.g.Eventually(backup.ContinuedRuns, time.Second, 5*time.Millisecond).Should(HaveLen(1))
 	r.storeEndpoint.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
-	got := <-answers
-	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the answer came after the deadline")
+	got := <-responses
+	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the response came after the deadline")
 	f.g.Expect(got.truncated).To(BeFalse())
 	f.g.Expect(got.body).To(Equal(completeStream))
 }
@@ -214,12 +214,12 @@
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = shortWeightDeadline, shortSettleTime
 	})
-	answers := r.startQueuedCall("/whole/x", runner)
+	responses := r.startQueuedCall("/whole/x", runner)
 	r.storeEndpoint.SetFault(storestand.LosesResponses)
 	time.Sleep(2 * shortSettleTime)
 	announcedAt := r.announceNewWeights()
-	got := <-answers
-	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the answer came after the deadline")
+	got := <-responses
+	f.g.Expect(time.Since(announcedAt)).To(BeNumerically(">", shortWeightDeadline), "the response came after the deadline")
 	f.g.Expect(got.status).To(Equal(http.StatusOK))
 	f.g.Expect(got.body).To(Equal(completeStream))
 }
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -60,13 +60,13 @@
 	f, seed, others := newOverloadedFleet(t, nil, 8)
 	f.g.Eventually(func() int { return countSources(others)[seed.seeds[0]] }, 3*time.Second, 20*time.Millisecond).Should(Equal(1), "only the relay pulls from the seed")
 	f.g.Expect(others[0].Status().Source).To(Equal(seed.seeds[0]), "the router with the highest capacity is the relay")
-	changed := time.Now()
+	changedAt := time.Now()
 	f.configure(2, defaultRoutes(), "key-two")
 	for _, r := range others {
 		f.g.Eventually(func() int { return r.call("/safe/x", nil).status }, time.Second, 5*time.Millisecond).Should(Equal(http.StatusUnauthorized))
 		f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	}
-	f.g.Expect(time.Since(changed)).To(BeNumerically("<", 500*time.Millisecond), "the relay pushes changes")
+	f.g.Expect(time.Since(changedAt)).To(BeNumerically("<", 500*time.Millisecond), "the relay pushes changes")
 }
 
 // When the relay is lost, its followers find the next one within a second, and none of them reads
@@ -115,7 +115,7 @@
 		last.call("/stream/x", withPrompt(fmt.Sprintf("trunk:2000,f%d:100,own:50", time.Now().UnixNano())))
 		_, fetched := newestRun(runners, before)
 		return fetched
-	}, 5*time.Second, 10*time.Millisecond).Should(Equal(runners[0].Address), "a runner that lacks the trunk fetches it")
+	}, 5*time.Second, 10*time.Millisecond).Should(Equal(runners[0].Address), "a runner that lacks the shared part fetches it")
 }
 
 // Routers that start at the same time while the seeds are silent read stale lists, which cost the
@@ -157,9 +157,9 @@
 	f.g.Expect(r.isReady()).To(BeFalse())
 	f.store.Put(platform.KindRunners, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
 	f.configure(1, defaultRoutes(), goodKey)
-	configured := time.Now()
+	configuredAt := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
-	f.g.Expect(time.Since(configured)).To(BeNumerically("<", 500*time.Millisecond))
+	f.g.Expect(time.Since(configuredAt)).To(BeNumerically("<", 500*time.Millisecond))
 	f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 }
 
