--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -35,7 +35,7 @@
 	for name, behaviour := range map[string]runnerstand.Behaviour{"runner terminates": runnerstand.Terminates, "runner stops responding": runnerstand.StopsResponding} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 			r := f.servingRouter("r1", enableRunCopies)
 			f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
@@ -57,7 +57,7 @@
 // Copies take as much memory as the runs, so they are only made if the settings enable them.
 func TestRunsAreNotCopiedByDefault(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
 	f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
@@ -71,7 +71,7 @@
 // Without a copy, the run cannot continue and must not be repeated on another runner.
 func TestStreamWithoutCopyIsTruncated(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
 	f.runners.Clear()
@@ -110,7 +110,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			runners := []*runnerstand.Runner{f.runnerWithIncarnation("e1", "engines"), f.runnerWithIncarnation("e2", "engines")}
 			r := f.servingRouter("r1", func(settings *gateway.Settings) {
 				settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortWeightDeadline, shortSettleTime
@@ -144,7 +144,7 @@
 // detector reported that it read the call's runner while the call continued on another runner.
 func TestWatchdogStopsWithItsStream(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	first := f.engine("e1", 1)
 	first.SetBehaviour(runnerstand.Pauses)
 	first.SetReportDelay(150 * time.Millisecond)
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -45,7 +45,7 @@
 // and one router that reads the store itself because its seeds have no proof of being current.
 func newSeedOutageFleet(t *testing.T, fault storestand.Fault) (f *fleet, seeds []*router) {
 	f = newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	f.runner("p2", "plain")
 	addresses := []string{loopback.FreeAddress(), loopback.FreeAddress()}
@@ -113,7 +113,7 @@
 func TestSeedWithoutWeightsGivesNoProofOfThem(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	blocked, storeAddress := blockingStore(f, platform.KindWeightVersions, platform.KindRunners)
@@ -164,7 +164,7 @@
 func TestUnrelatedWritesCostOneCallPerKind(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -128,7 +128,7 @@
 	r.gateway.mutex.Unlock()
 }
 
-// startFeed starts an empty feed with a new ID. The mutex is held.
+// startFeed starts an empty feed with a new ID. The mutex must be held.
 func (r *cacheReader) startFeed() {
 	r.feed, r.feedID = cacheindex.NewFeed(), uint64(time.Now().UnixNano())
 }
@@ -196,7 +196,7 @@
 	return max(cacheReadDelay, time.Duration(len(r.holders))*time.Second/maxCacheReadsPerSecond)
 }
 
-// applyOwnFeed applies new changes of the own feed to the own index. The mutex is held.
+// applyOwnFeed applies new changes of the own feed to the own index. The mutex must be held.
 func (r *cacheReader) applyOwnFeed() {
 	delta := r.feed.Since(r.appliedPosition)
 	r.appliedPosition = delta.Through
--- a/internal/gateway/cachereader_test.go
+++ b/internal/gateway/cachereader_test.go
@@ -95,7 +95,7 @@
 	f := newFleet(t)
 	caches := newFakeCacheReader()
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	addresses := []string{loopback.FreeAddress()}
 	f.servingRouter("seed", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = addresses[0], addresses })
@@ -125,7 +125,7 @@
 	caches := newFakeCacheReader()
 	caches.silentRunner = "e2"
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	caches.setParts("e1")
 	r := f.servingRouter("r1", nil)
@@ -153,7 +153,7 @@
 	f := newFleet(t)
 	caches := newFakeCacheReader()
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	for i, salt := range []string{"shared/1", "tenant/tenant-one/0"} {
 		caches.setParts(runners[i].ID, gateway.CachedPart{Salt: salt, Part: "aa"}, gateway.CachedPart{Salt: salt, Part: "bb"})
@@ -173,7 +173,7 @@
 	f := newFleet(t)
 	caches := newFakeCacheReader()
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	caches.setParts("e1")
 	r := f.servingRouter("alone", f.followerSettings([]string{loopback.FreeAddress()}))
@@ -187,7 +187,7 @@
 	f := newFleet(t)
 	caches := newFakeCacheReader()
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	caches.setParts("e1")
 	var settings gateway.Settings
@@ -215,7 +215,7 @@
 	f := newFleet(t)
 	caches := newFakeCacheReader()
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	caches.setParts("e1", gateway.CachedPart{Salt: "tenant/tenant-one/1", Part: "trunk"})
 	address := loopback.FreeAddress()
--- a/internal/gateway/cachestore_test.go
+++ b/internal/gateway/cachestore_test.go
@@ -38,7 +38,7 @@
 	t.Parallel()
 	f, seeds, follower := newSeededFleet(t)
 	stores := map[string]*fakeCacheStore{}
-	spec := config(2, defaultRoutes(), goodKey)
+	spec := config(2, defaultRoutes(), validKey)
 	services := spec["services"].([]map[string]any)
 	for i := range 3 {
 		store := newFakeCacheStore(t)
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -19,7 +19,7 @@
 // newPlainFleet returns a fleet with two runners of the plain service, and its router and runners.
 func newPlainFleet(t *testing.T) (*fleet, *router, []*runnerstand.Runner) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	return f, f.servingRouter("r1", nil), runners
 }
@@ -175,7 +175,7 @@
 
 func TestStreamContinuesOnAnotherRunner(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
 	completeBody := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
@@ -197,7 +197,7 @@
 
 func TestNonResumableStreamIsTruncated(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
 	behaveOnceOnAll(runners, runnerstand.TruncatesResponse)
@@ -209,7 +209,7 @@
 
 func TestCacheSaltContainsOwnerAndWeightVersion(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", nil)
 	r.call("/stream/x", func(request *http.Request) { request.Header.Set(platform.HeaderCacheSalt, "stolen") })
@@ -223,7 +223,7 @@
 func TestUnsentAttemptsDoNotUseRetryBudget(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	var runners []*runnerstand.Runner
 	for i := range 8 {
 		runners = append(runners, f.runner(fmt.Sprint("p", i), "plain"))
--- a/internal/gateway/collectors.go
+++ b/internal/gateway/collectors.go
@@ -20,8 +20,8 @@
 	c.gateway.mutex.Lock()
 	counts := c.gateway.runners.CountStates(c.gateway.now())
 	c.gateway.mutex.Unlock()
-	for key, count := range counts {
-		ch <- prometheus.MustNewConstMetric(runnerStatesDesc, prometheus.GaugeValue, float64(count), key.Service, key.State.String())
+	for group, count := range counts {
+		ch <- prometheus.MustNewConstMetric(runnerStatesDesc, prometheus.GaugeValue, float64(count), group.Service, group.State.String())
 	}
 }
 
--- a/internal/gateway/confirm_test.go
+++ b/internal/gateway/confirm_test.go
@@ -104,7 +104,7 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.dials = blockFirstDial()
-	f.configure(1, routesWithLongTimeout(), goodKey)
+	f.configure(1, routesWithLongTimeout(), validKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 0.5 })
 	responses := r.callWithLongTimeout("/unsafe/x", nil)
@@ -120,14 +120,14 @@
 }
 
 // A runner refuses a request that names a weight version other than its own. If the service's only
-// runner loads new weights during the dial and the router learns of it, the request must name
-// the new version. It named the old one: the refusal then told the router nothing new, excluded
-// the runner, and the caller was refused.
+// runner loads new weights during the dial and the router learns of it, the request must name the
+// new version. It named the old one: the refusal then contained nothing new for the router and
+// excluded the runner, and the caller was refused.
 func TestRequestNamesWeightsLoadedDuringDial(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.dials = blockFirstDial()
-	f.configure(1, routesWithLongTimeout(), goodKey)
+	f.configure(1, routesWithLongTimeout(), validKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", nil)
 	responses := r.callWithLongTimeout("/once/x", nil)
@@ -149,7 +149,7 @@
 	f := newFleet(t)
 	var backupAddress atomic.Value
 	f.dials = newDialBlocker(func(address string) bool { return address == backupAddress.Load() })
-	f.configure(1, routesWithLongTimeout(), goodKey)
+	f.configure(1, routesWithLongTimeout(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
 	var got callResponse
@@ -197,7 +197,7 @@
 	t.Parallel()
 	f := newFleet(t)
 	f.dials = blockFirstDial()
-	f.configure(1, routesWithLongTimeout(), goodKey)
+	f.configure(1, routesWithLongTimeout(), validKey)
 	f.runner("p1", "plain")
 	f.runner("p2", "plain")
 	metricsAddress := loopback.FreeAddress()
@@ -225,7 +225,7 @@
 	f := newFleet(t)
 	var dials atomic.Int32
 	f.dials = newDialBlocker(func(string) bool { return dials.Add(1) == 2 })
-	f.configure(1, routesWithLongTimeout(), goodKey)
+	f.configure(1, routesWithLongTimeout(), validKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain"), f.runner("p3", "plain")}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.RetryShare, settings.RetryReserve = 0.001, 1 })
 	for _, runner := range runners {
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -23,7 +23,7 @@
 	got := r.call("/nowhere/", nil)
 	f.g.Expect(got.status).To(Equal(http.StatusServiceUnavailable), "not 404, because the routes are not known yet")
 	f.g.Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.g.Eventually(r.isReady, 2*time.Second).Should(BeTrue())
 }
 
@@ -32,7 +32,7 @@
 	f.configure(5, defaultRoutes(), "key-two")
 	r.waitForConfig(5)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusUnauthorized), "the key was removed")
-	f.configure(3, defaultRoutes(), goodKey)
+	f.configure(3, defaultRoutes(), validKey)
 	f.store.CompactHistory()
 	f.g.Eventually(r.log.String, 3*time.Second).Should(ContainSubstring("history of the store is gone"))
 	f.g.Consistently(func() int { return r.call("/safe/x", nil).status }, 200*time.Millisecond).Should(Equal(http.StatusUnauthorized))
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			runner := f.runner("p1", "plain")
 			const lease = 2 * time.Second
 			r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = lease })
@@ -91,7 +91,7 @@
 func TestStoreIsReadSoonAfterSilenceEnds(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.ConfigLease = 2 * time.Second })
 	for _, silence := range []time.Duration{3500 * time.Millisecond, 6 * time.Second} {
@@ -119,7 +119,7 @@
 
 func TestRunnersAreUpdatedToNamedWeights(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	first, second := f.servingRouter("r1", nil), f.servingRouter("r2", nil)
 	nameWeights(f, 2)
@@ -140,7 +140,7 @@
 
 func TestAnotherRouterTakesOverFromDeadLeaseHolder(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	routers := map[string]*router{"r1": f.servingRouter("r1", nil), "r2": f.servingRouter("r2", nil)}
 	nameWeights(f, 2)
@@ -162,7 +162,7 @@
 func TestFencedLeaseHolderStepsDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	var runners []*runnerstand.Runner
 	for i := range 6 {
 		runner := f.runner(fmt.Sprintf("e%d", i), "engines")
@@ -189,7 +189,7 @@
 // update.
 func TestRunnersWithExpiredWeightsGetNoRequests(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.WeightDeadline, settings.SettleTime = 800*time.Millisecond, 10*time.Millisecond
--- a/internal/gateway/forgedheaders_test.go
+++ b/internal/gateway/forgedheaders_test.go
@@ -35,13 +35,13 @@
 
 // rawRequest returns the bytes of a POST request. Each line of headers ends with CRLF.
 func rawRequest(id, path, headers, body string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: %s\r\n%s\r\n%s", path, goodKey, platform.HeaderRequestID, id, headers, body)
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: %s\r\n%s\r\n%s", path, validKey, platform.HeaderRequestID, id, headers, body)
 }
 
 func TestRouterOnlyHeadersFromCallersAreRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r", nil)
 	for _, name := range routerOnlyHeaders {
@@ -76,7 +76,7 @@
 func TestSmuggledRequestsNeverRun(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r", nil)
 	smuggled := rawRequest("smuggled", "/safe/x", platform.HeaderHold+": 1\r\nContent-Length: 0\r\n", "")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -45,7 +45,7 @@
 	configKind = platform.KindConfig
 	configName = "main"
 	modelName  = "m"
-	goodKey    = "key-one"
+	validKey   = "key-one"
 )
 
 // route returns one route of a test's configuration, with the given fields overridden.
@@ -270,7 +270,7 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, strings.NewReader("the body"))
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
-	request.Header.Set("Authorization", "Bearer "+goodKey)
+	request.Header.Set("Authorization", "Bearer "+validKey)
 	request.Header.Set(platform.HeaderRequestID, newRequestID())
 	request.Header.Set(platform.HeaderDeadlineMillis, "2500")
 	request.Header.Set(platform.HeaderModel, modelName)
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -23,10 +23,9 @@
 	leaseGapMargin = 250 * time.Millisecond
 	// leaseCallTimeout bounds one call on the lease.
 	leaseCallTimeout = 800 * time.Millisecond
-	// leasePollInterval is how often a source, a router that reads the store on behalf of
-	// others, reads another router's lease while there is work. The time until it may acquire
-	// the lease starts with the first read that shows the last renewal, so it starts late by
-	// this interval at most.
+	// leasePollInterval is how often a seed, or a router without peers, reads another router's
+	// lease while there is work. The time until it may acquire the lease starts with the first read
+	// that shows the last renewal, so it starts late by this interval at most.
 	leasePollInterval = time.Second
 	// leaseRetryDelay is the delay after a failed call on the lease.
 	leaseRetryDelay = 200 * time.Millisecond
@@ -144,8 +143,8 @@
 	}
 }
 
-// nextReadTime returns when to read the lease that another router holds. Routers other than
-// sources read it when it may become available, so that they do not all poll it.
+// nextReadTime returns when to read the lease that another router holds. Routers other than seeds
+// read it only when it may become available, so that not all routers poll it.
 func (l *leader) nextReadTime() time.Time {
 	availableAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetryDelay))
 	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.peerRouters.alwaysReadsStore() && nextPoll.Before(availableAt) {
--- a/internal/gateway/leavingrunners_test.go
+++ b/internal/gateway/leavingrunners_test.go
@@ -86,7 +86,7 @@
 func TestLeavingSignalAppliesToOneIncarnation(t *testing.T) {
 	t.Parallel()
 	f := &signalFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	other := f.startRunner(runnerstand.Config{ID: "p1", Service: "plain", Incarnation: 7})
 	leaving := f.startRunner(runnerstand.Config{ID: "p2", Service: "plain", Incarnation: 7})
 	r := f.servingRouter("r", nil)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -44,15 +44,15 @@
 	runnerFailures *prometheus.CounterVec
 	placements     *prometheus.CounterVec
 	promptTokens   *prometheus.CounterVec
-	// runnerChecks counts the checks whether a runner is still running, and requestsAtRunnerEnd
-	// observes the number of requests on a runner that had ended.
-	runnerChecks        *prometheus.CounterVec
-	requestsAtRunnerEnd *prometheus.HistogramVec
-	// quarantines counts the contents quarantined, and quarantineDelays observes the time from
-	// the first runner's end until this router knew of the quarantine.
+	// runnerChecks counts the checks whether a runner is still running, and requestsAtCrash
+	// observes the number of requests that were running on a runner when it crashed.
+	runnerChecks    *prometheus.CounterVec
+	requestsAtCrash *prometheus.HistogramVec
+	// quarantines counts the contents quarantined, and quarantineDelays observes the time from the
+	// first runner's crash until this router knew of the quarantine.
 	quarantines      prometheus.Counter
 	quarantineDelays prometheus.Histogram
-	// runnerSignals counts the new facts that runners report about themselves in responses.
+	// runnerSignals counts the changes of state that runners report in their responses.
 	runnerSignals *prometheus.CounterVec
 	// limitedSends counts sends to runners with a request limit, and permitAges observes how
 	// long before the send its permit was requested.
@@ -61,8 +61,8 @@
 	// permitsGranted counts the permits that this router has granted, to itself and to others.
 	permitsGranted    *prometheus.CounterVec
 	runnerConnections prometheus.Counter
-	// silentRunnerConnections counts idle connections to runners that were closed because they
-	// may have gone silent.
+	// silentRunnerConnections counts idle connections to runners that were closed because they may
+	// no longer deliver data.
 	silentRunnerConnections prometheus.Counter
 
 	// suspendedSeconds counts the seconds for which the machine was suspended.
@@ -124,7 +124,7 @@
 		placements:     newCounterVec("placements_total", "Prompts placed, by whether the runner is expected to keep their shared parts.", "service", "kept"),
 		promptTokens:   newCounterVec("prompt_tokens_total", "Prompt tokens placed, by whether the runner is expected to keep them.", "service", "kept"),
 		runnerChecks:   newCounterVec("runner_checks_total", "Questions, after an answer that broke off, whether its runner still runs, by answer.", "service", "outcome"),
-		requestsAtRunnerEnd: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestsAtCrash: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "runner_end_runs", Help: "Requests of this router that were at work on a runner that was found to have ended.", Buckets: requestCountBuckets,
 		}, []string{"service"}),
 		quarantines: prometheus.NewCounter(prometheus.CounterOpts{
@@ -175,7 +175,7 @@
 		}),
 	}
 	m.registry.MustRegister(
-		m.calls, m.callLatencies, m.firstEventLatencies, m.refusals, m.attempts, m.retries, m.runnerFailures, m.placements, m.promptTokens, m.runnerChecks, m.requestsAtRunnerEnd, m.quarantines, m.quarantineDelays, m.runnerSignals, m.limitedSends, m.permitAges, m.permitsGranted, m.suspendedSeconds, m.runnerConnections, m.silentRunnerConnections,
+		m.calls, m.callLatencies, m.firstEventLatencies, m.refusals, m.attempts, m.retries, m.runnerFailures, m.placements, m.promptTokens, m.runnerChecks, m.requestsAtCrash, m.quarantines, m.quarantineDelays, m.runnerSignals, m.limitedSends, m.permitAges, m.permitsGranted, m.suspendedSeconds, m.runnerConnections, m.silentRunnerConnections,
 		m.storeCalls, m.storeFailures, m.storeRestores, m.staleStoreResponses, m.storeLostObjects, m.watchRenewals, m.peerCalls, m.orders, m.weightUpdates, m.cacheReads, m.fetchSources, m.runnerChoices, m.placementCalls, m.priorityFactors, m.callerReturns, m.shareRefusals,
 		m.quotaDecisions, m.quotaFalseRefusals, m.quotaCalls, m.quotaWaits, &runnerStateCollector{gateway: g}, &copyAgeCollector{gateway: g}, &contentStateCollector{gateway: g}, &serviceStatsCollector{gateway: g},
 		newGauge("placed_requests", "Open requests that this router has placed for others.", func() float64 { return g.schedulers.placedCount() }),
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -35,7 +35,7 @@
 func TestStatusReportsRouterState(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(3, defaultRoutes(), goodKey)
+	f.configure(3, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	f.putEntry(f.runner("p1", "plain"), "draining")
 	address := loopback.FreeAddress()
@@ -74,7 +74,7 @@
 func TestMetricsReportCallsAndOrders(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	failing, healthy := f.runner("p1", "plain"), f.runner("p2", "plain")
 	f.runner("e1", "engines")
 	failing.SetBehaviour(runnerstand.Fails)
--- a/internal/gateway/order_test.go
+++ b/internal/gateway/order_test.go
@@ -47,7 +47,7 @@
 func TestBulkCallsYieldToUrgentCalls(t *testing.T) {
 	t.Parallel()
 	f, routers, runners, metricsAddresses := newScheduledFleet(t, 1, 1, "p1")
-	f.configure(2, routesWithPriorities(), goodKey)
+	f.configure(2, routesWithPriorities(), validKey)
 	for _, r := range routers {
 		r.waitForConfig(2)
 	}
--- a/internal/gateway/outages_test.go
+++ b/internal/gateway/outages_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	const outage, maxDelay = 3300 * time.Millisecond, 2500 * time.Millisecond
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	endpoint, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -36,7 +36,7 @@
 	time.Sleep(outage)
 	proxy.SetMode(faultproxy.MuteExisting) // existing connections stay silent, new ones work
 	for version := 2; version <= 4; version++ {
-		f.configure(version, defaultRoutes(), goodKey)
+		f.configure(version, defaultRoutes(), validKey)
 		changedAt := time.Now()
 		seed.waitForConfig(version)
 		follower.waitForConfig(version)
@@ -52,7 +52,7 @@
 func TestExpiredWeightsStayExpiredAfterRestartOfAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.engine("e1", 1)
 	runner.IgnoreOrders()
 	seeds := []string{loopback.FreeAddress(), loopback.FreeAddress()}
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -9,7 +9,7 @@
 
 // heldBackRetryAfter returns the delay after which a refused caller should retry: when the first
 // backoff ends, or when a limit allows its request after those of callers refused earlier. The
-// caller holds the gateway's mutex.
+// gateway's mutex must be held.
 func (g *Gateway) heldBackRetryAfter(now time.Time, service string, heldBack placement.HeldBack) time.Duration {
 	if heldBack.Limited == 0 {
 		return heldBack.RestWait
@@ -34,8 +34,8 @@
 }
 
 // takePermit takes the permit for the send to the chosen runner, if the runner limits its requests:
-// the one granted by the scheduler that chose it, or one from this router's own share. The caller
-// holds the gateway's mutex.
+// the one granted by the scheduler that chose it, or one from this router's own share. The
+// gateway's mutex must be held.
 func (c *call) takePermit(now time.Time, runner string) {
 	if c.schedulerChoice != nil {
 		c.permit, c.permitRequestedAt = c.schedulerChoice.permit(), c.schedulerChoice.requestedAt
@@ -45,7 +45,7 @@
 }
 
 // grantPermit takes a permit for the runner from this router's share, if the runner limits its
-// requests. The caller holds the gateway's mutex.
+// requests. The gateway's mutex must be held.
 func (g *Gateway) grantPermit(now time.Time, service, runner string) backpressure.Permit {
 	permit := g.runners.TakePermit(now, runner)
 	if permit.Valid(now) {
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -202,7 +202,7 @@
 
 // acceptChoice returns the pick that corresponds to a scheduler's choice. It returns false if there
 // is no choice, and rejects and releases the choice of a runner that this router knows not to be
-// usable. The caller holds the gateway's mutex.
+// usable. The gateway's mutex must be held.
 func (c *call) acceptChoice(now time.Time, choice *placementChoice) (placement.Pick, bool) {
 	g := c.gateway
 	c.schedulerChoice = nil
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -61,7 +61,7 @@
 
 func newPoisonedServiceFleet(t *testing.T, service string, count int, silent bool) *poisonedFleet {
 	p := &poisonedFleet{fleet: newFleet(t), service: service, silent: silent, poisonEvery: 5}
-	p.configure(1, defaultRoutes(), goodKey)
+	p.configure(1, defaultRoutes(), validKey)
 	for range count {
 		p.startNext()
 	}
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -16,7 +16,7 @@
 
 // limitedConfig returns a configuration whose only tenant has the limit.
 func limitedConfig(version int, limit map[string]any) map[string]any {
-	spec := config(version, defaultRoutes(), goodKey)
+	spec := config(version, defaultRoutes(), validKey)
 	tenant := spec["tenants"].([]map[string]any)[0]
 	for name, value := range limit {
 		tenant[name] = value
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -20,7 +20,7 @@
 // from them.
 func newSeededFleet(t *testing.T) (f *fleet, seeds []*router, follower *router) {
 	f = newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	addresses := []string{loopback.FreeAddress(), loopback.FreeAddress()}
 	for i, node := range []string{"seed-1", "seed-2"} {
@@ -38,7 +38,7 @@
 func TestRetryReserveIsSharedByAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("p1", "plain"), f.runner("p2", "plain")}
 	const slack, perRouter, calls = 6, 5, 10
 	adjust := func(settings *gateway.Settings) { settings.RetrySlack, settings.RetryReserve = slack, perRouter }
@@ -108,7 +108,7 @@
 	f, seeds, follower := newSeededFleet(t)
 	for i, seed := range seeds {
 		seed.Kill()
-		f.configure(2+i, defaultRoutes(), goodKey)
+		f.configure(2+i, defaultRoutes(), validKey)
 		follower.waitForConfig(2 + i)
 		f.g.Expect(follower.call("/safe/x", nil).status).To(Equal(http.StatusOK))
 	}
@@ -167,7 +167,7 @@
 	}, storestand.Busy)
 	first := f.routerWithStoreFault("first", f.followerSettings(addresses), storestand.Hangs)
 	f.g.Consistently(first.isReady, 200*time.Millisecond).Should(BeFalse())
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	seed.storeEndpoint.SetFault(storestand.Healthy)
 	f.g.Eventually(seed.isReady, 3*time.Second, 10*time.Millisecond).Should(BeTrue())
@@ -183,7 +183,7 @@
 // waiting, so a router reads the store as soon as the seeds prove silent.
 func TestStartedRouterReadsStoreSoonIfSeedsAreSilent(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.router("first", f.followerSettings([]string{startSilentPeer(f), startSilentPeer(f), startSilentPeer(f)}))
 	f.g.Eventually(r.isReady, 200*time.Millisecond, 5*time.Millisecond).Should(BeTrue())
@@ -193,7 +193,7 @@
 func TestStartedRouterFindsLiveSeedAmongSilentOnes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	address := loopback.FreeAddress()
 	seeds := []string{startSilentPeer(f), address, startSilentPeer(f), startSilentPeer(f)}
@@ -210,7 +210,7 @@
 func TestCallsWaitForStartingRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	seeds := []string{startSilentPeer(f), startSilentPeer(f)}
 	const startWait = 900 * time.Millisecond
@@ -247,7 +247,7 @@
 func TestSeedBehindPortForwardHasFollowers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	own := loopback.FreeAddress()
 	forward, err := faultproxy.Start(own)
@@ -269,13 +269,13 @@
 func TestProofIsRenewedSoonAfterChange(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	proofAge := func() int64 { return r.Status().ProofAgeMillis }
-	f.configure(2, defaultRoutes(), goodKey)
+	f.configure(2, defaultRoutes(), validKey)
 	r.waitForConfig(2)
 	time.Sleep(800 * time.Millisecond) // The next watch has waited for most of its 0.9 s.
-	f.configure(3, defaultRoutes(), goodKey)
+	f.configure(3, defaultRoutes(), validKey)
 	f.g.Eventually(proofAge, 700*time.Millisecond, 5*time.Millisecond).Should(BeNumerically("<", 500))
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,7 +11,7 @@
 
 func TestReloadAppliesSeedsAndReportsSettingsNeedingRestart(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	var started gateway.Settings
 	r := f.router("r1", func(settings *gateway.Settings) { started = *settings })
 	changed := started
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			test(f, applyChange)
 		})
 	}
@@ -85,7 +85,7 @@
 func TestRestartedRunnerIsUsedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	failing, healthy := f.runnerWithIncarnation("p1", "plain"), f.runnerWithIncarnation("p2", "plain")
 	r := f.servingRouter("r1", nil)
 	failing.SetBehaviour(runnerstand.Fails)
@@ -113,7 +113,7 @@
 func TestStaleEntryDoesNotUndoRestart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	listed, found := f.store.Get(platform.KindRunners, "p1")
@@ -135,7 +135,7 @@
 func TestRestartedRunnerIsOrderedAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
 	f.servingRouter("r1", nil)
 	nameWeights(f, 2)
@@ -176,7 +176,7 @@
 	f := newFleet(t)
 	caches := &addressRecordingReader{fakeCacheReader: newFakeCacheReader(), addresses: map[string]bool{}}
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
 	caches.setParts("e1")
 	f.servingRouter("r1", nil)
@@ -233,7 +233,7 @@
 func TestEntryWithoutIncarnationRemovesRunner(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.DirectoryEntry("ready")
@@ -247,7 +247,7 @@
 func TestRunnerOfUnknownServiceIsNotOrdered(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
 	stranger := f.runnerWithIncarnation("e2", "engines")
 	entry := stranger.DirectoryEntry("ready")
@@ -264,7 +264,7 @@
 func TestRepeatedEntriesWithoutIncarnationAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.DirectoryEntry("ready")
--- a/internal/gateway/restoredlease_test.go
+++ b/internal/gateway/restoredlease_test.go
@@ -22,7 +22,7 @@
 	t.Parallel()
 	const gap = 700 * time.Millisecond
 	f := &restorableFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	for i := range 24 {
 		f.engines = append(f.engines, f.engine(fmt.Sprintf("e%d", i+1), 1))
 	}
@@ -85,12 +85,12 @@
 	}
 	isolated[0].clock.suspend(3 * time.Second)
 	changedAt := time.Now()
-	f.configure(2, routesWith("fresh"), goodKey)
+	f.configure(2, routesWith("fresh"), validKey)
 	nameWeights(f.fleet, 2)
 	f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 	f.awaitWeights(2)
 	f.store.Restore(f.store.Backup())
-	f.configure(3, routesWith("fresh", "more"), goodKey, "key-two")
+	f.configure(3, routesWith("fresh", "more"), validKey, "key-two")
 	for _, r := range f.routers {
 		f.g.Eventually(func() int { return r.call("/more/x", withKey("key-two")).status }, applyTimeout, 5*time.Millisecond).Should(Equal(http.StatusOK))
 	}
--- a/internal/gateway/restoredstart_test.go
+++ b/internal/gateway/restoredstart_test.go
@@ -40,7 +40,7 @@
 	f.store.Delete(platform.KindRunners, f.plain.ID)
 	backup := f.store.Backup()
 	f.runner("joined", "plain")
-	f.configure(2, routesWith("fresh"), goodKey)
+	f.configure(2, routesWith("fresh"), validKey)
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
 	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
@@ -51,8 +51,8 @@
 }
 
 // startRouter starts a router at the address, with access to the store.
-func (f *restoredFleet) startRouter(address string, seeds []string) *router {
-	return f.routerWithStoreFault("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = address, seeds }, storestand.Healthy)
+func (f *restoredFleet) startRouter(peerAddress string, seeds []string) *router {
+	return f.routerWithStoreFault("again", func(settings *gateway.Settings) { settings.PeerAddress, settings.Seeds = peerAddress, seeds }, storestand.Healthy)
 }
 
 // awaitNewerState waits until the router knows what the backup lacks.
@@ -126,7 +126,7 @@
 func TestStateTransferDoesNotDelayConnectionReplacement(t *testing.T) {
 	t.Parallel()
 	f := &restorableFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.plain = f.runner("p1", "plain")
 	f.store.Restore(f.store.Backup())
 	seed := loopback.FreeAddress()
--- a/internal/gateway/restoredstore_test.go
+++ b/internal/gateway/restoredstore_test.go
@@ -42,7 +42,7 @@
 
 func newRestorableFleet(t *testing.T, routers int, adjust func(*gateway.Settings)) *restorableFleet {
 	f := &restorableFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey, "key-two")
+	f.configure(1, defaultRoutes(), validKey, "key-two")
 	for i := range 3 {
 		f.engines = append(f.engines, f.engine(fmt.Sprintf("e%d", i+1), 1))
 	}
@@ -63,7 +63,7 @@
 	return f
 }
 
-// setStoreFault sets how the store treats the calls of all routers.
+// setStoreFault sets the fault that the store shows to all routers.
 func (f *restorableFleet) setStoreFault(fault storestand.Fault) {
 	for _, r := range f.routers {
 		r.storeEndpoint.SetFault(fault)
@@ -179,7 +179,7 @@
 				f.awaitServing()
 
 				changedAt := time.Now()
-				f.configure(2, routesWith("fresh"), goodKey)
+				f.configure(2, routesWith("fresh"), validKey)
 				nameWeights(f.fleet, 3)
 				f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 				f.awaitWeights(3)
@@ -203,7 +203,7 @@
 			f.restore(backup, storeDowntime, func() {
 				f.rewriteEntries(1)
 				changedAt = time.Now()
-				f.configure(2, routesWith("fresh"), goodKey)
+				f.configure(2, routesWith("fresh"), validKey)
 				nameWeights(f.fleet, 2)
 				joined = f.runner("p2", "plain")
 				f.writeUnrelated(lostWrites)
@@ -224,7 +224,7 @@
 	t.Parallel()
 	f := newRestorableFleet(t, 3, nil)
 	backup := f.store.Backup()
-	f.configure(2, routesWith("fresh"), goodKey)
+	f.configure(2, routesWith("fresh"), validKey)
 	nameWeights(f.fleet, 2)
 	f.awaitWeights(2)
 	f.awaitConfiguration(time.Now(), "/fresh/x", "key-two")
@@ -258,7 +258,7 @@
 		settings.PeerAddress, settings.Seeds = loopback.FreeAddress(), f.routers[0].seeds
 	})
 	f.g.Expect(started.call("/safe/x", withKey("key-two")).status).To(Equal(http.StatusUnauthorized), "a router that starts now receives the newest configuration from the others")
-	f.configure(2, routesWith("fresh"), goodKey)
+	f.configure(2, routesWith("fresh"), validKey)
 	f.rewriteEntries(2)
 	time.Sleep(storeDowntime)
 	close(done)
@@ -283,7 +283,7 @@
 	}
 	f.awaitServing()
 	changedAt := time.Now()
-	f.configure(2, routesWith("fresh"), goodKey)
+	f.configure(2, routesWith("fresh"), validKey)
 	nameWeights(f.fleet, 2)
 	f.awaitConfiguration(changedAt, "/fresh/x", "key-two")
 	f.awaitWeights(2)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -120,9 +120,9 @@
 	return runners
 }
 
-// runnerState returns the state of the runner for the planner. A runner whose order got no
-// answer may load the weights at any time, so it counts neither as serving nor as loading. The
-// mutex is held.
+// runnerState returns the state of the runner for the planner. A runner whose order got no answer
+// may load the weights at any time, so it counts neither as serving nor as loading. The mutex must
+// be held.
 func (r *rolloutController) runnerState(now time.Time, id string) fleet.State {
 	switch {
 	case r.unanswered[id]:
--- a/internal/gateway/routercount_test.go
+++ b/internal/gateway/routercount_test.go
@@ -19,7 +19,7 @@
 func TestRoutersCountEachOther(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	seeds := []string{loopback.FreeAddress(), loopback.FreeAddress(), loopback.FreeAddress()}
 	const routers = 7
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -118,7 +118,7 @@
 	d.mutex.Lock()
 	runs := d.runTable.RunnerCrashed(now, incarnationOf(runner))
 	d.mutex.Unlock()
-	d.gateway.metrics.requestsAtRunnerEnd.WithLabelValues(runner.Service).Observe(float64(len(runs)))
+	d.gateway.metrics.requestsAtCrash.WithLabelValues(runner.Service).Observe(float64(len(runs)))
 	d.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
--- a/internal/gateway/runnerends_test.go
+++ b/internal/gateway/runnerends_test.go
@@ -23,7 +23,7 @@
 func TestCrashIsDistinguishedFromLostConnection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	metricsAddress := loopback.FreeAddress()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) { settings.MetricsAddress = metricsAddress })
@@ -50,7 +50,7 @@
 func testPlannedShutdown(t *testing.T, inResponse bool) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	runner.SetBehaviour(runnerstand.Pauses)
 	if inResponse {
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -52,7 +52,7 @@
 // newSignalFleet starts a single router, or seeds with followers.
 func newSignalFleet(t *testing.T, engines, seeds, followers int) *signalFleet {
 	f := &signalFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	for i := range engines {
 		f.engines = append(f.engines, f.runner(fmt.Sprintf("e%d", i), "engines"))
 	}
--- a/internal/gateway/runnersilence_test.go
+++ b/internal/gateway/runnersilence_test.go
@@ -29,7 +29,7 @@
 		detectionTime = 1500 * time.Millisecond
 	)
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner, proxy := f.runnerBehindProxy("p1")
 	r := f.servingRouter("r1", nil)
 	f.openIdleConnections(r, runner, idle)
@@ -46,11 +46,12 @@
 		idle     = 16
 		interval = 50 * time.Millisecond
 		// maxRounds bounds the attempts. A round fails on a machine that is too busy to open a new
-		// connection within 50 ms, which is how a lost connection is told from a slow router.
+		// connection within 50 ms, which is how a lost connection is distinguished from a slow
+		// router.
 		maxRounds = 4
 	)
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner, runnerProxy := f.runnerBehindProxy("p1")
 	seed := f.servingRouter("seed", func(settings *gateway.Settings) {
 		settings.PeerAddress = loopback.FreeAddress()
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -31,7 +31,7 @@
 // scheduler.
 func newScheduledFleetWithPatience(t *testing.T, patience time.Duration, schedulers, followers int, runnerIDs ...string) (f *fleet, routers []*router, runners []*runnerstand.Runner, metricsAddresses []string) {
 	f = newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	for _, id := range runnerIDs {
 		runners = append(runners, f.runner(id, "plain"))
 	}
@@ -221,7 +221,7 @@
 	caller, err := net.Dial("tcp", routers[1].address)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	defer caller.Close()
-	fmt.Fprintf(caller, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\nContent-Length: 8\r\n%s: %s\r\n\r\nthe", goodKey, platform.HeaderModel, modelName)
+	fmt.Fprintf(caller, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\nContent-Length: 8\r\n%s: %s\r\n\r\nthe", validKey, platform.HeaderModel, modelName)
 	f.g.Eventually(placed, time.Second, 10*time.Millisecond).Should(BeNumerically("==", 1))
 	time.Sleep(time.Second)
 	caller.Close()
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -46,9 +46,9 @@
 	return backend.Query{Service: busyService, Tenant: tenant, PromptTokens: backend.PrefillRate / 10, MaxQueueTime: 500 * time.Millisecond, Rank: admission.Rank{}}
 }
 
-// decideFor makes the gateway choose a runner for the tenant, and adds the load of the request to
+// placeFor makes the gateway choose a runner for the tenant, and adds the load of the request to
 // that runner.
-func (g *Gateway) decideFor(now time.Time, tenant string) (chosen placement.Pick, forShare bool) {
+func (g *Gateway) placeFor(now time.Time, tenant string) (chosen placement.Pick, forShare bool) {
 	q := tenantQuery(tenant)
 	chosen, _, forShare = g.placeRequest(now, q, time.Minute)
 	if chosen.Status == placement.Picked {
@@ -62,10 +62,10 @@
 	g, now := newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
 	for range 50 {
-		g.decideFor(now, "hot")
+		g.placeFor(now, "hot")
 	}
 	for range 50 {
-		_, forShare := g.decideFor(now, "calm")
+		_, forShare := g.placeFor(now, "calm")
 		e.Expect(forShare).To(BeFalse(), "only refused because of the queue")
 	}
 	now = now.Add(time.Second)
@@ -106,7 +106,7 @@
 	g, now := newSharingGateway("hot"), time.Now()
 	e := NewWithT(t)
 	for range 20 {
-		g.decideFor(now, "hot")
+		g.placeFor(now, "hot")
 	}
 	e.Expect(g.fairShares.excess(now, tenantQuery("hot"))).To(Equal(1.0))
 	e.Expect(g.fairShares.tracker.TenantCount()).To(BeZero())
@@ -125,7 +125,7 @@
 			g, now := newSharingGateway("hot", "calm"), time.Now()
 			e := NewWithT(t)
 			for range 20 {
-				if chosen, _ := g.decideFor(now, "hot"); chosen.Status == placement.Picked {
+				if chosen, _ := g.placeFor(now, "hot"); chosen.Status == placement.Picked {
 					q := tenantQuery("hot")
 					send := backend.NewSet("z").Begin(now, chosen.Candidate.Name, q.PromptTokens-chosen.Candidate.CachedTokens)
 					g.fairShares.refund(now.Add(100*time.Millisecond), q, send, test.outcome)
@@ -188,7 +188,7 @@
 	first, second, now := newSharingGateway("hot", "calm"), newSharingGateway("hot", "calm"), time.Now()
 	e := NewWithT(t)
 	for range 50 {
-		first.decideFor(now, "hot")
+		first.placeFor(now, "hot")
 	}
 	second.fairShares.tracker.Charge(now, poolOf(tenantQuery("calm")), "calm", 1e5)
 	second.fairShares.tracker.RecordRefusal(now, poolOf(tenantQuery("calm")), "calm", 1e5)
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -86,7 +86,7 @@
 }
 
 // resend broadcasts the runner's signals to the schedulers again, because one of them chose the
-// runner without knowing them. The caller holds the gateway's mutex.
+// runner without knowing them. The gateway's mutex must be held.
 func (s *signals) resend(now time.Time, runner backend.Runner) {
 	incarnation := backpressure.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
 	if s.gateway.runners.Signals().ShouldResend(now, incarnation) {
--- a/internal/gateway/silentholder_test.go
+++ b/internal/gateway/silentholder_test.go
@@ -14,7 +14,7 @@
 func TestSilentLeaseHolderIsReplacedSoonAfterLastRenewal(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	runner.IgnoreOrders()
 	gap := func(settings *gateway.Settings) { settings.LeaseGap = 3 * time.Second }
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -29,7 +29,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionDespiteStalledWatch(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	stalled, store := blockingStore(f, platform.KindWeightVersions)
@@ -39,10 +39,10 @@
 	stalled.Store(true)
 	f.store.Put("leases", "someone", map[string]any{}) // makes the router renew the watch of weights
 	time.Sleep(2 * time.Second)
-	named := f.nameTwoVersions()
+	namedAt := f.nameTwoVersions()
 	f.store.CompactHistory()
 	stalled.Store(false)
-	f.expectOlderExpireInTime(r, named)
+	f.expectOlderExpireInTime(r, namedAt)
 }
 
 // The router reaches neither the store nor other routers, as after a freeze. Another router
@@ -50,7 +50,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionOnIsolatedRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	seedAddress := loopback.FreeAddress()
@@ -69,9 +69,9 @@
 	seedProxy.SetMode(faultproxy.Blackhole)
 	storeProxy.SetMode(faultproxy.Blackhole)
 	time.Sleep(2300 * time.Millisecond) // until the seed stops pushing changes
-	named := f.nameTwoVersions()
+	namedAt := f.nameTwoVersions()
 	seedProxy.SetMode(faultproxy.Pass)
-	f.expectOlderExpireInTime(follower, named)
+	f.expectOlderExpireInTime(follower, namedAt)
 }
 
 func (f *fleet) faultProxyTo(address string) *faultproxy.Proxy {
@@ -106,7 +106,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionOnNewRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	seedAddress := loopback.FreeAddress()
@@ -114,6 +114,6 @@
 		settings.PeerAddress, settings.Seeds = seedAddress, []string{seedAddress}
 	})
 	time.Sleep(time.Second)
-	named := f.nameTwoVersions()
-	f.expectOlderExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), named)
+	namedAt := f.nameTwoVersions()
+	f.expectOlderExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), namedAt)
 }
--- a/internal/gateway/slowreaders_test.go
+++ b/internal/gateway/slowreaders_test.go
@@ -51,14 +51,14 @@
 	t.Parallel()
 	const writeTimeout = 1200 * time.Millisecond
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.startEngineWithWriteTimeout("e1", writeTimeout)
 	r := f.servingRouter("r1", nil)
 	connection, err := net.Dial("tcp", r.address)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	defer connection.Close()
 	_, err = fmt.Fprintf(connection, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n%s: %s\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\n",
-		platform.HeaderRequestID, newRequestID(), platform.HeaderModel, modelName, platform.HeaderDeadlineMillis, goodKey)
+		platform.HeaderRequestID, newRequestID(), platform.HeaderModel, modelName, platform.HeaderDeadlineMillis, validKey)
 	f.g.Expect(err).NotTo(HaveOccurred())
 	time.Sleep(writeTimeout + 300*time.Millisecond)
 	// Read the rest of the stream that the runner has closed.
--- a/internal/gateway/stalledwatches_test.go
+++ b/internal/gateway/stalledwatches_test.go
@@ -44,7 +44,7 @@
 func TestChangesArriveWhenAllStoreConnectionsAreSilent(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	endpoint, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
@@ -68,7 +68,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			f.runner("p1", "plain")
 			addresses := []string{loopback.FreeAddress()}
 			seed := f.servingRouter("seed", func(settings *gateway.Settings) {
@@ -94,7 +94,7 @@
 	expectExpiry := func(t *testing.T, silence time.Duration, start func(*fleet) *router) {
 		t.Parallel()
 		f := newFleet(t)
-		f.configure(1, defaultRoutes(), goodKey)
+		f.configure(1, defaultRoutes(), validKey)
 		runner := f.runner("e1", "engines")
 		r := start(f)
 		r.storeEndpoint.SetFault(storestand.Hangs)
@@ -130,7 +130,7 @@
 	t.Parallel()
 	const deadline, staleTime = 6 * time.Second, 2500 * time.Millisecond
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	oldRevision := f.store.Put(platform.KindWeightVersions, modelName, map[string]any{"model": modelName, "version": 1})
 	metricsAddress := loopback.FreeAddress()
@@ -165,7 +165,7 @@
 	const maxDelay = 1750 * time.Millisecond // requests that reach a leaving runner count as faults after 2 s
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	blocked, storeAddress := blockingStore(f, platform.KindRunners)
 	blocked.Store(false)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -16,12 +16,13 @@
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
 	Draining bool   `json:"draining"`
-	// ConfigVersion and ConfigRevision are those of the active configuration, 0 without one.
+	// ConfigVersion and ConfigRevision are those of the active configuration, 0 if there is none.
 	ConfigVersion  uint64 `json:"configVersion"`
 	ConfigRevision uint64 `json:"configRevision"`
 	// StoreEra is the newest known era of the store, 0 if none is known.
 	StoreEra uint64 `json:"storeEra"`
-	// ProofAgeMillis is the time since the configuration was last proven, -1 without one.
+	// ProofAgeMillis is the time since the active configuration was last proven, -1 if it never
+	// was.
 	ProofAgeMillis int64 `json:"proofAgeMillis"`
 	// Proven is set if the proof is recent enough to serve requests with an API key.
 	Proven bool `json:"proven"`
@@ -50,7 +51,7 @@
 type QuarantinedContent struct {
 	Content string `json:"content"`
 	Tenant  string `json:"tenant"`
-	// Runners are the runners that ended while running the content, and RemainingMillis the
+	// Runners are the runners that crashed while running the content, and RemainingMillis the
 	// remaining time of the quarantine.
 	Runners         []string `json:"runners"`
 	RemainingMillis int64    `json:"leftMillis"`
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -25,7 +25,7 @@
 func TestSuspendedRouterRejectsRevokedKey(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusOK))
@@ -56,7 +56,7 @@
 func TestSuspendedRouterUsesNoExpiredWeights(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("e1", "engines")
 	runner.IgnoreOrders()
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
--- a/internal/gateway/unansweredorders_test.go
+++ b/internal/gateway/unansweredorders_test.go
@@ -16,7 +16,7 @@
 func fleetWithFourEngines(t *testing.T) (*fleet, []*runnerstand.Runner) {
 	t.Helper()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	var runners []*runnerstand.Runner
 	for i := range 4 {
 		runners = append(runners, f.runner(fmt.Sprintf("e%d", i), "engines"))
--- a/internal/gateway/unreadcalls_test.go
+++ b/internal/gateway/unreadcalls_test.go
@@ -20,7 +20,7 @@
 	connection, err := net.Dial("tcp", r.address)
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	_, err = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: h.example\r\nContent-Length: 8\r\n%s: %s\r\n%s: 2500\r\nAuthorization: Bearer %s\r\n\r\nthe body",
-		path, platform.HeaderRequestID, newRequestID(), platform.HeaderDeadlineMillis, goodKey)
+		path, platform.HeaderRequestID, newRequestID(), platform.HeaderDeadlineMillis, validKey)
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	r.fleet.g.Expect(connection.Close()).To(Succeed())
 }
@@ -32,7 +32,7 @@
 	t.Parallel()
 	const calls = 40
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.routerWithStoreFault("r1", func(settings *gateway.Settings) { settings.StartWait = 900 * time.Millisecond }, storestand.Busy)
 	for range calls {
@@ -55,7 +55,7 @@
 			f.g.Expect(err).NotTo(HaveOccurred())
 			defer connection.Close()
 			_, err = fmt.Fprintf(connection, "POST /safe/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 8\r\n%s: %s\r\nAuthorization: Bearer %s\r\n\r\n%s",
-				platform.HeaderRequestID, newRequestID(), goodKey, body)
+				platform.HeaderRequestID, newRequestID(), validKey, body)
 			f.g.Expect(err).NotTo(HaveOccurred())
 			f.g.Expect(connection.(*net.TCPConn).CloseWrite()).To(Succeed())
 			f.g.Expect(connection.SetReadDeadline(time.Now().Add(2 * time.Second))).To(Succeed())
--- a/internal/gateway/weightbounds.go
+++ b/internal/gateway/weightbounds.go
@@ -45,7 +45,7 @@
 	g.log.Log(events.WeightBoundReceived, events.Fields{"model": model, "version": history.NamedVersion(), "told": version, "older_until_ms": g.until(history.OldestExpiry(g.settings.namingConfig())).Milliseconds()})
 }
 
-// updateOlderDeadlines sets the deadlines of the model's older weights. The mutex is held.
+// updateOlderDeadlines sets the deadlines of the model's older weights. The mutex must be held.
 func (g *Gateway) updateOlderDeadlines(model string, history *namings.History) {
 	deadlines := history.Deadlines(g.settings.namingConfig())
 	g.runners.WeightTargets().SetDeadlines(model, deadlines)
--- a/internal/gateway/withdraw_test.go
+++ b/internal/gateway/withdraw_test.go
@@ -32,7 +32,7 @@
 // and one router that cannot acquire the lease either.
 func newFleetWithOldWeights(t *testing.T) (*fleet, *router, *runnerstand.Runner) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.engine("e1", 1)
 	runner.SetQueueTime(longQueueTime)
 	runner.SetFencingToken(1 << 40)
@@ -172,7 +172,7 @@
 func TestContinuedRunSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.engine("e1", 1), f.engine("e2", 1)}
 	r := f.servingRouter("r1", func(settings *gateway.Settings) {
 		settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortWeightDeadline, shortSettleTime
@@ -206,7 +206,7 @@
 func TestNonStreamingRequestSurvivesWeightExpiry(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, append(defaultRoutes(), route("whole", "/whole/", "unsafe", "engines", map[string]any{"sticky": true})), goodKey)
+	f.configure(1, append(defaultRoutes(), route("whole", "/whole/", "unsafe", "engines", map[string]any{"sticky": true})), validKey)
 	runner := f.engine("e1", 1)
 	runner.SetFencingToken(1 << 40)
 	runner.ResponseDelay = longQueueTime
--- a/internal/gateway/zonerelays_test.go
+++ b/internal/gateway/zonerelays_test.go
@@ -22,7 +22,7 @@
 func newOverloadedFleet(t *testing.T, caches gateway.CacheReader, followers int) (f *fleet, seed *router, others []*router) {
 	f = newFleet(t)
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	address := loopback.FreeAddress()
 	seed = f.servingRouter("seed", func(settings *gateway.Settings) {
@@ -123,7 +123,7 @@
 func TestStartedRouterReadsStaleListsFirst(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.router("first", f.followerSettings([]string{startSilentPeer(f)}))
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
@@ -136,7 +136,7 @@
 func TestListIsRepeatedWhenHistoryIsGone(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.routerWithStoreFault("first", f.followerSettings([]string{startSilentPeer(f)}), storestand.Healthy)
 	f.store.CompactHistory()
@@ -156,7 +156,7 @@
 	f.g.Expect(r.storeEndpoint.CallCount()).To(BeZero())
 	f.g.Expect(r.isReady()).To(BeFalse())
 	f.store.Put(platform.KindRunners, "none", map[string]any{"service": "plain", "address": "127.0.0.1:1", "zone": "z", "version": "v1", "slots": 1, "state": "ready", "cold_remaining_ms": 0, "seq": 0, "models": []any{}})
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	configuredAt := time.Now()
 	f.g.Eventually(r.isReady, time.Second, 5*time.Millisecond).Should(BeTrue())
 	f.g.Expect(time.Since(configuredAt)).To(BeNumerically("<", 500*time.Millisecond))
