--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -12,7 +12,7 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Timeouts for detecting that a runner has terminated in the middle of a stream.
+// Limits for detecting that a runner has terminated in the middle of a stream.
 const (
 	// streamSilenceTimeout is how long a stream may be silent before its runner is probed. It is
 	// longer than a runner usually takes to load new weights.
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -75,7 +75,7 @@
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
 	f.runners.Clear()
-	behaveOnceOnAll(runners, runnerstand.Terminates)
+	setBehaviourOnceOnAll(runners, runnerstand.Terminates)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
--- a/internal/gateway/cachefeed.go
+++ b/internal/gateway/cachefeed.go
@@ -7,7 +7,7 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Times of following the cache feed of another router.
+// Intervals and timeouts for following the cache feed of another router.
 const (
 	// feedSnapshotInterval is the minimum interval between two requests for a snapshot of a feed. A
 	// snapshot has several hundred kilobytes, and a router that finds no recent proof requests one
--- a/internal/gateway/cachereader.go
+++ b/internal/gateway/cachereader.go
@@ -10,7 +10,7 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// Times of reading which prompt parts runners hold.
+// Intervals and timeouts for reading which prompt parts runners hold.
 const (
 	// cacheReadDelay is the delay between two calls for the changes of one runner, so that several
 	// changes are fetched together. The knowledge of routers lags behind by this delay, by the
@@ -53,8 +53,8 @@
 	mutex sync.Mutex
 	// readsHolders is set if this router reads runners and cache stores itself.
 	readsHolders bool
-	// feed holds what was read or is relayed. It is nil on a router without followers that does
-	// not read holders.
+	// feed holds the cache contents that were read or are relayed. It is nil on a router without
+	// followers that does not read holders.
 	feed *cacheindex.Feed
 	// feedComplete is set once a relayed feed has received a snapshot, and lastPulledAt is when
 	// a follower last requested the feed.
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -11,7 +11,7 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Times of checking the cache stores.
+// Interval and timeout of checks of the cache stores.
 const (
 	cacheStoreCheckInterval = 2 * time.Second
 	cacheStoreCheckTimeout  = 300 * time.Millisecond
@@ -72,7 +72,7 @@
 	}
 }
 
-// check queries all cache stores concurrently and records which of them respond.
+// check queries all cache stores concurrently and records which of them are available.
 func (m *cacheStoreMonitor) check(table *routing.Table) {
 	g := m.gateway
 	ctx, cancel := context.WithTimeout(g.ctx, cacheStoreCheckTimeout)
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -33,8 +33,8 @@
 	return total
 }
 
-// behaveOnceOnAll sets the behaviour of each runner for its next call.
-func behaveOnceOnAll(runners []*runnerstand.Runner, behaviour runnerstand.Behaviour) {
+// setBehaviourOnceOnAll sets the behaviour of each runner for its next call.
+func setBehaviourOnceOnAll(runners []*runnerstand.Runner, behaviour runnerstand.Behaviour) {
 	for _, runner := range runners {
 		runner.SetBehaviourOnce(behaviour)
 	}
@@ -78,7 +78,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, r, runners := newPlainFleet(t)
-			behaveOnceOnAll(runners, behaviour)
+			setBehaviourOnceOnAll(runners, behaviour)
 			got := r.call("/safe/x", nil)
 			f.g.Expect(got.status).To(Or(Equal(http.StatusInternalServerError), Equal(http.StatusBadGateway)))
 			f.g.Expect(totalRuns(runners)).To(Equal(2), "exactly two attempts ran")
@@ -200,7 +200,7 @@
 	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
-	behaveOnceOnAll(runners, runnerstand.TruncatesResponse)
+	setBehaviourOnceOnAll(runners, runnerstand.TruncatesResponse)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"), "only complete events are forwarded")
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -117,7 +117,7 @@
 
 // apply applies changes to the copy and to the state derived from it. A delta of an earlier era of
 // the store than the copy's proves nothing, because it lacks everything written since.
-func (c *copies) apply(kind ObjectKind, delta config.Delta, freshness proof) config.Outcome {
+func (c *copies) apply(kind ObjectKind, delta config.Delta, newProof proof) config.Outcome {
 	c.gateway.eraTracker.observe(delta.Through.Era())
 	c.mutex.Lock()
 	previous := c.stores[kind].Revision()
@@ -127,8 +127,8 @@
 		c.gateway.applyObjects(kind, c.withoutReappeared(kind, c.effectiveChanges(kind, previous, delta)))
 	}
 	c.recordReached(checkpoint{revision: c.stores[kind].Revision(), at: c.gateway.now()})
-	if freshness.valid && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
-		c.recordProof(kind, freshness.at)
+	if newProof.valid && outcome != config.Gap && delta.Through.Era() == c.stores[kind].Revision().Era() {
+		c.recordProof(kind, newProof.at)
 	}
 	if c.stores[RunnerObjects].Revision() > 0 && c.gateway.configIsProven(c.gateway.now()) {
 		c.gateway.startup.markReady()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,8 @@
 	transfer *stateTransfer
 	// storeFailures records when calls to the store last failed.
 	storeFailures storeFailures
-	// schedulers places requests, either on behalf of other routers or by asking them.
+	// schedulers chooses runners for the requests of other routers, or asks other routers to choose
+	// for this one.
 	schedulers *schedulers
 	// limits enforces the tenants' quotas, and fairShares their fair shares of overloaded services.
 	limits     *limits.Client
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -33,7 +33,7 @@
 	runners sync.Map
 	// cacheReader reads the runners' caches on behalf of the routers; nil reads nothing.
 	cacheReader gateway.CacheReader
-	// dials can delay the routers' connections to runners; nil delays none.
+	// dials can block the routers' connections to runners; nil blocks none.
 	dials *dialBlocker
 }
 
@@ -142,7 +142,7 @@
 	fleet         *fleet
 	storeEndpoint *storestand.Endpoint
 	address       string
-	ready         string
+	readyAddress  string
 	seeds         []string
 	log           *logBuffer
 	clock         *suspendableClock
@@ -216,7 +216,7 @@
 	}, events.NewLogger(log, name, logrus.InfoLevel))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(started.Kill)
-	return &router{Gateway: started, fleet: f, storeEndpoint: endpoint, address: settings.CallerAddress, ready: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
+	return &router{Gateway: started, fleet: f, storeEndpoint: endpoint, address: settings.CallerAddress, readyAddress: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
 }
 
 // servingRouter starts a gateway and waits until it is ready and knows at least one runner.
@@ -228,7 +228,7 @@
 }
 
 func (r *router) isReady() bool {
-	response, err := http.Get("http://" + r.ready + platform.PathReadiness)
+	response, err := http.Get("http://" + r.readyAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -10,7 +10,7 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of the lease on ordering runners.
+// Durations and intervals of the lease on ordering runners.
 const (
 	// leaderPollInterval is how often a router checks whether runners need orders.
 	leaderPollInterval = 200 * time.Millisecond
--- a/internal/gateway/loadshares.go
+++ b/internal/gateway/loadshares.go
@@ -7,7 +7,7 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// Intervals of exchanging loads.
+// Intervals at which schedulers exchange loads.
 const (
 	// loadReportInterval is how often a scheduler sends changed loads to the others. In a simulated
 	// fleet of 90 runners, three schedulers choose as well as a single one at 5 ms; at 20 ms, one
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -88,9 +88,9 @@
 	runnerChoices  *prometheus.CounterVec
 	placementCalls *prometheus.HistogramVec
 
-	// priorityFactors observes the factors by which more urgent requests reduced the calls'
-	// queueing limits, and callerReturns counts the calls that were retried at the time named in
-	// their refusal.
+	// priorityFactors observes the factors by which more urgent requests reduced the calls' queue
+	// limits, and callerReturns counts the calls that were retried at the time named in their
+	// refusal.
 	priorityFactors *prometheus.HistogramVec
 	callerReturns   *prometheus.CounterVec
 	// shareRefusals counts refusals for a tenant's fair share, on the router that decided them.
@@ -306,8 +306,8 @@
 // priorityFactorBuckets are factors between 0 and 1, with more buckets at low values.
 var priorityFactorBuckets = []float64{.05, .1, .2, .3, .5, .7, .9, .999}
 
-// observeQueueLimit records the queueing limit of a call and whether the call was refused
-// because of it.
+// observeQueueLimit records the queue limit of a call and whether the call was refused because of
+// it.
 func (m *metrics) observeQueueLimit(route string, refused bool, limit admission.QueueLimit) {
 	m.priorityFactors.WithLabelValues(route).Observe(limit.PriorityFactor)
 	if limit.Returned {
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -58,13 +58,13 @@
 	e, now := NewWithT(t), time.Now()
 	records := suspectRecords(now)
 	records[0].SurvivedAt = now.Add(-30 * time.Second)
-	encoded, err := proto.Marshal(newSuspectNews(now, records))
+	encoded, err := proto.Marshal(encodeSuspectNews(now, records))
 	e.Expect(err).NotTo(HaveOccurred())
 	// Simulate a later version that adds a field.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
-	var news wire.SuspectNews
-	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	decoded := decodeSuspects(now, news.GetRecords())
+	var message wire.SuspectNews
+	e.Expect(proto.Unmarshal(encoded, &message)).To(Succeed())
+	decoded := decodeSuspects(now, message.GetRecords())
 	e.Expect(decoded).To(HaveLen(1))
 	e.Expect(decoded[0].Content).To(Equal(records[0].Content))
 	e.Expect(decoded[0].SurvivedAt).To(BeTemporally("~", records[0].SurvivedAt, 2*time.Millisecond))
@@ -124,9 +124,9 @@
 	e.Expect(err).NotTo(HaveOccurred())
 	// Simulate a later version that adds a field.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
-	var news wire.SignalNews
-	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	decoded := decodeSignals(now, news.GetSignals())
+	var message wire.SignalNews
+	e.Expect(proto.Unmarshal(encoded, &message)).To(Succeed())
+	decoded := decodeSignals(now, message.GetSignals())
 	e.Expect(decoded).To(HaveLen(1))
 	e.Expect(decoded[0].Runner).To(Equal(records[0].Runner))
 	e.Expect(decoded[0].Rate).To(Equal(1.5))
--- a/internal/gateway/placementask.go
+++ b/internal/gateway/placementask.go
@@ -136,7 +136,8 @@
 	return backpressure.NewPermit(p.requestedAt)
 }
 
-// markUnresponsive makes this router ask the scheduler last for a while.
+// markUnresponsive records a timeout of the scheduler, so that this router asks it last for a
+// while.
 func (s *schedulers) markUnresponsive(scheduler string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -221,7 +221,8 @@
 
 // CachePosition is a position in the sequence of changes of one runner or cache store.
 type CachePosition struct {
-	// Epoch differs after each start of the runner or cache store.
+	// Epoch identifies one start of the runner or cache store. Positions of different epochs are
+	// not comparable.
 	Epoch uint64
 	// Next is the position from which to request further changes.
 	Next uint64
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -360,9 +360,9 @@
 }
 
 // applyDeltas applies changes received from another router.
-func (r *peerRouters) applyDeltas(deltas []copyDelta, freshness proof) {
+func (r *peerRouters) applyDeltas(deltas []copyDelta, newProof proof) {
 	for _, d := range deltas {
-		deltaProof := proof{at: freshness.at, valid: freshness.valid && d.kind == ConfigObjects}
+		deltaProof := proof{at: newProof.at, valid: newProof.valid && d.kind == ConfigObjects}
 		if r.gateway.copies.apply(d.kind, d.delta, deltaProof) == config.Gap {
 			r.requestPull()
 		}
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -14,7 +14,7 @@
 const (
 	// startupRetryAfter is given while no configuration is known.
 	startupRetryAfter = 300 * time.Millisecond
-	// staleConfigRetryAfter is given while the configuration may be stale.
+	// staleConfigRetryAfter is given while the configuration is not proven to be current.
 	staleConfigRetryAfter = 400 * time.Millisecond
 	// busyRetryAfter is given if all runners are full or none is available.
 	busyRetryAfter = 250 * time.Millisecond
--- a/internal/gateway/relays_test.go
+++ b/internal/gateway/relays_test.go
@@ -264,8 +264,8 @@
 }
 
 // The response to a watch with a change proves only the state at the time the watch was sent, which
-// may be long before. The proof is renewed before followers would conclude that the seed has lost
-// the store.
+// may be long before the response. The proof is renewed before followers would conclude that the
+// seed has lost the store.
 func TestProofIsRenewedSoonAfterChange(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -130,8 +130,8 @@
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "the runner is still draining")
 }
 
-// An order to the previous incarnation never shows in the reports of the next one, whose count
-// of orders is lower. The runner must be ordered again without waiting for a late answer.
+// An order to the previous incarnation never shows in the reports of the next one, whose count of
+// orders is lower. The runner must be ordered again without waiting for a late response.
 func TestRestartedRunnerIsOrderedAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -207,9 +207,9 @@
 				}
 				f.store.Put(platform.KindRunners, name, entry)
 			}
-			stranger := overwritten.DirectoryEntry("ready")
-			stranger["service"] = "nobody's"
-			f.store.Put(platform.KindRunners, "stranger", stranger)
+			unknownServiceEntry := overwritten.DirectoryEntry("ready")
+			unknownServiceEntry["service"] = "nobody's"
+			f.store.Put(platform.KindRunners, "stranger", unknownServiceEntry)
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(MatchRegexp(`"cause":"entry cannot be read".*"runner":"p1"`))
 		f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"stranger"`))
@@ -249,14 +249,14 @@
 	f := newFleet(t)
 	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
-	stranger := f.runnerWithIncarnation("e2", "engines")
-	entry := stranger.DirectoryEntry("ready")
+	unknownServiceRunner := f.runnerWithIncarnation("e2", "engines")
+	entry := unknownServiceRunner.DirectoryEntry("ready")
 	entry["service"] = "nobody's"
 	f.store.Put(platform.KindRunners, "e2", entry)
 	f.servingRouter("r1", nil)
 	nameWeights(f, 2)
 	f.g.Eventually(runner.WeightVersion, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
-	f.g.Consistently(stranger.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
+	f.g.Consistently(unknownServiceRunner.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
 }
 
 // Entries without an incarnation, written by somebody else, must not be accepted just because
--- a/internal/gateway/restingrunners_test.go
+++ b/internal/gateway/restingrunners_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestRestingRunnerIsLeftAlone(t *testing.T) {
-	for name, test := range map[string]struct{ seeds, followers, resting int }{
+	for name, test := range map[string]struct{ seeds, followers, backingOff int }{
 		"a router alone":            {0, 0, 2},
 		"three seeds and followers": {3, 3, 2},
 		"all runners in backoff":    {1, 2, 6},
@@ -87,7 +87,7 @@
 			t.Parallel()
 			f := newSignalFleet(t, 6, test.seeds, test.followers)
 			f.sendLoadByRouter(time.Second)
-			backingOff, since := f.busiest(test.resting), time.Now()
+			backingOff, since := f.busiest(test.backingOff), time.Now()
 			refuseWithBackoff(backingOff)
 			got := f.sendLoadByRouter(2*backoffTime + time.Second)
 			t.Logf("calls %d, served %d, refused %d", got.sent, got.succeeded, got.refused)
@@ -96,7 +96,7 @@
 				f.g.Expect(maxArrivalsInBackoff(runner, since)).To(BeNumerically("<=", maxSendsInBackoff))
 			}
 			f.g.Expect(got.failed).To(BeZero())
-			if test.resting < len(f.engines) {
+			if test.backingOff < len(f.engines) {
 				f.g.Expect(got.succeeded).To(Equal(got.sent), "other runners serve all calls")
 			}
 			for _, runner := range backingOff {
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -44,7 +44,7 @@
 	return quarantine.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
 }
 
-// begin records a request that is about to be sent.
+// begin records the run of a request that is about to be sent.
 func (d *crashDetector) begin(now time.Time, runner backend.Runner, content quarantine.ContentID) *quarantine.Run {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -180,9 +180,9 @@
 	f.sendLoad(f.routers, 6*time.Second)
 	announce(limited)
 	f.sendLoad(f.routers, 8*time.Second)
-	freedAt := time.Now()
+	limitLiftedAt := time.Now()
 	f.sendLoad(f.routers, 4*time.Second)
-	f.g.Expect(maxArrivalsInWindow(limited[0], freedAt)).To(BeNumerically(">", 2*maxAllowedInWindow(runnerLimit)), "its prompt families return")
+	f.g.Expect(maxArrivalsInWindow(limited[0], limitLiftedAt)).To(BeNumerically(">", 2*maxAllowedInWindow(runnerLimit)), "its prompt families return")
 }
 
 // A router respects the limits that it knows even if it reaches no scheduler. If each router went
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -130,12 +130,12 @@
 	info := c.gateway.ports.Protocol.ParseResponse(response.Status, response.Header)
 	c.responseWeightVersion, c.requestedBackoff = info.WeightVersion, info.Signals.Backoff
 	c.receiveSignals(info, response.Status)
-	isNew := c.recordWeightVersion(info.WeightVersion)
+	isNewer := c.recordWeightVersion(info.WeightVersion)
 	switch {
 	case info.NotRun:
 		// The body is short. Reading it allows the connection to be reused.
 		_, _, _ = response.Body.ReadAll(maxBufferedBody)
-		if isNew {
+		if isNewer {
 			c.endAttempt(backend.Abandoned, quarantine.NotRun, "runner has newer weights than known", response.Status)
 			return c.attemptState.RejectStale()
 		}
@@ -205,7 +205,7 @@
 
 // recordWeightVersion records the weight version that the runner reported, and reports whether
 // it is newer than the known one.
-func (c *call) recordWeightVersion(version uint64) (isNew bool) {
+func (c *call) recordWeightVersion(version uint64) (isNewer bool) {
 	if version == 0 || !c.route.PromptCached {
 		return false
 	}
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -42,7 +42,7 @@
 	namedAt := f.nameTwoVersions()
 	f.store.CompactHistory()
 	stalled.Store(false)
-	f.expectOlderExpireInTime(r, namedAt)
+	f.expectOlderWeightsExpireInTime(r, namedAt)
 }
 
 // The router reaches neither the store nor other routers, as after a freeze. Another router
@@ -71,7 +71,7 @@
 	time.Sleep(2300 * time.Millisecond) // until the seed stops pushing changes
 	namedAt := f.nameTwoVersions()
 	seedProxy.SetMode(faultproxy.Pass)
-	f.expectOlderExpireInTime(follower, namedAt)
+	f.expectOlderWeightsExpireInTime(follower, namedAt)
 }
 
 func (f *fleet) faultProxyTo(address string) *faultproxy.Proxy {
@@ -91,9 +91,9 @@
 	return secondNamedAt
 }
 
-// expectOlderExpireInTime checks that the router, which skipped version 2, uses version 1 no
+// expectOlderWeightsExpireInTime checks that the router, which skipped version 2, uses version 1 no
 // longer than the deadline after the naming of version 2.
-func (f *fleet) expectOlderExpireInTime(r *router, secondNamedAt time.Time) {
+func (f *fleet) expectOlderWeightsExpireInTime(r *router, secondNamedAt time.Time) {
 	f.g.Eventually(func() time.Time { return r.oldWeightsExpiry(3) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
 	f.g.Expect(r.oldWeightsExpiry(2)).To(BeZero(), "the router must not learn of version 2")
 	time.Sleep(time.Second) // until other routers have reported their bounds
@@ -115,5 +115,5 @@
 	})
 	time.Sleep(time.Second)
 	namedAt := f.nameTwoVersions()
-	f.expectOlderExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), namedAt)
+	f.expectOlderWeightsExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), namedAt)
 }
--- a/internal/gateway/staleresponses_test.go
+++ b/internal/gateway/staleresponses_test.go
@@ -11,7 +11,7 @@
 // runners had already delivered revision 12 long before the time as of which the response would
 // prove the configuration, and delivered 13 after it. An implementation that remembers only the
 // latest revision would overlook that 12 was already known and accept the response.
-func TestStaleAnswerProvesNothingAfterLaterRevisions(t *testing.T) {
+func TestStaleResponseProvesNothingAfterLaterRevisions(t *testing.T) {
 	g := NewWithT(t)
 	proofTime := time.Unix(1_000, 0)
 	copies := &copies{}
--- a/internal/gateway/stalledwatches_test.go
+++ b/internal/gateway/stalledwatches_test.go
@@ -126,7 +126,7 @@
 // lower than the one that the router knew before its call counted as a proof of its copies and as a
 // bound for when weights were named, so that the time limit of older weights was counted from the
 // last such response.
-func TestOutdatedStoreAnswersProveNothing(t *testing.T) {
+func TestOutdatedStoreResponsesProveNothing(t *testing.T) {
 	t.Parallel()
 	const deadline, staleTime = 6 * time.Second, 2500 * time.Millisecond
 	f := newFleet(t)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -7,7 +7,7 @@
 	"github.com/clovertiller/clovertiller/internal/events"
 )
 
-// Times of a planned stop.
+// Durations of the phases of a graceful stop.
 const (
 	// drainAcceptTime is how long new requests are still accepted after the stop signal, so
 	// that the platform notices that this router is no longer ready.
--- a/internal/gateway/suspectencoding.go
+++ b/internal/gateway/suspectencoding.go
@@ -7,8 +7,8 @@
 	"github.com/clovertiller/clovertiller/internal/wire"
 )
 
-// newSuspectNews returns the message that broadcasts the records.
-func newSuspectNews(now time.Time, records []quarantine.Record) *wire.SuspectNews {
+// encodeSuspectNews returns the message that broadcasts the records.
+func encodeSuspectNews(now time.Time, records []quarantine.Record) *wire.SuspectNews {
 	return &wire.SuspectNews{Records: encodeSuspects(now, records)}
 }
 
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -30,8 +30,8 @@
 
 // feedPosition is a position in the sequence of changes to another router's records.
 type feedPosition struct {
-	// feed is the start time of that router, because a restart begins a new sequence, and through
-	// is the sequence number of the change.
+	// feed is the start time of that router in Unix milliseconds, because a restart begins a new
+	// sequence, and through is the sequence number of the change.
 	feed, through uint64
 }
 
@@ -60,7 +60,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: newSuspectNews(now, records)}}
+	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: encodeSuspectNews(now, records)}}
 }
 
 // contentIDs returns the contents of the records.
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -11,12 +11,12 @@
 	"github.com/clovertiller/clovertiller/internal/lab/storestand"
 )
 
-// Guards against state that looks too young after the machine was suspended for seconds. The
-// monotonic clock stops during a suspension, and a review found that 165 places of the router
-// read the time from that clock and none from another. As a result, revoked keys were accepted
-// on the basis of an outdated proof, on the suspended router and on those that learned from it;
-// older weights were used beyond their deadline by the duration of the suspension; and a lease
-// holder sent orders when another router could already hold the lease.
+// Guards against state whose age is underestimated after the machine was suspended for seconds. The
+// monotonic clock stops during a suspension, and a review found that 165 places of the router read
+// the time from that clock and none from another. As a result, revoked keys were accepted on the
+// basis of an outdated proof, on the suspended router and on those that learned from it; older
+// weights were used beyond their deadline by the duration of the suspension; and a lease holder
+// sent orders when another router could already hold the lease.
 
 // suspension is longer than the validity of a proof, the lease and the deadlines in these
 // tests.
--- a/internal/gateway/weightdeadline.go
+++ b/internal/gateway/weightdeadline.go
@@ -53,8 +53,8 @@
 // record records the error of a call that was sent at the given time, as evidence that the store or
 // the path to it did not work then. Canceled calls, throttled calls and a history that is gone are
 // no such evidence.
-func (f *storeFailures) record(sentAt time.Time, err, contextErr error) {
-	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(contextErr, context.Canceled) {
+func (f *storeFailures) record(sentAt time.Time, err, ctxErr error) {
+	if err == nil || errors.Is(err, ErrHistoryGone) || errors.Is(err, ErrThrottled) || errors.Is(ctxErr, context.Canceled) {
 		return
 	}
 	f.mutex.Lock()
--- a/internal/gateway/withdraw.go
+++ b/internal/gateway/withdraw.go
@@ -68,9 +68,9 @@
 }
 
 // withdrawExpiredSends closes the connections of the model's streaming requests that wait on
-// runners whose weights have expired for new runs. The start of a request is only estimated when it
-// is sent, so only this withdrawal enforces the deadline of the weights. One timer per named
-// version covers requests sent before and after the naming.
+// runners whose weights may no longer be used for new runs. The start of a request is only
+// estimated when it is sent, so only this withdrawal enforces the deadline of the weights. One
+// timer per named version covers requests sent before and after the naming.
 func (g *Gateway) withdrawExpiredSends(now time.Time, model string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
