--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -12,7 +12,7 @@
 	"github.com/clovertiller/clovertiller/internal/routing"
 )
 
-// Timeouts for detecting that a runner has terminated in the middle of a stream.
+// Limits for detecting that a runner has terminated in the middle of a stream.
 const (
 	// streamSilenceTimeout is how long a stream may be silent before its runner is probed. It is
 	// longer than a runner usually takes to load new weights.
@@ -28,7 +28,7 @@
 // held.
 func (c *call) chooseBackup(now time.Time, runner backend.Runner) {
 	c.backup = backend.Runner{}
-	service := c.view.table.Service(c.service)
+	service := c.config.table.Service(c.service)
 	if !c.gateway.settings.CopyRuns || c.route.Kind != routing.Streaming || c.route.Resumable {
 		return
 	}
--- a/internal/gateway/backup_test.go
+++ b/internal/gateway/backup_test.go
@@ -35,7 +35,7 @@
 	for name, behaviour := range map[string]runnerstand.Behaviour{"runner terminates": runnerstand.Terminates, "runner stops responding": runnerstand.StopsResponding} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 			r := f.servingRouter("r1", enableRunCopies)
 			f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
@@ -57,7 +57,7 @@
 // Copies take as much memory as the runs, so they are only made if the settings enable them.
 func TestRunsAreNotCopiedByDefault(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines")}
 	r := f.servingRouter("r1", nil)
 	f.g.Eventually(func() int { return r.call("/once/x", withLongPrompt).status }).Should(Equal(200))
@@ -71,11 +71,11 @@
 // Without a copy, the run cannot continue and must not be repeated on another runner.
 func TestStreamWithoutCopyIsTruncated(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runners := []*runnerstand.Runner{f.runner("e1", "engines"), f.runner("e2", "engines"), f.runner("e3", "engines")}
 	r := f.servingRouter("r1", enableRunCopies)
 	f.runners.Clear()
-	behaveOnceOnAll(runners, runnerstand.Terminates)
+	setBehaviourOnceOnAll(runners, runnerstand.Terminates)
 	got := r.call("/once/x", nil)
 	f.g.Expect(got.truncated).To(BeTrue())
 	f.g.Expect(totalRuns(runners)).To(Equal(1))
@@ -110,7 +110,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			runners := []*runnerstand.Runner{f.runnerWithIncarnation("e1", "engines"), f.runnerWithIncarnation("e2", "engines")}
 			r := f.servingRouter("r1", func(settings *gateway.Settings) {
 				settings.CopyRuns, settings.WeightDeadline, settings.SettleTime = true, shortWeightDeadline, shortSettleTime
@@ -122,14 +122,14 @@
 			}
 			preferred.SetBehaviour(runnerstand.Pauses)
 			runs, arrivals := len(preferred.Runs()), backup.ArrivalCount()
-			answers := make(chan answer, 1)
-			go func() { answers <- r.call("/once/x", withLongPrompt) }()
+			responses := make(chan callResponse, 1)
+			go func() { responses <- r.call("/once/x", withLongPrompt) }()
 			f.g.Eventually(func() int { return len(preferred.Runs()) }, time.Second).Should(Equal(runs + 1))
 			// Give the router time to receive the first event.
 			time.Sleep(100 * time.Millisecond)
 			makeUnusable(r, backup)
 			preferred.Close()
-			got := <-answers
+			got := <-responses
 			f.g.Expect(backup.ContinuedRuns()).To(BeEmpty())
 			f.g.Expect(got.truncated).To(BeTrue())
 			f.g.Expect(got.body).To(Equal("id: 1\ndata: piece 1\n\n"))
@@ -144,13 +144,13 @@
 // detector reported that it read the call's runner while the call continued on another runner.
 func TestWatchdogStopsWithItsStream(t *testing.T) {
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	first := f.engine("e1", 1)
 	first.SetBehaviour(runnerstand.Pauses)
 	first.SetReportDelay(150 * time.Millisecond)
 	r := f.servingRouter("r1", nil)
-	answers := make(chan answer, 1)
-	go func() { answers <- r.call("/stream/x", nil) }()
+	responses := make(chan callResponse, 1)
+	go func() { responses <- r.call("/stream/x", nil) }()
 	f.g.Eventually(first.ReportCount, 2*time.Second, 5*time.Millisecond).Should(Equal(1), "the silent stream's runner is probed")
 	second := f.engine("e2", 1)
 	second.SetBehaviour(runnerstand.Pauses)
@@ -159,5 +159,5 @@
 	f.g.Eventually(second.ArrivalCount, time.Second, 5*time.Millisecond).Should(Equal(1))
 	f.g.Consistently(second.ReportCount, 1200*time.Millisecond, 20*time.Millisecond).Should(BeZero(), "the stream cannot continue on another runner")
 	second.ResumeStreams()
-	f.g.Expect((<-answers).body).To(Equal(completeStream))
+	f.g.Expect((<-responses).body).To(Equal(completeStream))
 }
--- a/internal/gateway/blindrouters_test.go
+++ b/internal/gateway/blindrouters_test.go
@@ -45,7 +45,7 @@
 // and one router that reads the store itself because its seeds have no proof of being current.
 func newSeedOutageFleet(t *testing.T, fault storestand.Fault) (f *fleet, seeds []*router) {
 	f = newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	f.runner("p2", "plain")
 	addresses := []string{loopback.FreeAddress(), loopback.FreeAddress()}
@@ -108,12 +108,12 @@
 }
 
 // A seed that had its configuration but had not read the weights yet sent no proof of the weights.
-// A router that pulled from it took that for an answer of an earlier version, whose copies are as
-// old as its configuration.
+// A router that pulled from it took that for the answer of a router of an earlier software version,
+// whose copies are as old as its configuration.
 func TestSeedWithoutWeightsGivesNoProofOfThem(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	blocked, storeAddress := blockingStore(f, platform.KindWeightVersions, platform.KindRunners)
@@ -140,10 +140,10 @@
 // blockingStore returns the address of a proxy to the store that blocks calls for the kinds while
 // blocked is set, as it is at first.
 func blockingStore(f *fleet, kinds ...string) (blocked *atomic.Bool, address string) {
-	door, err := f.store.OpenEndpoint()
+	endpoint, err := f.store.OpenEndpoint()
 	f.g.Expect(err).NotTo(HaveOccurred())
-	f.t.Cleanup(door.Close)
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: door.Address})
+	f.t.Cleanup(endpoint.Close)
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: endpoint.Address})
 	blocked = &atomic.Bool{}
 	blocked.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -164,7 +164,7 @@
 func TestUnrelatedWritesCostOneCallPerKind(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	time.Sleep(time.Second)
--- a/internal/gateway/forgedheaders_test.go
+++ b/internal/gateway/forgedheaders_test.go
@@ -29,19 +29,19 @@
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	r.fleet.g.Expect(connection.SetReadDeadline(time.Now().Add(200 * time.Millisecond))).To(Succeed())
 	// A read timeout is not an error here, because all responses have arrived by then.
-	answers, _ := io.ReadAll(bufio.NewReader(connection))
-	return string(answers)
+	responses, _ := io.ReadAll(bufio.NewReader(connection))
+	return string(responses)
 }
 
 // rawRequest returns the bytes of a POST request. Each line of headers ends with CRLF.
 func rawRequest(id, path, headers, body string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: %s\r\n%s\r\n%s", path, goodKey, platform.HeaderRequestID, id, headers, body)
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: %s\r\n%s\r\n%s", path, validKey, platform.HeaderRequestID, id, headers, body)
 }
 
 func TestRouterOnlyHeadersFromCallersAreRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r", nil)
 	for _, name := range routerOnlyHeaders {
@@ -57,8 +57,8 @@
 			"in a trailer":   rawRequest("", "/safe/x", "Transfer-Encoding: chunked\r\nTrailer: "+name+"\r\n", "1\r\nb\r\n0\r\n"+name+": 1\r\n\r\n"),
 		} {
 			id := newRequestID()
-			answers := r.sendRaw(strings.Replace(text, platform.HeaderRequestID+": ", platform.HeaderRequestID+": "+id, 1))
-			f.g.Expect(answers).To(HavePrefix("HTTP/1.1 200"), "%s %s", name, variant)
+			responses := r.sendRaw(strings.Replace(text, platform.HeaderRequestID+": ", platform.HeaderRequestID+": "+id, 1))
+			f.g.Expect(responses).To(HavePrefix("HTTP/1.1 200"), "%s %s", name, variant)
 		}
 	}
 	runs := runner.Runs()
@@ -76,7 +76,7 @@
 func TestSmuggledRequestsNeverRun(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runner("p1", "plain")
 	r := f.servingRouter("r", nil)
 	smuggled := rawRequest("smuggled", "/safe/x", platform.HeaderHold+": 1\r\nContent-Length: 0\r\n", "")
@@ -91,8 +91,8 @@
 		if variant == "length and chunks" {
 			body = "0\r\n\r\n" + smuggled
 		}
-		answers := r.sendRaw(rawRequest(newRequestID(), "/safe/x", headers, body))
-		f.g.Expect(strings.Count(answers, "HTTP/1.1 200")).To(BeNumerically("<=", 1), variant)
+		responses := r.sendRaw(rawRequest(newRequestID(), "/safe/x", headers, body))
+		f.g.Expect(strings.Count(responses, "HTTP/1.1 200")).To(BeNumerically("<=", 1), variant)
 	}
 	for _, run := range runner.Runs() {
 		f.g.Expect(run.RequestID).NotTo(Equal("smuggled"))
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -33,7 +33,7 @@
 	runners sync.Map
 	// cacheReader reads the runners' caches on behalf of the routers; nil reads nothing.
 	cacheReader gateway.CacheReader
-	// dials can delay the routers' connections to runners; nil delays none.
+	// dials can block the routers' connections to runners; nil blocks none.
 	dials *dialBlocker
 }
 
@@ -45,7 +45,7 @@
 	configKind = platform.KindConfig
 	configName = "main"
 	modelName  = "m"
-	goodKey    = "key-one"
+	validKey   = "key-one"
 )
 
 // route returns one route of a test's configuration, with the given fields overridden.
@@ -142,7 +142,7 @@
 	fleet         *fleet
 	storeEndpoint *storestand.Endpoint
 	address       string
-	ready         string
+	readyAddress  string
 	seeds         []string
 	log           *logBuffer
 	clock         *suspendableClock
@@ -216,7 +216,7 @@
 	}, events.NewLogger(log, name, logrus.InfoLevel))
 	f.g.Expect(err).NotTo(HaveOccurred())
 	f.t.Cleanup(started.Kill)
-	return &router{Gateway: started, fleet: f, storeEndpoint: endpoint, address: settings.CallerAddress, ready: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
+	return &router{Gateway: started, fleet: f, storeEndpoint: endpoint, address: settings.CallerAddress, readyAddress: settings.ReadyAddress, seeds: settings.Seeds, log: log, clock: clock}
 }
 
 // servingRouter starts a gateway and waits until it is ready and knows at least one runner.
@@ -228,7 +228,7 @@
 }
 
 func (r *router) isReady() bool {
-	response, err := http.Get("http://" + r.ready + platform.PathReadiness)
+	response, err := http.Get("http://" + r.readyAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
@@ -237,7 +237,7 @@
 }
 
 // answer is the response that a caller received.
-type answer struct {
+type callResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -262,15 +262,15 @@
 }
 
 // call sends one request with a valid API key over a new connection.
-func (r *router) call(path string, change func(*http.Request)) answer {
+func (r *router) call(path string, change func(*http.Request)) callResponse {
 	return r.callWithContext(context.Background(), path, change)
 }
 
-func (r *router) callWithContext(ctx context.Context, path string, change func(*http.Request)) answer {
+func (r *router) callWithContext(ctx context.Context, path string, change func(*http.Request)) callResponse {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.address+path, strings.NewReader("the body"))
 	r.fleet.g.Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
-	request.Header.Set("Authorization", "Bearer "+goodKey)
+	request.Header.Set("Authorization", "Bearer "+validKey)
 	request.Header.Set(platform.HeaderRequestID, newRequestID())
 	request.Header.Set(platform.HeaderDeadlineMillis, "2500")
 	request.Header.Set(platform.HeaderModel, modelName)
@@ -284,11 +284,11 @@
 	startedAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{truncated: true, duration: time.Since(startedAt)}
+		return callResponse{truncated: true, duration: time.Since(startedAt)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil, connectionClosed: response.Close, duration: time.Since(startedAt)}
+	return callResponse{status: response.StatusCode, header: response.Header, body: string(body), truncated: err != nil, connectionClosed: response.Close, duration: time.Since(startedAt)}
 }
 
 // waitForConfig waits until the gateway has applied the configuration with the version.
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -10,7 +10,7 @@
 	"github.com/clovertiller/clovertiller/internal/storerev"
 )
 
-// Times of the lease on ordering runners.
+// Durations and intervals of the lease on ordering runners.
 const (
 	// leaderPollInterval is how often a router checks whether runners need orders.
 	leaderPollInterval = 200 * time.Millisecond
@@ -23,10 +23,9 @@
 	leaseGapMargin = 250 * time.Millisecond
 	// leaseCallTimeout bounds one call on the lease.
 	leaseCallTimeout = 800 * time.Millisecond
-	// leasePollInterval is how often a source, a router that reads the store on behalf of
-	// others, reads another router's lease while there is work. The time until it may acquire
-	// the lease starts with the first read that shows the last renewal, so it starts late by
-	// this interval at most.
+	// leasePollInterval is how often a seed, or a router without peers, reads another router's
+	// lease while there is work. The time until it may acquire the lease starts with the first read
+	// that shows the last renewal, so it starts late by this interval at most.
 	leasePollInterval = time.Second
 	// leaseRetryDelay is the delay after a failed call on the lease.
 	leaseRetryDelay = 200 * time.Millisecond
@@ -110,7 +109,7 @@
 // whether the lease is held.
 func (l *leader) acquireOrRenew() (storerev.Revision, bool) {
 	now := l.gateway.now()
-	if era, since := l.gateway.era.known(); era > 0 {
+	if era, since := l.gateway.eraTracker.known(); era > 0 {
 		l.candidate.EnterEra(since, era)
 	}
 	if token, held := l.candidate.Token(now); held {
@@ -144,11 +143,11 @@
 	}
 }
 
-// nextReadTime returns when to read the lease that another router holds. Routers other than
-// sources read it when it may become available, so that they do not all poll it.
+// nextReadTime returns when to read the lease that another router holds. Routers other than seeds
+// read it only when it may become available, so that not all routers poll it.
 func (l *leader) nextReadTime() time.Time {
 	availableAt := l.candidate.AvailableAt().Add(l.gateway.jitter(leaseRetryDelay))
-	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.relays.alwaysReadsStore() && nextPoll.Before(availableAt) {
+	if nextPoll := l.gateway.now().Add(leasePollInterval); l.gateway.peerRouters.alwaysReadsStore() && nextPoll.Before(availableAt) {
 		return nextPoll
 	}
 	return availableAt
--- a/internal/gateway/otherversions_test.go
+++ b/internal/gateway/otherversions_test.go
@@ -21,10 +21,10 @@
 
 // Routers of two versions run side by side during an upgrade.
 
-// newGatewayWithSuspect returns a gateway that knows one content during which two runners have
-// ended.
+// newGatewayWithSuspect returns a gateway that knows one content that was running when two runners
+// crashed.
 func newGatewayWithSuspect() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &peerRouters{}, directReads: newDirectMode()}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, peerRouters: &peerRouters{}, directReads: newDirectMode()}
 	g.suspects = newSuspects(g)
 	g.suspects.merge(suspectRecords(g.now()))
 	return g
@@ -58,13 +58,13 @@
 	e, now := NewWithT(t), time.Now()
 	records := suspectRecords(now)
 	records[0].SurvivedAt = now.Add(-30 * time.Second)
-	encoded, err := proto.Marshal(newSuspectNews(now, records))
+	encoded, err := proto.Marshal(encodeSuspectNews(now, records))
 	e.Expect(err).NotTo(HaveOccurred())
 	// Simulate a later version that adds a field.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
-	var news wire.SuspectNews
-	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	decoded := decodeSuspects(now, news.GetRecords())
+	var message wire.SuspectNews
+	e.Expect(proto.Unmarshal(encoded, &message)).To(Succeed())
+	decoded := decodeSuspects(now, message.GetRecords())
 	e.Expect(decoded).To(HaveLen(1))
 	e.Expect(decoded[0].Content).To(Equal(records[0].Content))
 	e.Expect(decoded[0].SurvivedAt).To(BeTemporally("~", records[0].SurvivedAt, 2*time.Millisecond))
@@ -79,17 +79,17 @@
 func TestUnknownMessagesAreIgnored(t *testing.T) {
 	t.Parallel()
 	e, g := NewWithT(t), newGatewayWithSuspect()
-	g.relays.gateway = g
+	g.peerRouters.gateway = g
 	unknown := protowire.AppendBytes(protowire.AppendTag(nil, 900, protowire.BytesType), []byte{8, 1})
 	var envelope wire.Envelope
 	e.Expect(proto.Unmarshal(unknown, &envelope)).To(Succeed())
-	e.Expect(g.relays.handle(t.Context(), &envelope)).To(BeNil())
+	e.Expect(g.peerRouters.handle(t.Context(), &envelope)).To(BeNil())
 }
 
 // newGatewayWithSignal returns a gateway that knows one runner that is leaving and has reported
 // a request limit.
 func newGatewayWithSignal() *Gateway {
-	g := &Gateway{ports: Ports{Clock: clock.New()}, relays: &peerRouters{}, directReads: newDirectMode(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
+	g := &Gateway{ports: Ports{Clock: clock.New()}, peerRouters: &peerRouters{}, directReads: newDirectMode(), runners: backend.NewSet("z"), log: events.NewLogger(io.Discard, "r", logrus.InfoLevel)}
 	g.signals = newSignals(g)
 	g.signals.merge(encodeSignals(g.now(), signalRecords(g.now())))
 	return g
@@ -124,9 +124,9 @@
 	e.Expect(err).NotTo(HaveOccurred())
 	// Simulate a later version that adds a field.
 	encoded = protowire.AppendString(protowire.AppendTag(encoded, 90, protowire.BytesType), "more")
-	var news wire.SignalNews
-	e.Expect(proto.Unmarshal(encoded, &news)).To(Succeed())
-	decoded := decodeSignals(now, news.GetSignals())
+	var message wire.SignalNews
+	e.Expect(proto.Unmarshal(encoded, &message)).To(Succeed())
+	decoded := decodeSignals(now, message.GetSignals())
 	e.Expect(decoded).To(HaveLen(1))
 	e.Expect(decoded[0].Runner).To(Equal(records[0].Runner))
 	e.Expect(decoded[0].Rate).To(Equal(1.5))
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -165,8 +165,8 @@
 	var found atomic.Bool
 	for i, address := range addresses {
 		g.spawn(func() {
-			slept := g.pause(time.Duration(i) * firstPullStagger)
-			if !slept || found.Load() || !r.pullFrom(address) {
+			running := g.pause(time.Duration(i) * firstPullStagger)
+			if !running || found.Load() || !r.pullFrom(address) {
 				address = ""
 			}
 			found.Store(found.Load() || address != "")
@@ -224,8 +224,8 @@
 	if !r.alwaysReadsStore() {
 		r.gateway.knownRouters.Store(int64(answer.GetRouters()))
 	}
-	r.gateway.caches.receiveDelta(address, answer.GetCache())
-	r.gateway.cacheStores.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
+	r.gateway.cacheReader.receiveDelta(address, answer.GetCache())
+	r.gateway.cacheStoreMonitor.receiveStatus(cacheStoreStatus{configVersion: answer.GetCacheStoresConfig(), availableBits: answer.GetCacheStores()}, address)
 	return usable && isRecent(answer, maxAge)
 }
 
@@ -268,7 +268,7 @@
 	request := r.newPull(address)
 	if g.knowsConfigState() {
 		// The first answer should be small, and a full feed is not requested again soon.
-		g.caches.addToPull(address, request)
+		g.cacheReader.addToPull(address, request)
 	}
 	g.suspects.addPullPosition(address, request)
 	g.signals.addPullPosition(address, request)
@@ -303,7 +303,8 @@
 	return reply, elapsed
 }
 
-// Send sends a message to a router. It may be lost. Callers state what a loss costs.
+// Send sends a message to a router. It may be lost. The comments where Send is used state the
+// effect of a loss.
 func (r *peerRouters) Send(address string, message *wire.Envelope) {
 	_ = r.transport.Send("", address, message)
 }
@@ -359,9 +360,9 @@
 }
 
 // applyDeltas applies changes received from another router.
-func (r *peerRouters) applyDeltas(deltas []copyDelta, freshness proof) {
+func (r *peerRouters) applyDeltas(deltas []copyDelta, newProof proof) {
 	for _, d := range deltas {
-		deltaProof := proof{at: freshness.at, valid: freshness.valid && d.kind == ConfigObjects}
+		deltaProof := proof{at: newProof.at, valid: newProof.valid && d.kind == ConfigObjects}
 		if r.gateway.copies.apply(d.kind, d.delta, deltaProof) == config.Gap {
 			r.requestPull()
 		}
--- a/internal/gateway/restarts_test.go
+++ b/internal/gateway/restarts_test.go
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.configure(1, defaultRoutes(), goodKey)
+			f.configure(1, defaultRoutes(), validKey)
 			test(f, applyChange)
 		})
 	}
@@ -85,7 +85,7 @@
 func TestRestartedRunnerIsUsedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	failing, healthy := f.runnerWithIncarnation("p1", "plain"), f.runnerWithIncarnation("p2", "plain")
 	r := f.servingRouter("r1", nil)
 	failing.SetBehaviour(runnerstand.Fails)
@@ -113,7 +113,7 @@
 func TestStaleEntryDoesNotUndoRestart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	listed, found := f.store.Get(platform.KindRunners, "p1")
@@ -130,12 +130,12 @@
 	f.g.Expect(r.call("/safe/x", nil).status).To(Equal(http.StatusServiceUnavailable), "the runner is still draining")
 }
 
-// An order to the previous incarnation never shows in the reports of the next one, whose count
-// of orders is lower. The runner must be ordered again without waiting for a late answer.
+// An order to the previous incarnation never shows in the reports of the next one, whose count of
+// orders is lower. The runner must be ordered again without waiting for a late response.
 func TestRestartedRunnerIsOrderedAgain(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
 	f.servingRouter("r1", nil)
 	nameWeights(f, 2)
@@ -176,7 +176,7 @@
 	f := newFleet(t)
 	caches := &addressRecordingReader{fakeCacheReader: newFakeCacheReader(), addresses: map[string]bool{}}
 	f.cacheReader = caches
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
 	caches.setParts("e1")
 	f.servingRouter("r1", nil)
@@ -207,9 +207,9 @@
 				}
 				f.store.Put(platform.KindRunners, name, entry)
 			}
-			stranger := overwritten.DirectoryEntry("ready")
-			stranger["service"] = "nobody's"
-			f.store.Put(platform.KindRunners, "stranger", stranger)
+			unknownServiceEntry := overwritten.DirectoryEntry("ready")
+			unknownServiceEntry["service"] = "nobody's"
+			f.store.Put(platform.KindRunners, "stranger", unknownServiceEntry)
 		})
 		f.g.Eventually(r.log.String, 6*time.Second, 5*time.Millisecond).Should(MatchRegexp(`"cause":"entry cannot be read".*"runner":"p1"`))
 		f.g.Eventually(r.log.String, time.Second, 5*time.Millisecond).Should(ContainSubstring(`"stranger"`))
@@ -233,7 +233,7 @@
 func TestEntryWithoutIncarnationRemovesRunner(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.DirectoryEntry("ready")
@@ -247,16 +247,16 @@
 func TestRunnerOfUnknownServiceIsNotOrdered(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("e1", "engines")
-	stranger := f.runnerWithIncarnation("e2", "engines")
-	entry := stranger.DirectoryEntry("ready")
+	unknownServiceRunner := f.runnerWithIncarnation("e2", "engines")
+	entry := unknownServiceRunner.DirectoryEntry("ready")
 	entry["service"] = "nobody's"
 	f.store.Put(platform.KindRunners, "e2", entry)
 	f.servingRouter("r1", nil)
 	nameWeights(f, 2)
 	f.g.Eventually(runner.WeightVersion, 3*time.Second, 5*time.Millisecond).Should(Equal(uint64(2)))
-	f.g.Consistently(stranger.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
+	f.g.Consistently(unknownServiceRunner.Orders, 500*time.Millisecond, 20*time.Millisecond).Should(BeEmpty())
 }
 
 // Entries without an incarnation, written by somebody else, must not be accepted just because
@@ -264,7 +264,7 @@
 func TestRepeatedEntriesWithoutIncarnationAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	runner := f.runnerWithIncarnation("p1", "plain")
 	r := f.servingRouter("r1", nil)
 	entry := runner.DirectoryEntry("ready")
--- a/internal/gateway/runnerends.go
+++ b/internal/gateway/runnerends.go
@@ -44,7 +44,7 @@
 	return quarantine.Runner{ID: runner.ID, Incarnation: runner.Incarnation}
 }
 
-// begin records a request that is about to be sent.
+// begin records the run of a request that is about to be sent.
 func (d *crashDetector) begin(now time.Time, runner backend.Runner, content quarantine.ContentID) *quarantine.Run {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -118,7 +118,7 @@
 	d.mutex.Lock()
 	runs := d.runTable.RunnerCrashed(now, incarnationOf(runner))
 	d.mutex.Unlock()
-	d.gateway.metrics.requestsAtRunnerEnd.WithLabelValues(runner.Service).Observe(float64(len(runs)))
+	d.gateway.metrics.requestsAtCrash.WithLabelValues(runner.Service).Observe(float64(len(runs)))
 	d.gateway.log.Log(events.RunnerEndDetected, events.Fields{
 		"runner": runner.ID, "address": runner.Address, "service": runner.Service, "runs": len(runs), "contents": contentNames(runs),
 	})
--- a/internal/gateway/runnerlimits_test.go
+++ b/internal/gateway/runnerlimits_test.go
@@ -52,7 +52,7 @@
 // newSignalFleet starts a single router, or seeds with followers.
 func newSignalFleet(t *testing.T, engines, seeds, followers int) *signalFleet {
 	f := &signalFleet{fleet: newFleet(t)}
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	for i := range engines {
 		f.engines = append(f.engines, f.runner(fmt.Sprintf("e%d", i), "engines"))
 	}
@@ -180,9 +180,9 @@
 	f.sendLoad(f.routers, 6*time.Second)
 	announce(limited)
 	f.sendLoad(f.routers, 8*time.Second)
-	freedAt := time.Now()
+	limitLiftedAt := time.Now()
 	f.sendLoad(f.routers, 4*time.Second)
-	f.g.Expect(maxArrivalsInWindow(limited[0], freedAt)).To(BeNumerically(">", 2*maxAllowedInWindow(runnerLimit)), "its prompt families return")
+	f.g.Expect(maxArrivalsInWindow(limited[0], limitLiftedAt)).To(BeNumerically(">", 2*maxAllowedInWindow(runnerLimit)), "its prompt families return")
 }
 
 // A router respects the limits that it knows even if it reaches no scheduler. If each router went
--- a/internal/gateway/skippedversions_test.go
+++ b/internal/gateway/skippedversions_test.go
@@ -12,10 +12,10 @@
 	"github.com/clovertiller/clovertiller/platform"
 )
 
-// Guards against older weights that are used too long. Two versions are named while a router
-// receives no changes. Lists and other routers contain only the newest version, so the router
-// never learns of the first one. It used to count the deadline of the weights before both from
-// the naming of the second version. It must count from the naming of the first one.
+// Guards against older weights that are used for too long. Two versions are named while a router
+// receives no changes. Lists and other routers contain only the newest version, so the router never
+// learns of the first one. It used to count the deadline of the weights before both from the naming
+// of the second version. It must count from the naming of the first one.
 
 const (
 	// namingInterval is the time between the two namings.
@@ -29,7 +29,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionDespiteStalledWatch(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	stalled, store := blockingStore(f, platform.KindWeightVersions)
@@ -39,10 +39,10 @@
 	stalled.Store(true)
 	f.store.Put("leases", "someone", map[string]any{}) // makes the router renew the watch of weights
 	time.Sleep(2 * time.Second)
-	named := f.nameTwoVersions()
+	namedAt := f.nameTwoVersions()
 	f.store.CompactHistory()
 	stalled.Store(false)
-	f.expectOlderExpireInTime(r, named)
+	f.expectOlderWeightsExpireInTime(r, namedAt)
 }
 
 // The router reaches neither the store nor other routers, as after a freeze. Another router
@@ -50,7 +50,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionOnIsolatedRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	seedAddress := loopback.FreeAddress()
@@ -69,9 +69,9 @@
 	seedProxy.SetMode(faultproxy.Blackhole)
 	storeProxy.SetMode(faultproxy.Blackhole)
 	time.Sleep(2300 * time.Millisecond) // until the seed stops pushing changes
-	named := f.nameTwoVersions()
+	namedAt := f.nameTwoVersions()
 	seedProxy.SetMode(faultproxy.Pass)
-	f.expectOlderExpireInTime(follower, named)
+	f.expectOlderWeightsExpireInTime(follower, namedAt)
 }
 
 func (f *fleet) faultProxyTo(address string) *faultproxy.Proxy {
@@ -91,9 +91,9 @@
 	return secondNamedAt
 }
 
-// expectOlderExpireInTime checks that the router, which skipped version 2, uses version 1 no
+// expectOlderWeightsExpireInTime checks that the router, which skipped version 2, uses version 1 no
 // longer than the deadline after the naming of version 2.
-func (f *fleet) expectOlderExpireInTime(r *router, secondNamedAt time.Time) {
+func (f *fleet) expectOlderWeightsExpireInTime(r *router, secondNamedAt time.Time) {
 	f.g.Eventually(func() time.Time { return r.oldWeightsExpiry(3) }, 4*time.Second, 10*time.Millisecond).ShouldNot(BeZero())
 	f.g.Expect(r.oldWeightsExpiry(2)).To(BeZero(), "the router must not learn of version 2")
 	time.Sleep(time.Second) // until other routers have reported their bounds
@@ -106,7 +106,7 @@
 func TestOlderWeightsExpireAfterSkippedVersionOnNewRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.configure(1, defaultRoutes(), goodKey)
+	f.configure(1, defaultRoutes(), validKey)
 	f.runner("e1", "engines")
 	nameWeights(f, 1)
 	seedAddress := loopback.FreeAddress()
@@ -114,6 +114,6 @@
 		settings.PeerAddress, settings.Seeds = seedAddress, []string{seedAddress}
 	})
 	time.Sleep(time.Second)
-	named := f.nameTwoVersions()
-	f.expectOlderExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), named)
+	namedAt := f.nameTwoVersions()
+	f.expectOlderWeightsExpireInTime(f.servingRouter("started", f.followerSettings([]string{seedAddress})), namedAt)
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -30,8 +30,8 @@
 
 // feedPosition is a position in the sequence of changes to another router's records.
 type feedPosition struct {
-	// feed is the start time of that router, because a restart begins a new sequence, and through
-	// is the sequence number of the change.
+	// feed is the start time of that router in Unix milliseconds, because a restart begins a new
+	// sequence, and through is the sequence number of the change.
 	feed, through uint64
 }
 
@@ -60,7 +60,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: newSuspectNews(now, records)}}
+	return &wire.Envelope{Body: &wire.Envelope_SuspectNews{SuspectNews: encodeSuspectNews(now, records)}}
 }
 
 // contentIDs returns the contents of the records.
@@ -184,7 +184,7 @@
 	g.withdrawQuarantinedSends(record.Content)
 }
 
-// crashedRunners returns the ids of the runners that crashed while they processed the content.
+// crashedRunners returns the IDs of the runners that crashed while they processed the content.
 func crashedRunners(record quarantine.Record) []string {
 	names := make([]string, 0, len(record.Crashes))
 	for _, crash := range record.Crashes {
