--- a/internal/gateway/checkpoints.go
+++ b/internal/gateway/checkpoints.go
@@ -28,6 +28,7 @@
 	recent []checkpoint
 }
 
+// add records the checkpoint. If its revision is the last one added, only the time is updated.
 func (c *checkpoints) add(added checkpoint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -307,6 +307,7 @@
 // may be silent for a second, and requests take a while to arrive.
 const configLeaseMargin = 1500 * time.Millisecond
 
+// isFresh reports whether the proof is recent enough to use the configuration under the lease.
 func (c *activeConfig) isFresh(now time.Time, lease time.Duration) bool {
 	return now.Sub(c.provenAt) < validAfterProof(lease)
 }
--- a/internal/gateway/runnerports.go
+++ b/internal/gateway/runnerports.go
@@ -84,7 +84,9 @@
 	// Liveness checks, over a new connection, whether this incarnation of the runner is still
 	// running.
 	Liveness(ctx context.Context, runner backend.Runner) RunnerLiveness
+	// Report reads the state of the runner.
 	Report(ctx context.Context, runner backend.Runner) (RunnerReport, error)
+	// Order sends an order to the runner. The error says why the outcome is unknown.
 	Order(ctx context.Context, runner backend.Runner, order WeightOrder) (OrderOutcome, error)
 	// CacheStoreAvailable reports whether the cache store at the address responds.
 	CacheStoreAvailable(ctx context.Context, address string) bool
