--- a/internal/lab/soak/updates.go
+++ b/internal/lab/soak/updates.go
@@ -104,7 +104,7 @@
 	return longest
 }
 
-// undisturbedDuration returns for how long none of the subjects had been disturbed at the moment.
+// undisturbedFor returns for how long none of the subjects had been disturbed at the moment.
 func (s *Soak) undisturbedFor(moment time.Time, subjects ...string) time.Duration {
 	return moment.Sub(s.disturbances.lastDisturbed(moment, subjects...))
 }
