--- a/Makefile
+++ b/Makefile
@@ -6,17 +6,19 @@
 	@mkdir -p bin
 	$(GO) build -o bin/ ./cmd/...
 
-# gopls, which renames identifiers in all packages and tests at once. Its libraries
-# clash with the newer ones of staticcheck, so it has a module of its own.
+# Builds gopls, which renames identifiers in all packages and tests at once. Its
+# dependencies conflict with the newer versions that staticcheck requires, so it has a
+# separate module.
 tools:
 	@mkdir -p bin
 	$(GO) -C hack/gopls build -o ../../bin/gopls golang.org/x/tools/gopls
 
-# The main job with real processes and the embedded stand-ins; under a minute.
+# Runs both demo workloads with real processes on a simulated platform and simulated
+# engines, in less than a minute.
 demo: build
 	@./hack/demo.sh
 
-# Everything that CI runs.
+# Runs the same checks as CI.
 test: format-check lint models unit
 
 format-check:
@@ -33,26 +35,28 @@
 unit:
 	@GO=$(GO) ./hack/unit.sh
 
-# The failure tests over real processes, one line a promise at the end.
+# Runs the failure tests with real processes and prints one line per promise at the end.
 prove:
 	@$(GO) test -count=1 -v ./test/prove 2>&1 | sed 's/\x1b\[[0-9;]*m//g' | grep -E '^(promise|prove:|ok|FAIL|---|\s+\[FAILED\])|restart to first|herd:|in force everywhere:'
 
-# Each mechanism removed in a scratch copy: its proof must then fail.
+# Disables one mechanism at a time in a scratch copy; the test of the mechanism must then
+# fail.
 mutants:
 	@./hack/mutants.sh
 
-# Placement against baselines and an oracle, in emulated time; under 3 minutes.
+# Compares placement with baselines and an oracle in virtual time, in less than 3 minutes.
 experiment: build
 	@./bin/clovertiller-lab experiment --plots out/experiment
 
-# Gateways as processes under random faults from outside: the seeds that ever
-# failed and three fresh ones, half a minute each.
+# Runs gateway processes under random faults that are injected from outside, with the seeds
+# that have failed before and with three new seeds, half a minute each.
 soak: build
 	@mkdir -p out
 	@./hack/soak.sh
 
-# The days of the users' bench that ever failed, on the code as it is. SYSTEM is
-# the folder of the users' pages, BENCH the newest bench.
+# Runs the days of the users' bench that have failed before, and our own days, with the
+# current code. SYSTEM is the folder of the users' pages, and BENCH is the path of the newest
+# bench.
 SYSTEM ?= ../given/kit/more/system
 BENCH ?= $(SYSTEM)/more/bench-9713e2/bin/fleetbench
 replay:
